--- a/crates/leverstream-bench/src/capacity.rs
+++ b/crates/leverstream-bench/src/capacity.rs
@@ -15,7 +15,7 @@
 use leverstream_proxy::Members;
 use leverstream_route::{Candidate, Request, Turn, choose, picker};
 use leverstream_table::{Address, BackendRow, ServiceDoc, ServiceRow};
-use leverstream_ticket::{Begin, Kept, Ledger, LedgerSettings, Mint, Reply, Ticket};
+use leverstream_ticket::{Begin, Kept, Ledger, LedgerSettings, Reply, Ticket, TicketIssuer};
 use prost::Message;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -488,12 +488,12 @@
 /// State and time a piece of work that must run at most once.
 fn ledger(allocated: Allocated) {
     const COUNT: usize = 100_000;
-    let settings = LedgerSettings { entries: 10 * COUNT, answer_bytes: 16 << 20 };
-    let mint = Mint::open(1, 120_000, &mut StdRng::seed_from_u64(1));
+    let settings = LedgerSettings { max_requests: 10 * COUNT, max_answer_bytes: 16 << 20 };
+    let mint = TicketIssuer::new(1, 120_000, &mut StdRng::seed_from_u64(1));
     let ticket = Ticket { stem: mint.stem(0), nonce: 7 };
     let answer = Arc::new(Reply { status: 200, headers: Vec::new(), body: vec![0; 100].into() });
     let ((ledger, begin_us), bytes) = growth(allocated, || {
-        let ledger = Ledger::open(settings);
+        let ledger = Ledger::new(settings);
         let mut number = 0;
         let begin_us = time_us(COUNT as u32, || {
             number += 1;
--- a/crates/leverstream-node/src/node.rs
+++ b/crates/leverstream-node/src/node.rs
@@ -19,7 +19,7 @@
     Clock, Metrics, Proxy, ProxySettings, ServeRequest, Snapshot, StemRequest,
 };
 use leverstream_route::picker;
-use leverstream_ticket::{Ledger, LedgerSettings, Mint};
+use leverstream_ticket::{Ledger, LedgerSettings, TicketIssuer};
 use prometheus_client::metrics::gauge::Gauge;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -105,10 +105,10 @@
         let proxy = Data::new(Proxy {
             snapshot: ArcSwap::from_pointee(Snapshot::default()),
             clock,
-            mint: Mint::open(identity.id, settings.times.ticket_ttl_ms, &mut rng),
-            ledger: Ledger::open(LedgerSettings {
-                entries: settings.limits.ledger_entries,
-                answer_bytes: settings.limits.ledger_answer_bytes,
+            mint: TicketIssuer::new(identity.id, settings.times.ticket_ttl_ms, &mut rng),
+            ledger: Ledger::new(LedgerSettings {
+                max_requests: settings.limits.ledger_entries,
+                max_answer_bytes: settings.limits.ledger_answer_bytes,
             }),
             metrics: Metrics::open(&mut registry),
             picker: picker(&settings.traffic.picker).ok_or(NodeError::Plugin("traffic.picker"))?,
--- a/crates/leverstream-proxy/src/proxy.rs
+++ b/crates/leverstream-proxy/src/proxy.rs
@@ -3,7 +3,7 @@
 
 use arc_swap::ArcSwap;
 use leverstream_route::Pick;
-use leverstream_ticket::{Ledger, Mint};
+use leverstream_ticket::{Ledger, TicketIssuer};
 use parking_lot::Mutex;
 use tokio::sync::mpsc;
 
@@ -17,7 +17,7 @@
     /// The process's clock.
     pub clock: Clock,
     /// Makes and checks this process's tickets.
-    pub mint: Mint,
+    pub mint: TicketIssuer,
     /// The work begun under tickets that still hold.
     pub ledger: Arc<Ledger>,
     /// The counts.
--- a/crates/leverstream-ticket/src/mint.rs
+++ b/crates/leverstream-ticket/src/issuer.rs
@@ -4,7 +4,7 @@
 use crate::{Stem, Ticket};
 
 /// Makes and checks the tickets of one process.
-pub struct Mint {
+pub struct TicketIssuer {
     /// The process; random, new at each start.
     home: u64,
     /// The secret behind the tags; it never leaves the process.
@@ -24,12 +24,12 @@
     Expired,
 }
 
-impl Mint {
+impl TicketIssuer {
     /// Opens a mint for a process that has just started.
-    pub fn open(home: u64, ttl_ms: u64, rng: &mut impl RngCore) -> Mint {
+    pub fn new(home: u64, ttl_ms: u64, rng: &mut impl RngCore) -> TicketIssuer {
         let mut secret = [0; 32];
         rng.fill_bytes(&mut secret);
-        Mint { home, secret, ttl_ms }
+        TicketIssuer { home, secret, ttl_ms }
     }
 
     /// The process that the mint belongs to.
--- a/crates/leverstream-ticket/src/ledger.rs
+++ b/crates/leverstream-ticket/src/ledger.rs
@@ -6,7 +6,7 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-use crate::{Mint, Ticket};
+use crate::{Ticket, TicketIssuer};
 
 /// One piece of work: a ticket and the caller's key under it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -55,9 +55,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LedgerSettings {
     /// The most pieces of work that are known at once.
-    pub entries: usize,
+    pub max_requests: usize,
     /// The most bytes of answers that are kept; beyond it the oldest answers are dropped.
-    pub answer_bytes: usize,
+    pub max_answer_bytes: usize,
 }
 
 /// Knows every piece of work begun under a ticket that still holds.
@@ -111,7 +111,7 @@
 
 impl Ledger {
     /// Opens an empty ledger.
-    pub fn open(settings: LedgerSettings) -> Arc<Ledger> {
+    pub fn new(settings: LedgerSettings) -> Arc<Ledger> {
         Arc::new(Ledger { state: Mutex::default(), settings })
     }
 
@@ -122,7 +122,7 @@
     /// work ran, ended and was removed meanwhile.
     pub fn begin(
         self: &Arc<Self>,
-        mint: &Mint,
+        mint: &TicketIssuer,
         ticket: &Ticket,
         key: &str,
         fingerprint: [u8; 32],
@@ -142,7 +142,7 @@
             }
             return Begin::Wait(Waiter { result: work.result.subscribe() });
         }
-        if state.works.len() >= self.settings.entries {
+        if state.works.len() >= self.settings.max_requests {
             return Begin::Refuse(Kind::StoreFull);
         }
         state.expiries.entry(mint.expiry_ms(ticket)).or_default().push(run_key.clone());
@@ -185,7 +185,7 @@
         } else if bytes > 0 && state.works.contains_key(key) {
             state.answer_bytes += bytes;
             state.answered.push_back(key.clone());
-            state.spill(self.settings.answer_bytes);
+            state.spill(self.settings.max_answer_bytes);
         }
     }
 }
--- a/crates/leverstream-ticket/src/lib.rs
+++ b/crates/leverstream-ticket/src/lib.rs
@@ -1,13 +1,13 @@
 //! Tickets and kept answers: how a request runs at most once without coordination.
 //!
 //! A [`Ticket`] names the one process that may run the requests made with it, its home. The home's
-//! [`Mint`] makes and checks tickets; its [`Ledger`] knows every request that was begun under a
+//! [`TicketIssuer`] makes and checks tickets; its [`Ledger`] knows every request that was begun under a
 //! ticket that still holds. An expired ticket is refused, so nothing is ever forgotten too early.
 
+mod issuer;
 mod ledger;
-mod mint;
 mod ticket;
 
+pub use issuer::{Refusal, TicketIssuer};
 pub use ledger::{Begin, Entry, Kept, Ledger, LedgerSettings, Reply, RunKey, Waiter};
-pub use mint::{Mint, Refusal};
 pub use ticket::{STEM_BYTES, Stem, Ticket};
--- a/crates/leverstream-ticket/tests/once.rs
+++ b/crates/leverstream-ticket/tests/once.rs
@@ -6,7 +6,7 @@
 
 use leverstream_error::Kind;
 use leverstream_ticket::{
-    Begin, Entry, Kept, Ledger, LedgerSettings, Mint, Refusal, Reply, Stem, Ticket,
+    Begin, Entry, Kept, Ledger, LedgerSettings, Refusal, Reply, Stem, Ticket, TicketIssuer,
 };
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -16,13 +16,13 @@
 const TTL_MS: u64 = 100;
 
 /// A mint of a process.
-fn mint(home: u64) -> Mint {
-    Mint::open(home, TTL_MS, &mut StdRng::seed_from_u64(home))
+fn mint(home: u64) -> TicketIssuer {
+    TicketIssuer::new(home, TTL_MS, &mut StdRng::seed_from_u64(home))
 }
 
 /// A ledger with room.
 fn ledger() -> Arc<Ledger> {
-    Ledger::open(LedgerSettings { entries: 1_000, answer_bytes: 1_000 })
+    Ledger::new(LedgerSettings { max_requests: 1_000, max_answer_bytes: 1_000 })
 }
 
 /// An answer of some bytes.
@@ -31,12 +31,24 @@
 }
 
 /// Begins work at a time.
-fn begin(ledger: &Arc<Ledger>, mint: &Mint, ticket: &Ticket, key: &str, now_ms: u64) -> Begin {
+fn begin(
+    ledger: &Arc<Ledger>,
+    mint: &TicketIssuer,
+    ticket: &Ticket,
+    key: &str,
+    now_ms: u64,
+) -> Begin {
     ledger.begin(mint, ticket, key, [0; 32], || now_ms)
 }
 
 /// Begins work that must be the first.
-fn run(ledger: &Arc<Ledger>, mint: &Mint, ticket: &Ticket, key: &str, now_ms: u64) -> Entry {
+fn run(
+    ledger: &Arc<Ledger>,
+    mint: &TicketIssuer,
+    ticket: &Ticket,
+    key: &str,
+    now_ms: u64,
+) -> Entry {
     match begin(ledger, mint, ticket, key, now_ms) {
         Begin::Run(entry) => entry,
         Begin::Wait(_) => panic!("it waits"),
@@ -53,7 +65,7 @@
     assert_eq!(home.check(&ticket, 110), Err(Refusal::Expired));
     assert_eq!(home.check(&ticket, 9), Err(Refusal::Invalid));
     assert_eq!(other.check(&ticket, 10), Err(Refusal::Elsewhere(1)));
-    let same_home_restarted = Mint::open(1, TTL_MS, &mut StdRng::seed_from_u64(9));
+    let same_home_restarted = TicketIssuer::new(1, TTL_MS, &mut StdRng::seed_from_u64(9));
     assert_eq!(same_home_restarted.check(&ticket, 10), Err(Refusal::Invalid));
 }
 
