--- a/crates/leverstream-bench/src/capacity.rs
+++ b/crates/leverstream-bench/src/capacity.rs
@@ -15,7 +15,9 @@
 use leverstream_proxy::Members;
 use leverstream_route::{Candidate, Request, Turn, choose, picker};
 use leverstream_table::{Address, BackendRow, ServiceDoc, ServiceRow};
-use leverstream_ticket::{Begin, Kept, Ledger, LedgerSettings, Reply, Ticket, TicketIssuer};
+use leverstream_ticket::{
+    BeginOutcome, Ledger, LedgerSettings, Reply, StoredResult, Ticket, TicketIssuer,
+};
 use prost::Message;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -498,8 +500,8 @@
         let begin_us = time_us(COUNT as u32, || {
             number += 1;
             let key = format!("{number:032x}");
-            if let Begin::Run(entry) = ledger.begin(&mint, &ticket, &key, [0; 32], || 1) {
-                entry.end(Kept::Answer(Arc::clone(&answer)));
+            if let BeginOutcome::Run(entry) = ledger.begin(&mint, &ticket, &key, [0; 32], || 1) {
+                entry.finish(StoredResult::Answer(Arc::clone(&answer)));
             }
         });
         (ledger, begin_us)
--- a/crates/leverstream-proxy/src/once.rs
+++ b/crates/leverstream-proxy/src/once.rs
@@ -8,7 +8,7 @@
 use leverstream_error::Kind;
 use leverstream_health::BackendKey;
 use leverstream_route::Request;
-use leverstream_ticket::{Begin, Kept, Reply, Ticket};
+use leverstream_ticket::{BeginOutcome, Reply, StoredResult, Ticket};
 
 use crate::acquire::{Wanted, acquire};
 use crate::admit::Admitted;
@@ -51,17 +51,17 @@
         let clock = proxy.clock;
         let begin = proxy.ledger.begin(&proxy.mint, ticket, key, fingerprint, || clock.now_ms());
         match begin {
-            Begin::Refuse(kind) => Err(kind),
-            Begin::Wait(waiter) => {
+            BeginOutcome::Refuse(kind) => Err(kind),
+            BeginOutcome::Wait(waiter) => {
                 let deadline = clock.instant(self.deadline_ms).into();
                 let kept = tokio::time::timeout_at(deadline, waiter.wait()).await;
                 proxy.metrics.replays.inc();
                 answer_of(kept.map_err(|_| Kind::AnswerTimeout)?, true)
             }
-            Begin::Run(entry) => {
+            BeginOutcome::Run(entry) => {
                 let run = actix_web::rt::spawn(async move {
                     let kept = self.run_kept().await;
-                    entry.end(kept.clone());
+                    entry.finish(kept.clone());
                     kept
                 });
                 answer_of(run.await.map_err(|_| Kind::AnswerCut)?, false)
@@ -91,13 +91,13 @@
     }
 
     /// Runs the request once and puts its outcome in the form that is kept.
-    async fn run_kept(&self) -> Kept {
+    async fn run_kept(&self) -> StoredResult {
         match self.run_admitted().await {
             Ok(answer) => match reply_of(answer) {
-                Some(reply) => Kept::Answer(Arc::new(reply)),
-                None => Kept::Dropped,
+                Some(reply) => StoredResult::Answer(Arc::new(reply)),
+                None => StoredResult::Dropped,
             },
-            Err(kind) => Kept::Failed(kind),
+            Err(kind) => StoredResult::Failed(kind),
         }
     }
 
@@ -130,11 +130,11 @@
 }
 
 /// Turns what was kept into an answer.
-fn answer_of(kept: Kept, is_replayed: bool) -> Result<Answer, Kind> {
+fn answer_of(kept: StoredResult, is_replayed: bool) -> Result<Answer, Kind> {
     let reply = match kept {
-        Kept::Answer(reply) => reply,
-        Kept::Failed(kind) => return Err(kind),
-        Kept::Dropped => return Err(Kind::AnswerDropped),
+        StoredResult::Answer(reply) => reply,
+        StoredResult::Failed(kind) => return Err(kind),
+        StoredResult::Dropped => return Err(Kind::AnswerDropped),
     };
     let mut headers = HeaderMap::new();
     for (name, value) in &reply.headers {
--- a/crates/leverstream-ticket/src/issuer.rs
+++ b/crates/leverstream-ticket/src/issuer.rs
@@ -15,9 +15,9 @@
 
 /// Why a ticket is not accepted here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum TicketError {
     /// Another process is its home.
-    Elsewhere(u64),
+    OtherHome(u64),
     /// Its tag does not fit, or it claims to be made later than now.
     Invalid,
     /// Its time is over.
@@ -48,17 +48,17 @@
     }
 
     /// Checks a ticket on the home's monotonic clock.
-    pub fn check(&self, ticket: &Ticket, now_ms: u64) -> Result<(), Refusal> {
+    pub fn check(&self, ticket: &Ticket, now_ms: u64) -> Result<(), TicketError> {
         let stem = &ticket.stem;
         if stem.home != self.home {
-            return Err(Refusal::Elsewhere(stem.home));
+            return Err(TicketError::OtherHome(stem.home));
         }
         let tag_fits = blake3::hash(&stem.tag) == blake3::hash(&self.tag(stem.minted_ms));
         if !tag_fits || stem.minted_ms > now_ms {
-            return Err(Refusal::Invalid);
+            return Err(TicketError::Invalid);
         }
         if now_ms >= self.expiry_ms(ticket) {
-            return Err(Refusal::Expired);
+            return Err(TicketError::Expired);
         }
         Ok(())
     }
@@ -79,13 +79,13 @@
     }
 }
 
-impl Refusal {
+impl TicketError {
     /// The kind that answers the refusal at the ticket's home.
     pub fn kind(self) -> Kind {
         match self {
-            Refusal::Elsewhere(_) => Kind::HomeUnreachable,
-            Refusal::Invalid => Kind::TicketInvalid,
-            Refusal::Expired => Kind::TicketExpired,
+            TicketError::OtherHome(_) => Kind::HomeUnreachable,
+            TicketError::Invalid => Kind::TicketInvalid,
+            TicketError::Expired => Kind::TicketExpired,
         }
     }
 }
--- a/crates/leverstream-ticket/src/ledger.rs
+++ b/crates/leverstream-ticket/src/ledger.rs
@@ -32,7 +32,7 @@
 
 /// What is kept of work that has ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Kept {
+pub enum StoredResult {
     /// The backend server's whole answer.
     Answer(Arc<Reply>),
     /// No whole answer came, and this kind says so.
@@ -42,9 +42,9 @@
 }
 
 /// What an arrival finds.
-pub enum Begin {
-    /// It is the first: the caller of [`Ledger::begin`] runs the work and calls [`Entry::end`].
-    Run(Entry),
+pub enum BeginOutcome {
+    /// It is the first: the caller of [`Ledger::begin`] runs the work and calls [`RunGuard::finish`].
+    Run(RunGuard),
     /// The work runs or ran already.
     Wait(Waiter),
     /// It must not run, for this reason.
@@ -86,19 +86,19 @@
     /// The fingerprint of method, path and body.
     fingerprint: [u8; 32],
     /// What it came to; none while it runs.
-    result: watch::Sender<Option<Kept>>,
+    result: watch::Sender<Option<StoredResult>>,
 }
 
 /// The right and duty to run one piece of work.
 ///
-/// Dropping it without [`end`](Entry::end) counts as an unknown end, never as one that did not run.
-pub struct Entry {
+/// Dropping it without [`finish`](RunGuard::finish) counts as an unknown end, never as one that did not run.
+pub struct RunGuard {
     /// The ledger that knows the work.
     ledger: Arc<Ledger>,
     /// The work.
     key: RunKey,
     /// Where waiting arrivals hear of the end, even once the ticket has expired.
-    result: watch::Sender<Option<Kept>>,
+    result: watch::Sender<Option<StoredResult>>,
     /// Whether the end was told.
     ended: bool,
 }
@@ -106,7 +106,7 @@
 /// Waits for work that another arrival runs.
 pub struct Waiter {
     /// Where the result arrives.
-    result: watch::Receiver<Option<Kept>>,
+    result: watch::Receiver<Option<StoredResult>>,
 }
 
 impl Ledger {
@@ -127,29 +127,29 @@
         key: &str,
         fingerprint: [u8; 32],
         clock: impl FnOnce() -> u64,
-    ) -> Begin {
+    ) -> BeginOutcome {
         let mut state = self.state.lock();
         let now_ms = clock();
         state.remove_expired(now_ms);
         if let Err(refusal) = mint.check(ticket, now_ms) {
-            return Begin::Refuse(refusal.kind());
+            return BeginOutcome::Refuse(refusal.kind());
         }
         let (minted_ms, nonce) = (ticket.stem.minted_ms, ticket.nonce);
         let run_key = RunKey { minted_ms, nonce, key: key.to_owned() };
         if let Some(work) = state.works.get(&run_key) {
             if work.fingerprint != fingerprint {
-                return Begin::Refuse(Kind::KeyReused);
+                return BeginOutcome::Refuse(Kind::KeyReused);
             }
-            return Begin::Wait(Waiter { result: work.result.subscribe() });
+            return BeginOutcome::Wait(Waiter { result: work.result.subscribe() });
         }
         if state.works.len() >= self.settings.max_requests {
-            return Begin::Refuse(Kind::StoreFull);
+            return BeginOutcome::Refuse(Kind::StoreFull);
         }
         state.expiries.entry(mint.expiry_ms(ticket)).or_default().push(run_key.clone());
         let result = watch::channel(None).0;
         let work = Work { fingerprint, result: result.clone() };
         state.works.insert(run_key.clone(), work);
-        Begin::Run(Entry { ledger: Arc::clone(self), key: run_key, result, ended: false })
+        BeginOutcome::Run(RunGuard { ledger: Arc::clone(self), key: run_key, result, ended: false })
     }
 
     /// Removes the work of expired tickets.
@@ -173,13 +173,13 @@
     }
 
     /// Notes the end of a piece of work and wakes who waits for it.
-    fn end(&self, entry: &Entry, kept: Kept) {
+    fn finish(&self, guard: &RunGuard, kept: StoredResult) {
         let mut state = self.state.lock();
-        let key = &entry.key;
+        let key = &guard.key;
         let bytes = size(&kept);
         // Work that did not run frees its key before anyone is told so.
-        let frees_key = matches!(kept, Kept::Failed(kind) if kind.is_not_run());
-        entry.result.send_replace(Some(kept));
+        let frees_key = matches!(kept, StoredResult::Failed(kind) if kind.is_not_run());
+        guard.result.send_replace(Some(kept));
         if frees_key {
             state.works.remove(key);
         } else if bytes > 0 && state.works.contains_key(key) {
@@ -190,30 +190,30 @@
     }
 }
 
-impl Entry {
+impl RunGuard {
     /// Tells what the work came to.
     ///
     /// After a kind that says "not run" the same key may run again.
-    pub fn end(mut self, kept: Kept) {
+    pub fn finish(mut self, kept: StoredResult) {
         self.ended = true;
-        self.ledger.end(&self, kept);
+        self.ledger.finish(&self, kept);
     }
 }
 
-impl Drop for Entry {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         if !self.ended {
-            self.ledger.end(self, Kept::Failed(Kind::AnswerCut));
+            self.ledger.finish(self, StoredResult::Failed(Kind::AnswerCut));
         }
     }
 }
 
 impl Waiter {
     /// Waits for the result.
-    pub async fn wait(mut self) -> Kept {
+    pub async fn wait(mut self) -> StoredResult {
         match self.result.wait_for(Option::is_some).await {
-            Ok(result) => result.clone().unwrap_or(Kept::Dropped),
-            Err(_) => Kept::Failed(Kind::AnswerCut),
+            Ok(result) => result.clone().unwrap_or(StoredResult::Dropped),
+            Err(_) => StoredResult::Failed(Kind::AnswerCut),
         }
     }
 }
@@ -243,7 +243,7 @@
             let Some(work) = self.works.get(&key) else { continue };
             let bytes = work.result.borrow().as_ref().map_or(0, size);
             if bytes > 0 {
-                work.result.send_replace(Some(Kept::Dropped));
+                work.result.send_replace(Some(StoredResult::Dropped));
                 self.answer_bytes -= bytes;
             }
         }
@@ -251,12 +251,12 @@
 }
 
 /// The bytes that a kept answer takes.
-fn size(kept: &Kept) -> usize {
+fn size(kept: &StoredResult) -> usize {
     match kept {
-        Kept::Answer(reply) => {
+        StoredResult::Answer(reply) => {
             let headers = reply.headers.iter();
             reply.body.len() + headers.map(|(name, value)| name.len() + value.len()).sum::<usize>()
         }
-        Kept::Failed(_) | Kept::Dropped => 0,
+        StoredResult::Failed(_) | StoredResult::Dropped => 0,
     }
 }
--- a/crates/leverstream-ticket/src/lib.rs
+++ b/crates/leverstream-ticket/src/lib.rs
@@ -8,6 +8,8 @@
 mod ledger;
 mod ticket;
 
-pub use issuer::{Refusal, TicketIssuer};
-pub use ledger::{Begin, Entry, Kept, Ledger, LedgerSettings, Reply, RunKey, Waiter};
+pub use issuer::{TicketError, TicketIssuer};
+pub use ledger::{
+    BeginOutcome, Ledger, LedgerSettings, Reply, RunGuard, RunKey, StoredResult, Waiter,
+};
 pub use ticket::{STEM_BYTES, Stem, Ticket};
--- a/crates/leverstream-ticket/tests/once.rs
+++ b/crates/leverstream-ticket/tests/once.rs
@@ -6,7 +6,8 @@
 
 use leverstream_error::Kind;
 use leverstream_ticket::{
-    Begin, Entry, Kept, Ledger, LedgerSettings, Refusal, Reply, Stem, Ticket, TicketIssuer,
+    BeginOutcome, Ledger, LedgerSettings, Reply, RunGuard, Stem, StoredResult, Ticket, TicketError,
+    TicketIssuer,
 };
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -26,8 +27,12 @@
 }
 
 /// An answer of some bytes.
-fn answer(bytes: usize) -> Kept {
-    Kept::Answer(Arc::new(Reply { status: 200, headers: Vec::new(), body: vec![0; bytes].into() }))
+fn answer(bytes: usize) -> StoredResult {
+    StoredResult::Answer(Arc::new(Reply {
+        status: 200,
+        headers: Vec::new(),
+        body: vec![0; bytes].into(),
+    }))
 }
 
 /// Begins work at a time.
@@ -37,7 +42,7 @@
     ticket: &Ticket,
     key: &str,
     now_ms: u64,
-) -> Begin {
+) -> BeginOutcome {
     ledger.begin(mint, ticket, key, [0; 32], || now_ms)
 }
 
@@ -48,11 +53,11 @@
     ticket: &Ticket,
     key: &str,
     now_ms: u64,
-) -> Entry {
+) -> RunGuard {
     match begin(ledger, mint, ticket, key, now_ms) {
-        Begin::Run(entry) => entry,
-        Begin::Wait(_) => panic!("it waits"),
-        Begin::Refuse(kind) => panic!("refused: {kind}"),
+        BeginOutcome::Run(guard) => guard,
+        BeginOutcome::Wait(_) => panic!("it waits"),
+        BeginOutcome::Refuse(kind) => panic!("refused: {kind}"),
     }
 }
 
@@ -62,32 +67,34 @@
     let ticket = Ticket { stem: home.stem(10), nonce: 5 };
     assert_eq!(home.check(&ticket, 10), Ok(()));
     assert_eq!(home.check(&ticket, 109), Ok(()));
-    assert_eq!(home.check(&ticket, 110), Err(Refusal::Expired));
-    assert_eq!(home.check(&ticket, 9), Err(Refusal::Invalid));
-    assert_eq!(other.check(&ticket, 10), Err(Refusal::Elsewhere(1)));
+    assert_eq!(home.check(&ticket, 110), Err(TicketError::Expired));
+    assert_eq!(home.check(&ticket, 9), Err(TicketError::Invalid));
+    assert_eq!(other.check(&ticket, 10), Err(TicketError::OtherHome(1)));
     let same_home_restarted = TicketIssuer::new(1, TTL_MS, &mut StdRng::seed_from_u64(9));
-    assert_eq!(same_home_restarted.check(&ticket, 10), Err(Refusal::Invalid));
+    assert_eq!(same_home_restarted.check(&ticket, 10), Err(TicketError::Invalid));
 }
 
 #[test]
 fn work_that_did_not_run_frees_its_key_and_all_else_keeps_it() {
     let (mint, ledger) = (mint(1), ledger());
     let ticket = Ticket { stem: mint.stem(0), nonce: 5 };
-    run(&ledger, &mint, &ticket, "a", 1).end(Kept::Failed(Kind::QueueFull));
-    run(&ledger, &mint, &ticket, "a", 2).end(Kept::Failed(Kind::AnswerTimeout));
-    assert!(matches!(begin(&ledger, &mint, &ticket, "a", 3), Begin::Wait(_)));
+    run(&ledger, &mint, &ticket, "a", 1).finish(StoredResult::Failed(Kind::QueueFull));
+    run(&ledger, &mint, &ticket, "a", 2).finish(StoredResult::Failed(Kind::AnswerTimeout));
+    assert!(matches!(begin(&ledger, &mint, &ticket, "a", 3), BeginOutcome::Wait(_)));
     drop(run(&ledger, &mint, &ticket, "b", 4));
-    assert!(matches!(begin(&ledger, &mint, &ticket, "b", 5), Begin::Wait(_)));
+    assert!(matches!(begin(&ledger, &mint, &ticket, "b", 5), BeginOutcome::Wait(_)));
 }
 
 #[tokio::test(flavor = "current_thread")]
 async fn who_waits_hears_of_the_end_even_after_the_ticket_expired() {
     let (mint, ledger) = (mint(1), ledger());
     let ticket = Ticket { stem: mint.stem(0), nonce: 5 };
-    let entry = run(&ledger, &mint, &ticket, "a", 1);
-    let Begin::Wait(waiter) = begin(&ledger, &mint, &ticket, "a", 2) else { panic!("it waits") };
+    let guard = run(&ledger, &mint, &ticket, "a", 1);
+    let BeginOutcome::Wait(waiter) = begin(&ledger, &mint, &ticket, "a", 2) else {
+        panic!("it waits")
+    };
     ledger.remove_expired(TTL_MS);
-    entry.end(answer(1));
+    guard.finish(answer(1));
     assert_eq!(waiter.wait().await, answer(1));
     assert!(ledger.is_empty() && ledger.answer_bytes() == 0);
 }
@@ -97,12 +104,16 @@
     let (mint, ledger) = (mint(1), ledger());
     let ticket = Ticket { stem: mint.stem(0), nonce: 5 };
     for key in ["a", "b", "c"] {
-        run(&ledger, &mint, &ticket, key, 1).end(answer(400));
+        run(&ledger, &mint, &ticket, key, 1).finish(answer(400));
     }
     assert!(ledger.answer_bytes() <= 1_000);
-    let Begin::Wait(oldest) = begin(&ledger, &mint, &ticket, "a", 2) else { panic!("it is known") };
-    assert_eq!(oldest.wait().await, Kept::Dropped);
-    let Begin::Wait(last) = begin(&ledger, &mint, &ticket, "c", 2) else { panic!("it is known") };
+    let BeginOutcome::Wait(oldest) = begin(&ledger, &mint, &ticket, "a", 2) else {
+        panic!("it is known")
+    };
+    assert_eq!(oldest.wait().await, StoredResult::Dropped);
+    let BeginOutcome::Wait(last) = begin(&ledger, &mint, &ticket, "c", 2) else {
+        panic!("it is known")
+    };
     assert_eq!(last.wait().await, answer(400));
 }
 
@@ -111,7 +122,7 @@
     // A process paused before the lock would enter with an old time after its work was forgotten.
     let (mint, ledger) = (mint(1), ledger());
     let ticket = Ticket { stem: mint.stem(0), nonce: 5 };
-    run(&ledger, &mint, &ticket, "a", 1).end(answer(1));
+    run(&ledger, &mint, &ticket, "a", 1).finish(answer(1));
     let clock = Cell::new(1_u64);
     let now_ms = || {
         // Whatever time passes before the lock is held has passed when the clock is read.
@@ -119,7 +130,7 @@
         clock.get()
     };
     let late = ledger.begin(&mint, &ticket, "a", [0; 32], now_ms);
-    assert!(matches!(late, Begin::Refuse(Kind::TicketExpired)));
+    assert!(matches!(late, BeginOutcome::Refuse(Kind::TicketExpired)));
 }
 
 /// What happens to a ledger.
@@ -148,26 +159,26 @@
         let (mint, ledger) = (mint(1), ledger());
         let ticket = Ticket { stem: mint.stem(0), nonce: 5 };
         let mut now_ms = 0;
-        let mut running: Vec<(u8, Entry)> = Vec::new();
+        let mut running: Vec<(u8, RunGuard)> = Vec::new();
         let mut ran: HashMap<u8, u32> = HashMap::new();
         for step in steps {
             match step {
                 Step::Pass(ms) => now_ms += ms,
                 Step::Arrive(key) => {
-                    if let Begin::Run(entry) = begin(&ledger, &mint, &ticket, &key.to_string(), now_ms) {
+                    if let BeginOutcome::Run(guard) = begin(&ledger, &mint, &ticket, &key.to_string(), now_ms) {
                         prop_assert!(now_ms < TTL_MS);
                         *ran.entry(key).or_default() += 1;
-                        running.push((key, entry));
+                        running.push((key, guard));
                     }
                 }
                 Step::End(how) if !running.is_empty() => {
-                    let (key, entry) = running.remove(0);
+                    let (key, guard) = running.remove(0);
                     match how {
-                        0 => entry.end(answer(300)),
-                        1 => entry.end(Kept::Failed(Kind::AnswerCut)),
+                        0 => guard.finish(answer(300)),
+                        1 => guard.finish(StoredResult::Failed(Kind::AnswerCut)),
                         _ => {
                             *ran.entry(key).or_default() -= 1;
-                            entry.end(Kept::Failed(Kind::Shed));
+                            guard.finish(StoredResult::Failed(Kind::Shed));
                         }
                     }
                 }
@@ -184,6 +195,6 @@
         prop_assert_eq!(Ticket::parse(&ticket.to_string()), Some(ticket));
         let _ = Ticket::parse(&text);
         let guessed = Ticket { stem: Stem { home: 1, minted_ms: 0, tag }, nonce };
-        prop_assert_eq!(mint(1).check(&guessed, 0), Err(Refusal::Invalid));
+        prop_assert_eq!(mint(1).check(&guessed, 0), Err(TicketError::Invalid));
     }
 }
