--- a/crates/leverstream-ticket/src/ledger.rs
+++ b/crates/leverstream-ticket/src/ledger.rs
@@ -8,18 +8,18 @@
 
 use crate::{Ticket, TicketIssuer};
 
-/// One piece of work: a ticket and the caller's key under it.
+/// Identifies a request: its ticket and the idempotency key that the caller chose under it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct RunKey {
-    /// When the ticket was made.
-    pub minted_ms: u64,
-    /// The ticket's nonce.
+pub struct RequestKey {
+    /// When the ticket was issued.
+    pub issued_ms: u64,
+    /// The nonce of the ticket.
     pub nonce: u64,
-    /// The caller's key.
+    /// The caller's idempotency key.
     pub key: String,
 }
 
-/// An answer as it is kept for later arrivals of the same work.
+/// An answer stored for duplicates of the same request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
     /// The HTTP status.
@@ -30,99 +30,100 @@
     pub body: Bytes,
 }
 
-/// What is kept of work that has ended.
+/// The stored result of a finished request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoredResult {
-    /// The backend server's whole answer.
+    /// The complete answer of the backend server.
     Answer(Arc<Reply>),
-    /// No whole answer came, and this kind says so.
+    /// No complete answer arrived; this is the error.
     Failed(Kind),
-    /// The answer came but was dropped for want of memory.
+    /// The answer arrived but is not stored, to bound memory.
     Dropped,
 }
 
-/// What an arrival finds.
+/// What the ledger decides about an arriving request.
 pub enum BeginOutcome {
-    /// It is the first: the caller of [`Ledger::begin`] runs the work and calls [`RunGuard::finish`].
+    /// It is the first arrival: the code that called [`Ledger::begin`] runs it and calls [`RunGuard::finish`].
     Run(RunGuard),
-    /// The work runs or ran already.
+    /// It is a duplicate of a request that is running or has run.
     Wait(Waiter),
     /// It must not run, for this reason.
     Refuse(Kind),
 }
 
-/// Bounds of a ledger.
+/// Limits of a ledger.
 #[derive(Clone, Copy, Debug)]
 pub struct LedgerSettings {
-    /// The most pieces of work that are known at once.
+    /// The most requests that are recorded at once.
     pub max_requests: usize,
-    /// The most bytes of answers that are kept; beyond it the oldest answers are dropped.
+    /// The most bytes of stored answers; beyond this the oldest answers are evicted.
     pub max_answer_bytes: usize,
 }
 
-/// Knows every piece of work begun under a ticket that still holds.
+/// Records every request begun under a ticket that has not expired.
 pub struct Ledger {
-    /// The state; one lock makes the check of a ticket and the entry of its work one step.
+    /// The state; one lock makes verifying the ticket and recording its request atomic.
     state: Mutex<State>,
-    /// The bounds.
+    /// The limits.
     settings: LedgerSettings,
 }
 
-/// The work that a ledger knows.
+/// The recorded requests.
 #[derive(Default)]
 struct State {
-    /// The work by its key.
-    works: HashMap<RunKey, Work>,
-    /// The keys by expiry, so that the expired are found without a scan.
-    expiries: BTreeMap<u64, Vec<RunKey>>,
-    /// Keys whose answers are kept, oldest first.
-    answered: VecDeque<RunKey>,
-    /// The bytes of the answers kept.
+    /// The records by request.
+    requests: HashMap<RequestKey, RequestRecord>,
+    /// The requests by expiry time, so that expired ones are found without a scan.
+    expiries: BTreeMap<u64, Vec<RequestKey>>,
+    /// Requests whose answers are stored, oldest first.
+    answered: VecDeque<RequestKey>,
+    /// The total size of the stored answers.
     answer_bytes: usize,
 }
 
-/// One piece of work.
-struct Work {
-    /// The fingerprint of method, path and body.
+/// The record of one request.
+struct RequestRecord {
+    /// A hash of method, path and body, which detects a key reused for another request.
     fingerprint: [u8; 32],
-    /// What it came to; none while it runs.
+    /// The result; none while the request runs.
     result: watch::Sender<Option<StoredResult>>,
 }
 
-/// The right and duty to run one piece of work.
+/// Allows its holder to run one request and obliges it to report the result.
 ///
-/// Dropping it without [`finish`](RunGuard::finish) counts as an unknown end, never as one that did not run.
+/// Dropping it without calling [`finish`](RunGuard::finish) records an unknown outcome, never "not run".
 pub struct RunGuard {
-    /// The ledger that knows the work.
+    /// The ledger that holds the record.
     ledger: Arc<Ledger>,
-    /// The work.
-    key: RunKey,
-    /// Where waiting arrivals hear of the end, even once the ticket has expired.
+    /// The request.
+    key: RequestKey,
+    /// Delivers the result to waiting duplicates, even after the ticket has expired.
     result: watch::Sender<Option<StoredResult>>,
-    /// Whether the end was told.
-    ended: bool,
+    /// Whether the result was reported.
+    is_finished: bool,
 }
 
-/// Waits for work that another arrival runs.
+/// Waits for the result of a request that another arrival runs.
 pub struct Waiter {
-    /// Where the result arrives.
+    /// Receives the result.
     result: watch::Receiver<Option<StoredResult>>,
 }
 
 impl Ledger {
-    /// Opens an empty ledger.
+    /// Creates an empty ledger.
     pub fn new(settings: LedgerSettings) -> Arc<Ledger> {
         Arc::new(Ledger { state: Mutex::default(), settings })
     }
 
-    /// Begins a piece of work, or finds the one that has begun before.
+    /// Begins a request, or finds the record of an earlier arrival.
     ///
-    /// `clock` reads the home's monotonic clock. It is called under the ledger's lock: a process
-    /// paused between reading the clock and entering the work could otherwise miss that the same
-    /// work ran, ended and was removed meanwhile.
+    /// `clock` reads the home's monotonic clock. It is called while the ledger's lock is
+    /// held. Otherwise a process paused between reading the clock and taking the lock could use an
+    /// outdated time, accept an expired ticket, and run a request again whose record was removed
+    /// during the pause.
     pub fn begin(
         self: &Arc<Self>,
-        mint: &TicketIssuer,
+        issuer: &TicketIssuer,
         ticket: &Ticket,
         key: &str,
         fingerprint: [u8; 32],
@@ -131,85 +132,91 @@
         let mut state = self.state.lock();
         let now_ms = clock();
         state.remove_expired(now_ms);
-        if let Err(refusal) = mint.check(ticket, now_ms) {
-            return BeginOutcome::Refuse(refusal.kind());
+        if let Err(error) = issuer.check(ticket, now_ms) {
+            return BeginOutcome::Refuse(error.kind());
         }
-        let (minted_ms, nonce) = (ticket.stem.minted_ms, ticket.nonce);
-        let run_key = RunKey { minted_ms, nonce, key: key.to_owned() };
-        if let Some(work) = state.works.get(&run_key) {
-            if work.fingerprint != fingerprint {
+        let (issued_ms, nonce) = (ticket.stem.issued_ms, ticket.nonce);
+        let request_key = RequestKey { issued_ms, nonce, key: key.to_owned() };
+        if let Some(record) = state.requests.get(&request_key) {
+            if record.fingerprint != fingerprint {
                 return BeginOutcome::Refuse(Kind::KeyReused);
             }
-            return BeginOutcome::Wait(Waiter { result: work.result.subscribe() });
+            return BeginOutcome::Wait(Waiter { result: record.result.subscribe() });
         }
-        if state.works.len() >= self.settings.max_requests {
+        if state.requests.len() >= self.settings.max_requests {
             return BeginOutcome::Refuse(Kind::StoreFull);
         }
-        state.expiries.entry(mint.expiry_ms(ticket)).or_default().push(run_key.clone());
+        state.expiries.entry(issuer.expiry_ms(ticket)).or_default().push(request_key.clone());
         let result = watch::channel(None).0;
-        let work = Work { fingerprint, result: result.clone() };
-        state.works.insert(run_key.clone(), work);
-        BeginOutcome::Run(RunGuard { ledger: Arc::clone(self), key: run_key, result, ended: false })
+        let record = RequestRecord { fingerprint, result: result.clone() };
+        state.requests.insert(request_key.clone(), record);
+        BeginOutcome::Run(RunGuard {
+            ledger: Arc::clone(self),
+            key: request_key,
+            result,
+            is_finished: false,
+        })
     }
 
-    /// Removes the work of expired tickets.
+    /// Removes the records of expired tickets.
     pub fn remove_expired(&self, now_ms: u64) {
         self.state.lock().remove_expired(now_ms);
     }
 
-    /// Returns how many pieces of work are known.
+    /// Returns how many requests are recorded.
     pub fn len(&self) -> usize {
-        self.state.lock().works.len()
+        self.state.lock().requests.len()
     }
 
-    /// Tells whether no work is known.
+    /// Returns whether no request is recorded.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Returns the bytes of the answers kept.
+    /// Returns the total size of the stored answers.
     pub fn answer_bytes(&self) -> usize {
         self.state.lock().answer_bytes
     }
 
-    /// Notes the end of a piece of work and wakes who waits for it.
-    fn finish(&self, guard: &RunGuard, kept: StoredResult) {
+    /// Stores the result of a request and wakes the duplicates that wait for it.
+    fn finish(&self, guard: &RunGuard, stored: StoredResult) {
         let mut state = self.state.lock();
         let key = &guard.key;
-        let bytes = size(&kept);
-        // Work that did not run frees its key before anyone is told so.
-        let frees_key = matches!(kept, StoredResult::Failed(kind) if kind.is_not_run());
-        guard.result.send_replace(Some(kept));
+        let bytes = stored_bytes(&stored);
+        // The lock is held until the key of a request that did not run is free, so that a caller
+        // that learns of it can retry with the same key.
+        let frees_key = matches!(stored, StoredResult::Failed(kind) if kind.is_not_run());
+        guard.result.send_replace(Some(stored));
         if frees_key {
-            state.works.remove(key);
-        } else if bytes > 0 && state.works.contains_key(key) {
+            state.requests.remove(key);
+        } else if bytes > 0 && state.requests.contains_key(key) {
             state.answer_bytes += bytes;
             state.answered.push_back(key.clone());
-            state.spill(self.settings.max_answer_bytes);
+            state.evict_oldest_answers(self.settings.max_answer_bytes);
         }
     }
 }
 
 impl RunGuard {
-    /// Tells what the work came to.
+    /// Reports the result of the request.
     ///
-    /// After a kind that says "not run" the same key may run again.
-    pub fn finish(mut self, kept: StoredResult) {
-        self.ended = true;
-        self.ledger.finish(&self, kept);
+    /// After an error whose outcome is "not run", the same key may run again.
+    pub fn finish(mut self, stored: StoredResult) {
+        self.is_finished = true;
+        self.ledger.finish(&self, stored);
     }
 }
 
 impl Drop for RunGuard {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.is_finished {
             self.ledger.finish(self, StoredResult::Failed(Kind::AnswerCut));
         }
     }
 }
 
 impl Waiter {
-    /// Waits for the result.
+    /// Waits until the request has finished and returns its result.
     pub async fn wait(mut self) -> StoredResult {
         match self.result.wait_for(Option::is_some).await {
             Ok(result) => result.clone().unwrap_or(StoredResult::Dropped),
@@ -219,40 +226,40 @@
 }
 
 impl State {
-    /// Removes the work of tickets that expired; whoever waits for it still hears of its end.
+    /// Removes the records of expired tickets; duplicates that wait still receive the result.
     fn remove_expired(&mut self, now_ms: u64) {
         while let Some(expiry) = self.expiries.first_entry() {
             if *expiry.key() > now_ms {
                 break;
             }
             for key in expiry.remove() {
-                if let Some(work) = self.works.remove(&key) {
-                    self.answer_bytes -= work.result.borrow().as_ref().map_or(0, size);
+                if let Some(record) = self.requests.remove(&key) {
+                    self.answer_bytes -= record.result.borrow().as_ref().map_or(0, stored_bytes);
                 }
             }
         }
-        while self.answered.front().is_some_and(|key| !self.works.contains_key(key)) {
+        while self.answered.front().is_some_and(|key| !self.requests.contains_key(key)) {
             self.answered.pop_front();
         }
     }
 
-    /// Drops the oldest answers until the rest fits; that they ran stays known.
-    fn spill(&mut self, limit_bytes: usize) {
+    /// Evicts the oldest answers until the rest fits; the record that these requests ran stays.
+    fn evict_oldest_answers(&mut self, limit_bytes: usize) {
         while self.answer_bytes > limit_bytes {
             let Some(key) = self.answered.pop_front() else { return };
-            let Some(work) = self.works.get(&key) else { continue };
-            let bytes = work.result.borrow().as_ref().map_or(0, size);
+            let Some(record) = self.requests.get(&key) else { continue };
+            let bytes = record.result.borrow().as_ref().map_or(0, stored_bytes);
             if bytes > 0 {
-                work.result.send_replace(Some(StoredResult::Dropped));
+                record.result.send_replace(Some(StoredResult::Dropped));
                 self.answer_bytes -= bytes;
             }
         }
     }
 }
 
-/// The bytes that a kept answer takes.
-fn size(kept: &StoredResult) -> usize {
-    match kept {
+/// The size of a stored answer, in bytes.
+fn stored_bytes(stored: &StoredResult) -> usize {
+    match stored {
         StoredResult::Answer(reply) => {
             let headers = reply.headers.iter();
             reply.body.len() + headers.map(|(name, value)| name.len() + value.len()).sum::<usize>()
--- a/crates/leverstream-ticket/src/lib.rs
+++ b/crates/leverstream-ticket/src/lib.rs
@@ -1,8 +1,9 @@
-//! Tickets and kept answers: how a request runs at most once without coordination.
+//! Tickets and stored answers, which let a request run at most once without coordination between processes.
 //!
-//! A [`Ticket`] names the one process that may run the requests made with it, its home. The home's
-//! [`TicketIssuer`] makes and checks tickets; its [`Ledger`] knows every request that was begun under a
-//! ticket that still holds. An expired ticket is refused, so nothing is ever forgotten too early.
+//! A [`Ticket`] names its home: the only process that may run the requests sent with it. The home's
+//! [`TicketIssuer`] issues and verifies tickets. Its [`Ledger`] records every request begun under a
+//! ticket until the ticket expires. Because an expired ticket is rejected, a request whose record
+//! was removed cannot run again.
 
 mod issuer;
 mod ledger;
@@ -10,6 +11,6 @@
 
 pub use issuer::{TicketError, TicketIssuer};
 pub use ledger::{
-    BeginOutcome, Ledger, LedgerSettings, Reply, RunGuard, RunKey, StoredResult, Waiter,
+    BeginOutcome, Ledger, LedgerSettings, Reply, RequestKey, RunGuard, StoredResult, Waiter,
 };
 pub use ticket::{STEM_BYTES, Stem, Ticket};
--- a/crates/leverstream-ticket/tests/once.rs
+++ b/crates/leverstream-ticket/tests/once.rs
@@ -1,4 +1,4 @@
-//! Tickets and the ledger: what may begin, wait, be refused or forgotten.
+//! Tests which requests run, wait for a duplicate or are rejected, and when their records are removed.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -13,20 +13,20 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// How long tickets hold here.
+/// How long tickets are valid in these tests.
 const TTL_MS: u64 = 100;
 
-/// A mint of a process.
-fn mint(home: u64) -> TicketIssuer {
+/// The ticket issuer of one process, with a secret derived from its id.
+fn issuer(home: u64) -> TicketIssuer {
     TicketIssuer::new(home, TTL_MS, &mut StdRng::seed_from_u64(home))
 }
 
-/// A ledger with room.
+/// A ledger for 1000 requests and 1000 bytes of answers.
 fn ledger() -> Arc<Ledger> {
     Ledger::new(LedgerSettings { max_requests: 1_000, max_answer_bytes: 1_000 })
 }
 
-/// An answer of some bytes.
+/// A stored answer with a body of this size.
 fn answer(bytes: usize) -> StoredResult {
     StoredResult::Answer(Arc::new(Reply {
         status: 200,
@@ -35,35 +35,35 @@
     }))
 }
 
-/// Begins work at a time.
+/// Begins a request at this time.
 fn begin(
     ledger: &Arc<Ledger>,
-    mint: &TicketIssuer,
+    issuer: &TicketIssuer,
     ticket: &Ticket,
     key: &str,
     now_ms: u64,
 ) -> BeginOutcome {
-    ledger.begin(mint, ticket, key, [0; 32], || now_ms)
+    ledger.begin(issuer, ticket, key, [0; 32], || now_ms)
 }
 
-/// Begins work that must be the first.
+/// Begins a request that must be the first with its key.
 fn run(
     ledger: &Arc<Ledger>,
-    mint: &TicketIssuer,
+    issuer: &TicketIssuer,
     ticket: &Ticket,
     key: &str,
     now_ms: u64,
 ) -> RunGuard {
-    match begin(ledger, mint, ticket, key, now_ms) {
+    match begin(ledger, issuer, ticket, key, now_ms) {
         BeginOutcome::Run(guard) => guard,
-        BeginOutcome::Wait(_) => panic!("it waits"),
-        BeginOutcome::Refuse(kind) => panic!("refused: {kind}"),
+        BeginOutcome::Wait(_) => panic!("the request waits for a duplicate"),
+        BeginOutcome::Refuse(kind) => panic!("the request is refused: {kind}"),
     }
 }
 
 #[test]
-fn tickets_hold_for_their_time_at_their_home_only() {
-    let (home, other) = (mint(1), mint(2));
+fn ticket_is_valid_only_at_its_home_and_until_it_expires() {
+    let (home, other) = (issuer(1), issuer(2));
     let ticket = Ticket { stem: home.stem(10), nonce: 5 };
     assert_eq!(home.check(&ticket, 10), Ok(()));
     assert_eq!(home.check(&ticket, 109), Ok(()));
@@ -75,23 +75,23 @@
 }
 
 #[test]
-fn work_that_did_not_run_frees_its_key_and_all_else_keeps_it() {
-    let (mint, ledger) = (mint(1), ledger());
-    let ticket = Ticket { stem: mint.stem(0), nonce: 5 };
-    run(&ledger, &mint, &ticket, "a", 1).finish(StoredResult::Failed(Kind::QueueFull));
-    run(&ledger, &mint, &ticket, "a", 2).finish(StoredResult::Failed(Kind::AnswerTimeout));
-    assert!(matches!(begin(&ledger, &mint, &ticket, "a", 3), BeginOutcome::Wait(_)));
-    drop(run(&ledger, &mint, &ticket, "b", 4));
-    assert!(matches!(begin(&ledger, &mint, &ticket, "b", 5), BeginOutcome::Wait(_)));
+fn key_is_free_again_only_after_a_request_that_did_not_run() {
+    let (issuer, ledger) = (issuer(1), ledger());
+    let ticket = Ticket { stem: issuer.stem(0), nonce: 5 };
+    run(&ledger, &issuer, &ticket, "a", 1).finish(StoredResult::Failed(Kind::QueueFull));
+    run(&ledger, &issuer, &ticket, "a", 2).finish(StoredResult::Failed(Kind::AnswerTimeout));
+    assert!(matches!(begin(&ledger, &issuer, &ticket, "a", 3), BeginOutcome::Wait(_)));
+    drop(run(&ledger, &issuer, &ticket, "b", 4));
+    assert!(matches!(begin(&ledger, &issuer, &ticket, "b", 5), BeginOutcome::Wait(_)));
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn who_waits_hears_of_the_end_even_after_the_ticket_expired() {
-    let (mint, ledger) = (mint(1), ledger());
-    let ticket = Ticket { stem: mint.stem(0), nonce: 5 };
-    let guard = run(&ledger, &mint, &ticket, "a", 1);
-    let BeginOutcome::Wait(waiter) = begin(&ledger, &mint, &ticket, "a", 2) else {
-        panic!("it waits")
+async fn waiting_duplicate_receives_the_result_after_the_ticket_expired() {
+    let (issuer, ledger) = (issuer(1), ledger());
+    let ticket = Ticket { stem: issuer.stem(0), nonce: 5 };
+    let guard = run(&ledger, &issuer, &ticket, "a", 1);
+    let BeginOutcome::Wait(waiter) = begin(&ledger, &issuer, &ticket, "a", 2) else {
+        panic!("the duplicate does not wait")
     };
     ledger.remove_expired(TTL_MS);
     guard.finish(answer(1));
@@ -100,80 +100,81 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn answers_spill_but_that_work_ran_stays_known() {
-    let (mint, ledger) = (mint(1), ledger());
-    let ticket = Ticket { stem: mint.stem(0), nonce: 5 };
+async fn evicted_answers_leave_the_record_that_their_requests_ran() {
+    let (issuer, ledger) = (issuer(1), ledger());
+    let ticket = Ticket { stem: issuer.stem(0), nonce: 5 };
     for key in ["a", "b", "c"] {
-        run(&ledger, &mint, &ticket, key, 1).finish(answer(400));
+        run(&ledger, &issuer, &ticket, key, 1).finish(answer(400));
     }
     assert!(ledger.answer_bytes() <= 1_000);
-    let BeginOutcome::Wait(oldest) = begin(&ledger, &mint, &ticket, "a", 2) else {
-        panic!("it is known")
+    let BeginOutcome::Wait(oldest) = begin(&ledger, &issuer, &ticket, "a", 2) else {
+        panic!("the request is not recorded")
     };
     assert_eq!(oldest.wait().await, StoredResult::Dropped);
-    let BeginOutcome::Wait(last) = begin(&ledger, &mint, &ticket, "c", 2) else {
-        panic!("it is known")
+    let BeginOutcome::Wait(last) = begin(&ledger, &issuer, &ticket, "c", 2) else {
+        panic!("the request is not recorded")
     };
     assert_eq!(last.wait().await, answer(400));
 }
 
 #[test]
-fn the_clock_is_read_inside_the_ledgers_lock() {
-    // A process paused before the lock would enter with an old time after its work was forgotten.
-    let (mint, ledger) = (mint(1), ledger());
-    let ticket = Ticket { stem: mint.stem(0), nonce: 5 };
-    run(&ledger, &mint, &ticket, "a", 1).finish(answer(1));
+fn begin_reads_the_clock_while_it_holds_the_lock() {
+    // With a time read before the lock was taken, a paused process would accept an expired ticket
+    // whose request ran and was removed during the pause, and run it twice.
+    let (issuer, ledger) = (issuer(1), ledger());
+    let ticket = Ticket { stem: issuer.stem(0), nonce: 5 };
+    run(&ledger, &issuer, &ticket, "a", 1).finish(answer(1));
     let clock = Cell::new(1_u64);
     let now_ms = || {
-        // Whatever time passes before the lock is held has passed when the clock is read.
+        // The ticket expires before the lock is taken, so the clock shows it as expired.
         clock.set(clock.get() + TTL_MS);
         clock.get()
     };
-    let late = ledger.begin(&mint, &ticket, "a", [0; 32], now_ms);
-    assert!(matches!(late, BeginOutcome::Refuse(Kind::TicketExpired)));
+    let outcome = ledger.begin(&issuer, &ticket, "a", [0; 32], now_ms);
+    assert!(matches!(outcome, BeginOutcome::Refuse(Kind::TicketExpired)));
 }
 
-/// What happens to a ledger.
+/// One event of a random sequence.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Work of a key arrives.
+    /// A request with this key arrives.
     Arrive(u8),
-    /// The oldest running work ends, well or not, perhaps without having run.
-    End(u8),
-    /// Time passes.
-    Pass(u64),
+    /// The oldest running request finishes: answered (0), with an unknown outcome (1) or not run (2).
+    Finish(u8),
+    /// This many milliseconds pass.
+    Elapse(u64),
 }
 
-/// Any step.
+/// Generates an arbitrary step.
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         (0_u8..4).prop_map(Step::Arrive),
-        (0_u8..3).prop_map(Step::End),
-        (0_u64..60).prop_map(Step::Pass),
+        (0_u8..3).prop_map(Step::Finish),
+        (0_u64..60).prop_map(Step::Elapse),
     ]
 }
 
 proptest! {
     #[test]
     fn no_key_of_a_ticket_runs_twice(steps in prop::collection::vec(step(), 1..80)) {
-        let (mint, ledger) = (mint(1), ledger());
-        let ticket = Ticket { stem: mint.stem(0), nonce: 5 };
+        let (issuer, ledger) = (issuer(1), ledger());
+        let ticket = Ticket { stem: issuer.stem(0), nonce: 5 };
         let mut now_ms = 0;
         let mut running: Vec<(u8, RunGuard)> = Vec::new();
         let mut ran: HashMap<u8, u32> = HashMap::new();
         for step in steps {
             match step {
-                Step::Pass(ms) => now_ms += ms,
+                Step::Elapse(ms) => now_ms += ms,
                 Step::Arrive(key) => {
-                    if let BeginOutcome::Run(guard) = begin(&ledger, &mint, &ticket, &key.to_string(), now_ms) {
+                    if let BeginOutcome::Run(guard) = begin(&ledger, &issuer, &ticket, &key.to_string(), now_ms) {
                         prop_assert!(now_ms < TTL_MS);
                         *ran.entry(key).or_default() += 1;
                         running.push((key, guard));
                     }
                 }
-                Step::End(how) if !running.is_empty() => {
+                Step::Finish(result) if !running.is_empty() => {
                     let (key, guard) = running.remove(0);
-                    match how {
+                    match result {
                         0 => guard.finish(answer(300)),
                         1 => guard.finish(StoredResult::Failed(Kind::AnswerCut)),
                         _ => {
@@ -182,7 +183,7 @@
                         }
                     }
                 }
-                Step::End(_) => {}
+                Step::Finish(_) => {}
             }
             prop_assert!(ran.values().all(|runs| *runs <= 1));
             prop_assert!(ledger.answer_bytes() <= 1_000);
@@ -190,11 +191,11 @@
     }
 
     #[test]
-    fn tickets_survive_their_text_and_nothing_else_passes(home: u64, minted_ms: u64, nonce: u64, tag: [u8; 16], text in ".{0,120}") {
-        let ticket = Ticket { stem: Stem { home, minted_ms, tag }, nonce };
+    fn tickets_round_trip_through_text_and_forged_tags_are_rejected(home: u64, issued_ms: u64, nonce: u64, tag: [u8; 16], text in ".{0,120}") {
+        let ticket = Ticket { stem: Stem { home, issued_ms, tag }, nonce };
         prop_assert_eq!(Ticket::parse(&ticket.to_string()), Some(ticket));
         let _ = Ticket::parse(&text);
-        let guessed = Ticket { stem: Stem { home: 1, minted_ms: 0, tag }, nonce };
-        prop_assert_eq!(mint(1).check(&guessed, 0), Err(TicketError::Invalid));
+        let guessed = Ticket { stem: Stem { home: 1, issued_ms: 0, tag }, nonce };
+        prop_assert_eq!(issuer(1).check(&guessed, 0), Err(TicketError::Invalid));
     }
 }
