--- a/crates/leverstream-catalog/src/catalog.rs
+++ b/crates/leverstream-catalog/src/catalog.rs
@@ -98,7 +98,7 @@
     }
 
     /// The workspaces whose keys a route asks for, unless it is open to all.
-    pub fn asks_key(&self, route: &Route) -> Option<&Workspaces> {
+    pub fn required_workspaces(&self, route: &Route) -> Option<&Workspaces> {
         self.workspaces.as_ref().filter(|_| !route.is_open)
     }
 
--- a/crates/leverstream-catalog/src/notice.rs
+++ b/crates/leverstream-catalog/src/notice.rs
@@ -4,14 +4,14 @@
     /// Whether it is about to end and takes no new requests.
     pub is_leaving: bool,
     /// For how long it wants no requests of whoever it answered, in milliseconds from now.
-    pub holds_off_ms: Option<u64>,
+    pub hold_off_ms: Option<u64>,
     /// Whether it said how long and that could not be read as a time.
-    pub is_garbled: bool,
+    pub is_hold_off_malformed: bool,
     /// How many requests a second it takes from all VMs together, for as long as its answers say so.
     pub limit_per_s: Option<f64>,
     /// Whether it named such a limit and that could not be read as one; it then says neither that it has one nor that
     /// it has none.
-    pub is_limit_garbled: bool,
+    pub is_limit_malformed: bool,
 }
 
 impl Notice {
--- a/crates/leverstream-gateway/src/attempt.rs
+++ b/crates/leverstream-gateway/src/attempt.rs
@@ -174,7 +174,7 @@
     }
     if says_not_run && matches!(answer.status, 429 | 503) {
         // How long it wants nothing speaks of its load, not of how sound it is.
-        let tells_time = sent.notice.get().holds_off_ms.is_some();
+        let tells_time = sent.notice.get().hold_off_ms.is_some();
         sent.fail(if tells_time { Outcome::NoEvidence } else { Outcome::Bad }, "shed");
         return Tried::NotRun(Kind::Shed);
     }
@@ -282,14 +282,14 @@
             inner.idle.borrow_mut().forget(of);
             inner.wake_all();
         }
-        if let Some(for_ms) = notice.holds_off_ms {
+        if let Some(for_ms) = notice.hold_off_ms {
             self.hold_off(for_ms, now_ms);
         }
-        if notice.is_limit_garbled {
+        if notice.is_limit_malformed {
             let id = request.id.as_deref().unwrap_or("-");
             warn!(id, backend = of.instance, "its limit cannot be read");
         }
-        if notice.is_garbled {
+        if notice.is_hold_off_malformed {
             let id = request.id.as_deref().unwrap_or("-");
             warn!(id, backend = of.instance, "how long it wants nothing cannot be read");
         }
@@ -299,7 +299,7 @@
     fn take_limit(&self, notice: Notice, sent_ms: u64) {
         let Sent { inner, request, of, .. } = *self;
         let per_s = notice.limit_per_s;
-        if per_s.is_none() && notice.is_limit_garbled {
+        if per_s.is_none() && notice.is_limit_malformed {
             return;
         }
         let word = LimitWord { per_s, sent_ms: i64::try_from(sent_ms).unwrap_or(i64::MAX) };
--- a/crates/leverstream-gateway/src/authorize.rs
+++ b/crates/leverstream-gateway/src/authorize.rs
@@ -52,7 +52,7 @@
         route: &Route,
         credentials: Credentials,
     ) -> Result<(), Kind> {
-        if catalog.asks_key(route).is_none() {
+        if catalog.required_workspaces(route).is_none() {
             return Ok(());
         }
         if !matches!(credentials, Credentials::Key(_)) {
@@ -69,7 +69,7 @@
         credentials: Credentials,
         id: &str,
     ) -> Result<Option<Admitted>, Refusal> {
-        let Some(workspaces) = catalog.asks_key(route) else { return Ok(None) };
+        let Some(workspaces) = catalog.required_workspaces(route) else { return Ok(None) };
         let workspace = match credentials.workspace(workspaces) {
             Ok(key) => workspaces.get(key),
             Err(refused) => return Err(self.refuse_key(refused, catalog.version, id)),
--- a/crates/leverstream-gateway/src/meters.rs
+++ b/crates/leverstream-gateway/src/meters.rs
@@ -280,11 +280,11 @@
     /// Counts what a backend server said of itself.
     pub fn note_notice(&self, notice: Notice) {
         self.notices_leaving.inc_by(u64::from(notice.is_leaving));
-        let tells_time = notice.holds_off_ms.is_some() || notice.is_garbled;
+        let tells_time = notice.hold_off_ms.is_some() || notice.is_hold_off_malformed;
         self.notices_hold_off.inc_by(u64::from(tells_time));
-        self.notices_garbled.inc_by(u64::from(notice.is_garbled));
+        self.notices_garbled.inc_by(u64::from(notice.is_hold_off_malformed));
         self.notices_limit.inc_by(u64::from(notice.limit_per_s.is_some()));
-        self.notices_limit_garbled.inc_by(u64::from(notice.is_limit_garbled));
+        self.notices_limit_garbled.inc_by(u64::from(notice.is_limit_malformed));
     }
 
     /// Counts an answer of the VM's own.
