--- a/crates/leverstream-gateway/src/follow.rs
+++ b/crates/leverstream-gateway/src/follow.rs
@@ -414,8 +414,8 @@
     pub(crate) fn open(kind: &'static str) -> Link {
         Link {
             kind,
-            away: Backoff::open(RETRY_FIRST_MS, RETRY_AWAY_LIMIT_MS),
-            refused: Backoff::open(RETRY_FIRST_MS, RETRY_REFUSED_LIMIT_MS),
+            away: Backoff::new(RETRY_FIRST_MS, RETRY_AWAY_LIMIT_MS),
+            refused: Backoff::new(RETRY_FIRST_MS, RETRY_REFUSED_LIMIT_MS),
             failures: 0,
             is_away: false,
             was_away: false,
@@ -435,8 +435,8 @@
         }
         self.was_away = std::mem::take(&mut self.is_away);
         self.failures = 0;
-        self.away.succeed();
-        self.refused.succeed();
+        self.away.reset();
+        self.refused.reset();
         inner.mesh.set_lost_store(inner, false);
         self.was_away
     }
@@ -459,7 +459,7 @@
             StoreError::Away => &mut self.away,
             _ => &mut self.refused,
         };
-        let wait_ms = backoff.fail(&mut rand::rng());
+        let wait_ms = backoff.next_delay_ms(&mut rand::rng());
         tokio::time::sleep(Duration::from_millis(wait_ms)).await;
     }
 
--- a/crates/leverstream-gateway/src/gateway.rs
+++ b/crates/leverstream-gateway/src/gateway.rs
@@ -165,7 +165,7 @@
         actix_rt::spawn(evidence::tell(Rc::clone(&inner)));
         let Settings { vm, hall, region, .. } = &inner.settings;
         info!(vm, hall, region, callers = %listen.callers, "start");
-        if !clock.goes_on() {
+        if !clock.counts_suspension() {
             warn!(
                 "no clock goes on while the machine is suspended; what was believed before counts on after it"
             );
--- a/crates/leverstream-gateway/src/mesh/inbox.rs
+++ b/crates/leverstream-gateway/src/mesh/inbox.rs
@@ -67,7 +67,7 @@
 impl Reading {
     /// Reads the clocks.
     fn take(inner: &Inner, now_ms: u64) -> Reading {
-        Reading { now_ms, asleep_ms: inner.clock.asleep_ms() }
+        Reading { now_ms, asleep_ms: inner.clock.suspended_ms() }
     }
 
     /// Logs that the VM stood still or was suspended since the last tick.
--- a/crates/leverstream-gateway/src/outlast.rs
+++ b/crates/leverstream-gateway/src/outlast.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use leverstream_pace::{Backoff, Bucket};
+use leverstream_pace::{Backoff, TokenBucket};
 use leverstream_platform::{Store, StoreError, StoreItem};
 use leverstream_suspect::{EndDigest, RequestDigest, Told};
 use serde::Deserialize;
@@ -56,9 +56,9 @@
     }
     let (store, inner) = (store.clone(), Rc::clone(inner));
     actix_rt::spawn(async move {
-        let mut backoff = Backoff::open(RETRY_FIRST_MS, RETRY_LIMIT_MS);
+        let mut backoff = Backoff::new(RETRY_FIRST_MS, RETRY_LIMIT_MS);
         loop {
-            let wait_ms = backoff.fail(&mut rand::rng());
+            let wait_ms = backoff.next_delay_ms(&mut rand::rng());
             tokio::time::sleep(Duration::from_millis(wait_ms)).await;
             if has_read(&store, &inner).await {
                 return;
@@ -88,11 +88,11 @@
 
 /// Writes what becomes known for as long as the process runs.
 pub(crate) async fn write(store: Store, inner: Rc<Inner>) {
-    let mut bucket = Bucket::open(WRITES_PER_S, WRITES_AT_ONCE, inner.now_ms());
-    let mut backoff = Backoff::open(RETRY_FIRST_MS, RETRY_LIMIT_MS);
+    let mut bucket = TokenBucket::new(WRITES_PER_S, WRITES_AT_ONCE, inner.now_ms());
+    let mut backoff = Backoff::new(RETRY_FIRST_MS, RETRY_LIMIT_MS);
     loop {
         for (digest, keep) in inner.suspicions.for_store().await {
-            if !bucket.take(inner.now_ms()) {
+            if !bucket.try_take(inner.now_ms()) {
                 warn!(%digest, ?keep, "left to the other VMs, as the store had too many writes of this one");
                 continue;
             }
@@ -117,12 +117,12 @@
         // Another VM saw the last end too.
         Ok(()) | Err(StoreError::Conflict) => {
             info!(%digest, "refused request kept in the store");
-            backoff.succeed();
+            backoff.reset();
             true
         }
         Err(error) => {
             info!(%digest, %error, "refused request not kept yet");
-            let wait_ms = backoff.fail(&mut rand::rng());
+            let wait_ms = backoff.next_delay_ms(&mut rand::rng());
             tokio::time::sleep(Duration::from_millis(wait_ms)).await;
             false
         }
--- a/crates/leverstream-gateway/src/starts.rs
+++ b/crates/leverstream-gateway/src/starts.rs
@@ -104,7 +104,7 @@
 
     /// Decides by when the process before this one began. Without the store callers are served rather than refused.
     async fn decide_by_store(&self) -> Start {
-        let now_ms = self.clock.machine_ms();
+        let now_ms = self.clock.since_boot_ms();
         let held = match self.store.read(KIND, &self.vm).await {
             Ok(held) => held,
             Err(error) => {
--- a/crates/leverstream-member/src/swim.rs
+++ b/crates/leverstream-member/src/swim.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
 
-use leverstream_pace::Bucket;
+use leverstream_pace::TokenBucket;
 use leverstream_peer::{Ack, LeavingBackend, MemberUpdate, Packet, ServiceVersion, packet::Body};
 use rand::rngs::StdRng;
 use slab::Slab;
@@ -129,7 +129,7 @@
     /// Versions heard of and not yet handed out.
     heard: Vec<(SocketAddr, ServiceVersion)>,
     /// How many more processes may be told of many members.
-    welcomes: Bucket,
+    welcomes: TokenBucket,
     /// Addresses where a member is said to be.
     hints: Vec<SocketAddr>,
     /// The members whose state has changed since the last look.
@@ -186,7 +186,7 @@
             leaving: News::default(),
             heard_leaving: Vec::new(),
             heard: Vec::new(),
-            welcomes: Bucket::open(WELCOMES_PER_S, WELCOMES_PER_S, now_ms),
+            welcomes: TokenBucket::new(WELCOMES_PER_S, WELCOMES_PER_S, now_ms),
             hints: Vec::new(),
             changed: vec![me.clone()],
             opened_ms: now_ms,
@@ -347,7 +347,7 @@
                 let mut out = vec![self.outgoing(from, packet.sequence, Body::Ack(Ack {}))];
                 // Without a number it looks for members at an address from its settings, or of a dead one.
                 if is_new || packet.sequence == 0 {
-                    let is_full = self.is_young(sender.id, now_ms) && self.welcomes.take(now_ms);
+                    let is_full = self.is_young(sender.id, now_ms) && self.welcomes.try_take(now_ms);
                     let packets = if is_full { WELCOME_PACKETS } else { 1 };
                     out.extend(self.welcome(from, sender.id, packets));
                 }
--- a/crates/leverstream-node/src/control.rs
+++ b/crates/leverstream-node/src/control.rs
@@ -9,7 +9,7 @@
 use actix_web::web::Data;
 use leverstream_health::EjectRule;
 use leverstream_member::{Member, Outgoing, Placement, Swim};
-use leverstream_pace::Bucket;
+use leverstream_pace::TokenBucket;
 use leverstream_peer::ServiceVersion;
 use leverstream_peer::{Digest, FleetKey, PACKET_LIMIT_BYTES};
 use leverstream_platform::Store;
@@ -96,7 +96,7 @@
     /// Backend servers that the platform says leave, with when that was last read.
     leaving: HashMap<SocketAddr, u64>,
     /// The bytes of evidence that may still be sent.
-    evidence: Bucket,
+    evidence: TokenBucket,
     /// The peer after which the next exchanges go on.
     last_peer: Option<SocketAddr>,
     /// When health checks were last made.
@@ -181,7 +181,7 @@
             members: Arc::default(),
             placements: HashMap::new(),
             leaving: HashMap::new(),
-            evidence: Bucket::open(EVIDENCE_BYTES_PER_S, EVIDENCE_BYTES_PER_S, 0),
+            evidence: TokenBucket::new(EVIDENCE_BYTES_PER_S, EVIDENCE_BYTES_PER_S, 0),
             last_peer: None,
             probes: probe::Plan::default(),
             exchanged_ms: 0,
@@ -344,7 +344,7 @@
             let shared = digest.services.iter().filter(|part| services.contains(&part.service));
             let part = Digest { reporter: me, services: shared.cloned().collect() };
             let bytes = (part.encoded_len() + CALL_BYTES) as f64;
-            if !self.evidence.take_many(bytes, now_ms) {
+            if !self.evidence.try_take_many(bytes, now_ms) {
                 return;
             }
             self.last_peer = Some(peer);
--- a/crates/leverstream-node/src/store.rs
+++ b/crates/leverstream-node/src/store.rs
@@ -58,7 +58,7 @@
 
 /// Watches the store as long as this process is chosen to.
 pub async fn watch(store: Store, control: Addr<Control>, wait_ms: u64) {
-    let mut backoff = Backoff::open(BACKOFF_MS, BACKOFF_LIMIT_MS);
+    let mut backoff = Backoff::new(BACKOFF_MS, BACKOFF_LIMIT_MS);
     let mut after = None;
     loop {
         match control.send(GetDuty).await {
@@ -72,11 +72,11 @@
         }
         match listen(&store, &control, after, wait_ms).await {
             Ok(revision) => {
-                backoff.succeed();
+                backoff.reset();
                 after = Some(revision);
             }
             Err(error) => {
-                let pause_ms = backoff.fail(&mut rand::rng());
+                let pause_ms = backoff.next_delay_ms(&mut rand::rng());
                 log::warn!("store: {error}; the next try is in {pause_ms} ms.");
                 after = None;
                 sleep(pause_ms).await;
@@ -87,7 +87,7 @@
 
 /// Reads the list of VMs: while this process knows no other, and as long as it is a watcher.
 pub async fn list_vms(store: Store, control: Addr<Control>) {
-    let mut backoff = Backoff::open(BACKOFF_MS, BACKOFF_LIMIT_MS);
+    let mut backoff = Backoff::new(BACKOFF_MS, BACKOFF_LIMIT_MS);
     loop {
         let Ok(duty) = control.send(GetDuty).await else { return };
         if !duty.is_watcher && !duty.is_alone {
@@ -96,11 +96,11 @@
         }
         let pause_ms = match store.list_kind(VMS_KIND).await {
             Ok(listing) => {
-                backoff.succeed();
+                backoff.reset();
                 control.do_send(read_vms(&listing));
                 if duty.is_alone { ALONE_VMS_MS } else { VMS_MS }
             }
-            Err(_) => backoff.fail(&mut rand::rng()),
+            Err(_) => backoff.next_delay_ms(&mut rand::rng()),
         };
         sleep(pause_ms).await;
     }
--- a/crates/leverstream-pace/src/bucket.rs
+++ b/crates/leverstream-pace/src/bucket.rs
@@ -1,6 +1,6 @@
 /// A token bucket.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     /// Tokens gained a second.
     rate_per_s: f64,
     /// The most tokens that can be saved up.
@@ -11,21 +11,21 @@
     at_ms: u64,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Opens a full bucket.
-    pub fn open(rate_per_s: f64, burst: f64, now_ms: u64) -> Bucket {
-        Bucket { rate_per_s, burst, left: burst, at_ms: now_ms }
+    pub fn new(rate_per_s: f64, burst: f64, now_ms: u64) -> TokenBucket {
+        TokenBucket { rate_per_s, burst, left: burst, at_ms: now_ms }
     }
 
     /// Takes one token if there is one.
-    pub fn take(&mut self, now_ms: u64) -> bool {
-        self.take_many(1.0, now_ms)
+    pub fn try_take(&mut self, now_ms: u64) -> bool {
+        self.try_take_many(1.0, now_ms)
     }
 
     /// Takes a number of tokens if there are so many.
-    pub fn take_many(&mut self, tokens: f64, now_ms: u64) -> bool {
+    pub fn try_take_many(&mut self, tokens: f64, now_ms: u64) -> bool {
         let gained = now_ms.saturating_sub(self.at_ms) as f64 / 1000.0 * self.rate_per_s;
-        self.give(gained);
+        self.add(gained);
         self.at_ms = self.at_ms.max(now_ms);
         if self.left < tokens {
             return false;
@@ -35,7 +35,7 @@
     }
 
     /// Adds tokens, up to the burst.
-    pub fn give(&mut self, tokens: f64) {
+    pub fn add(&mut self, tokens: f64) {
         self.left = (self.left + tokens).min(self.burst);
     }
 }
--- a/crates/leverstream-pace/src/clock.rs
+++ b/crates/leverstream-pace/src/clock.rs
@@ -15,7 +15,7 @@
     /// The reading then of the clock that stands still while the machine is suspended.
     steady_start_ms: u64,
     /// Whether the machine has a clock that goes on.
-    goes_on: bool,
+    counts_suspension: bool,
 }
 
 impl Clock {
@@ -23,33 +23,37 @@
     pub fn start() -> Clock {
         let boot = clock_gettime_dynamic(DynamicClockId::Boottime).map(milliseconds);
         let steady_start_ms = steady_ms();
-        Clock { start_ms: boot.unwrap_or(steady_start_ms), steady_start_ms, goes_on: boot.is_ok() }
+        Clock {
+            start_ms: boot.unwrap_or(steady_start_ms),
+            steady_start_ms,
+            counts_suspension: boot.is_ok(),
+        }
     }
 
     /// Milliseconds since the start, with those that the machine was suspended.
     pub fn now_ms(self) -> u64 {
-        let clock = if self.goes_on { ClockId::Boottime } else { ClockId::Monotonic };
+        let clock = if self.counts_suspension { ClockId::Boottime } else { ClockId::Monotonic };
         milliseconds(clock_gettime(clock)).saturating_sub(self.start_ms)
     }
 
     /// The same by the machine's reading, which goes on from one process to the next until the machine starts again.
-    pub fn machine_ms(self) -> u64 {
+    pub fn since_boot_ms(self) -> u64 {
         self.start_ms + self.now_ms()
     }
 
     /// For how long the machine has been suspended since the start, in milliseconds.
-    pub fn asleep_ms(self) -> u64 {
+    pub fn suspended_ms(self) -> u64 {
         let awake_ms = steady_ms().saturating_sub(self.steady_start_ms);
         self.now_ms().saturating_sub(awake_ms)
     }
 
     /// Tells whether it goes on while the machine is suspended.
-    pub fn goes_on(self) -> bool {
-        self.goes_on
+    pub fn counts_suspension(self) -> bool {
+        self.counts_suspension
     }
 
     /// The instant for timers at so many milliseconds since the start.
-    pub fn instant(self, at_ms: u64) -> Instant {
+    pub fn instant_at(self, at_ms: u64) -> Instant {
         let (now, now_ms) = (Instant::now(), self.now_ms());
         let ahead = Duration::from_millis(at_ms.saturating_sub(now_ms));
         let ago = Duration::from_millis(now_ms.saturating_sub(at_ms));
--- a/crates/leverstream-pace/src/lib.rs
+++ b/crates/leverstream-pace/src/lib.rs
@@ -5,5 +5,5 @@
 mod clock;
 
 pub use backoff::Backoff;
-pub use bucket::Bucket;
+pub use bucket::TokenBucket;
 pub use clock::Clock;
--- a/crates/leverstream-pace/tests/clock.rs
+++ b/crates/leverstream-pace/tests/clock.rs
@@ -16,7 +16,7 @@
     let before_ms = boot_ms();
     let clock = Clock::start();
     let started_ms = boot_ms();
-    assert!(clock.goes_on());
+    assert!(clock.counts_suspension());
     for _ in 0..50 {
         std::thread::sleep(Duration::from_millis(2));
         let (low_ms, now_ms, high_ms) = (boot_ms(), clock.now_ms(), boot_ms());
@@ -27,25 +27,25 @@
 #[test]
 fn timers_are_set_by_how_far_ahead_their_time_is() {
     let clock = Clock::start();
-    let ahead = clock.instant(clock.now_ms() + 5_000);
+    let ahead = clock.instant_at(clock.now_ms() + 5_000);
     let left = ahead.saturating_duration_since(Instant::now());
     assert!((Duration::from_millis(4_900)..=Duration::from_millis(5_000)).contains(&left));
     std::thread::sleep(Duration::from_millis(30));
-    assert!(clock.instant(0) < Instant::now());
+    assert!(clock.instant_at(0) < Instant::now());
 }
 
 #[test]
 fn a_machine_that_was_not_suspended_was_not_asleep() {
     let clock = Clock::start();
     std::thread::sleep(Duration::from_millis(20));
-    assert!(clock.asleep_ms() <= 1);
+    assert!(clock.suspended_ms() <= 1);
 }
 
 #[test]
 fn the_machines_reading_goes_on_from_one_clock_to_the_next() {
     let first = Clock::start();
-    let read_ms = first.machine_ms();
+    let read_ms = first.since_boot_ms();
     std::thread::sleep(Duration::from_millis(5));
     let second = Clock::start();
-    assert!(second.now_ms() < 5 && second.machine_ms() >= read_ms + 5);
+    assert!(second.now_ms() < 5 && second.since_boot_ms() >= read_ms + 5);
 }
--- a/crates/leverstream-proxy/src/acquire.rs
+++ b/crates/leverstream-proxy/src/acquire.rs
@@ -123,7 +123,7 @@
         place
     };
     let leave = Leave { serving, place };
-    let deadline = proxy.clock.instant(wanted.deadline_ms).into();
+    let deadline = proxy.clock.instant_at(wanted.deadline_ms).into();
     let woken = tokio::time::timeout_at(deadline, woken).await;
     drop(leave);
     match woken {
--- a/crates/leverstream-proxy/src/attempt.rs
+++ b/crates/leverstream-proxy/src/attempt.rs
@@ -123,7 +123,7 @@
     let mut tail = Tail {
         incoming,
         address: backend.address,
-        deadline: proxy.clock.instant(deadline_ms),
+        deadline: proxy.clock.instant_at(deadline_ms),
         clock: proxy.clock,
         held: Some((flight, counted)),
     };
@@ -154,7 +154,7 @@
         let span = tracing::trace_span!("exchange");
         conn.exchange(message, &stage).instrument(span).await.map_err(|broken| broken.kind)
     };
-    let deadline = proxy.clock.instant(target.deadline_ms).into();
+    let deadline = proxy.clock.instant_at(target.deadline_ms).into();
     match tokio::time::timeout_at(deadline, whole).await {
         Ok(Ok(received)) => {
             let mut head = received.head;
@@ -211,7 +211,7 @@
     Tail {
         incoming,
         address: target.address,
-        deadline: proxy.clock.instant(target.deadline_ms),
+        deadline: proxy.clock.instant_at(target.deadline_ms),
         clock: proxy.clock,
         held: None,
     }
--- a/crates/leverstream-proxy/src/flight.rs
+++ b/crates/leverstream-proxy/src/flight.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use leverstream_health::{BackendKey, Work};
-use leverstream_pace::Bucket;
+use leverstream_pace::TokenBucket;
 use leverstream_route::{Place, Queue, RetryBudget};
 use parking_lot::Mutex;
 use slab::Slab;
@@ -51,7 +51,7 @@
     /// The retries left.
     pub budget: Mutex<RetryBudget>,
     /// Bounds the requests a second; the rate it was opened with comes first.
-    pub rate: Mutex<(u32, Bucket)>,
+    pub rate: Mutex<(u32, TokenBucket)>,
     /// Requests that wait for a slot.
     pub(crate) waiting: Mutex<Waiting>,
 }
@@ -120,7 +120,7 @@
             in_flight: AtomicU32::new(0),
             turn: AtomicU32::new(0),
             budget: Mutex::new(RetryBudget::open(now_ms)),
-            rate: Mutex::new((0, Bucket::open(0.0, 0.0, now_ms))),
+            rate: Mutex::new((0, TokenBucket::new(0.0, 0.0, now_ms))),
             waiting: Mutex::default(),
         })
     }
@@ -149,9 +149,9 @@
         let mut rate = self.rate.lock();
         if rate.0 != rate_per_s {
             let per_s = f64::from(rate_per_s);
-            *rate = (rate_per_s, Bucket::open(per_s, per_s.max(1.0), now_ms));
+            *rate = (rate_per_s, TokenBucket::new(per_s, per_s.max(1.0), now_ms));
         }
-        rate.1.take(now_ms)
+        rate.1.try_take(now_ms)
     }
 }
 
--- a/crates/leverstream-proxy/src/once.rs
+++ b/crates/leverstream-proxy/src/once.rs
@@ -53,7 +53,7 @@
         match begin {
             BeginOutcome::Refuse(kind) => Err(kind),
             BeginOutcome::Wait(waiter) => {
-                let deadline = clock.instant(self.deadline_ms).into();
+                let deadline = clock.instant_at(self.deadline_ms).into();
                 let kept = tokio::time::timeout_at(deadline, waiter.wait()).await;
                 proxy.metrics.replays.inc();
                 answer_of(kept.map_err(|_| Kind::AnswerTimeout)?, true)
--- a/crates/leverstream-route/src/budget.rs
+++ b/crates/leverstream-route/src/budget.rs
@@ -1,4 +1,4 @@
-use leverstream_pace::Bucket;
+use leverstream_pace::TokenBucket;
 
 /// The retries that can be saved up.
 const BURST: f64 = 20.0;
@@ -10,22 +10,22 @@
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     /// The retries left.
-    bucket: Bucket,
+    bucket: TokenBucket,
 }
 
 impl RetryBudget {
     /// Opens a full budget.
     pub fn open(now_ms: u64) -> RetryBudget {
-        RetryBudget { bucket: Bucket::open(IDLE_RATE_PER_S, BURST, now_ms) }
+        RetryBudget { bucket: TokenBucket::new(IDLE_RATE_PER_S, BURST, now_ms) }
     }
 
     /// Notes a first attempt, which earns a share of a retry.
     pub fn earn(&mut self, percent: u8) {
-        self.bucket.give(f64::from(percent) / 100.0);
+        self.bucket.add(f64::from(percent) / 100.0);
     }
 
     /// Takes one retry or hedge if there is one left.
     pub fn take(&mut self, percent: u8, now_ms: u64) -> bool {
-        percent > 0 && self.bucket.take(now_ms)
+        percent > 0 && self.bucket.try_take(now_ms)
     }
 }
