--- a/crates/leverstream-error/src/kind.rs
+++ b/crates/leverstream-error/src/kind.rs
@@ -193,7 +193,7 @@
     /// The kind that speaks for this attempt and the next of the same request.
     ///
     /// Once one attempt may have run, the whole request must not be said not to have run.
-    pub fn and_then(self, next: Kind) -> Kind {
+    pub fn combined_with(self, next: Kind) -> Kind {
         if next.is_not_run() && !self.is_not_run() { self } else { next }
     }
 
--- a/crates/leverstream-error/tests/kinds.rs
+++ b/crates/leverstream-error/tests/kinds.rs
@@ -47,7 +47,7 @@
 #[test]
 fn two_attempts_have_not_run_only_if_neither_has() {
     for (first, next) in Kind::ALL.into_iter().flat_map(|a| Kind::ALL.map(|b| (a, b))) {
-        let both = first.and_then(next);
+        let both = first.combined_with(next);
         assert_eq!(both.is_not_run(), first.is_not_run() && next.is_not_run(), "{first}, {next}");
     }
 }
--- a/crates/leverstream-gateway/src/forward.rs
+++ b/crates/leverstream-gateway/src/forward.rs
@@ -481,7 +481,7 @@
     fn note(&mut self, next: Result<Answer, Kind>) {
         self.failed = Some(match (self.failed.take(), next) {
             (Some(Ok(answer)), Err(_)) => Ok(answer),
-            (Some(Err(before)), Err(next)) => Err(before.and_then(next)),
+            (Some(Err(before)), Err(next)) => Err(before.combined_with(next)),
             (_, next) => next,
         });
     }
--- a/crates/leverstream-member/src/swim.rs
+++ b/crates/leverstream-member/src/swim.rs
@@ -347,7 +347,8 @@
                 let mut out = vec![self.outgoing(from, packet.sequence, Body::Ack(Ack {}))];
                 // Without a number it looks for members at an address from its settings, or of a dead one.
                 if is_new || packet.sequence == 0 {
-                    let is_full = self.is_young(sender.id, now_ms) && self.welcomes.try_take(now_ms);
+                    let is_full =
+                        self.is_young(sender.id, now_ms) && self.welcomes.try_take(now_ms);
                     let packets = if is_full { WELCOME_PACKETS } else { 1 };
                     out.extend(self.welcome(from, sender.id, packets));
                 }
--- a/crates/leverstream-proxy/src/relay.rs
+++ b/crates/leverstream-proxy/src/relay.rs
@@ -44,8 +44,8 @@
     for vm in entry_vms(proxy, service) {
         match pass(proxy, service, message, &vm, deadline_ms).await {
             Ok(answer) => return Ok(answer),
-            Err(Unpassed::Stranger) => last = last.and_then(Kind::AnswerInvalid),
-            Err(Unpassed::Failed(kind)) => last = last.and_then(kind),
+            Err(Unpassed::Stranger) => last = last.combined_with(Kind::AnswerInvalid),
+            Err(Unpassed::Failed(kind)) => last = last.combined_with(kind),
         }
         let may_go_on = last.is_not_run() || (is_repeatable && message.is_whole());
         if !may_go_on || proxy.now_ms() >= deadline_ms {
--- a/crates/leverstream-proxy/src/repeat.rs
+++ b/crates/leverstream-proxy/src/repeat.rs
@@ -170,7 +170,7 @@
 fn worse(last: Option<Result<Answer, Kind>>, next: Result<Answer, Kind>) -> Result<Answer, Kind> {
     match (last, next) {
         (Some(Ok(answer)), Err(_)) => Ok(answer),
-        (Some(Err(last)), Err(next)) => Err(last.and_then(next)),
+        (Some(Err(last)), Err(next)) => Err(last.combined_with(next)),
         (_, next) => next,
     }
 }
