--- a/crates/leverstream-node/src/edit.rs
+++ b/crates/leverstream-node/src/edit.rs
@@ -122,7 +122,7 @@
         Problem::Refused(Failure::new(error.kind(), &error.to_string()))
     };
     let doc = match apply(base, edit, *seen, Clock::unix_ms()).map_err(refuse)? {
-        Applied::Already(version) => return Ok(Step::Already(version)),
+        Applied::Duplicate(version) => return Ok(Step::Already(version)),
         Applied::New(doc) => doc,
     };
     let spec = write_doc(&doc);
--- a/crates/leverstream-node/src/service.rs
+++ b/crates/leverstream-node/src/service.rs
@@ -139,7 +139,7 @@
                     slots: row.usable_slots(),
                     connections: (row.connections / vms).max(row.usable_slots()),
                     weight: if row.leaving { 0.0 } else { f64::from(row.weight) * fitness.share },
-                    is_trial: fitness.is_trial && row.takes_work(),
+                    is_trial: fitness.is_trial && row.accepts_requests(),
                     others_in_flight: fitness.others_in_flight,
                     slow_ms: fitness.slow_ms,
                     live: Arc::clone(&self.backends[key.0 as usize].live),
@@ -215,7 +215,7 @@
                 let held = &self.backends[key.0 as usize].row;
                 held.as_ref().is_some_and(|held| held.address == row.address)
             });
-            let weight = if row.takes_work() { row.weight } else { 0 };
+            let weight = if row.accepts_requests() { row.weight } else { 0 };
             let key = match known {
                 Some(key) => {
                     self.health.set_weight(key, weight);
--- a/crates/leverstream-table/src/doc.rs
+++ b/crates/leverstream-table/src/doc.rs
@@ -8,10 +8,10 @@
 use crate::{Cell, Change};
 
 /// The largest document that is accepted, in bytes of JSON; the platform holds up to a megabyte.
-pub const DOC_LIMIT_BYTES: usize = 900_000;
+pub const MAX_DOC_BYTES: usize = 900_000;
 
 /// How many of the last edits a document remembers.
-pub const EDITS_KEPT: usize = 32;
+pub const MAX_EDIT_RECORDS: usize = 32;
 
 /// A service's row with its backend servers and last edits, as the platform holds it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -72,7 +72,7 @@
             faults.extend(self.row.faults(&self.service));
             faults.extend(backend_faults(&self.service, &self.backends));
         }
-        if self.to_json().len() > DOC_LIMIT_BYTES {
+        if self.to_json().len() > MAX_DOC_BYTES {
             faults.push(Fault::new(&self.service, "split the service: its rows exceed 900 kB"));
         }
         if faults.is_empty() { Ok(()) } else { Err(TableError::Invalid(Faults(faults))) }
--- a/crates/leverstream-table/src/edit.rs
+++ b/crates/leverstream-table/src/edit.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 
 use crate::Cell;
-use crate::doc::{EDITS_KEPT, EditRecord, ServiceDoc};
+use crate::doc::{EditRecord, MAX_EDIT_RECORDS, ServiceDoc};
 use crate::error::{Fault, TableError};
 use crate::row::ServiceRow;
 
@@ -41,7 +41,7 @@
     /// The document after the edit, still to be written.
     New(Box<ServiceDoc>),
     /// The edit had landed before, with this version.
-    Already(u64),
+    Duplicate(u64),
 }
 
 /// Applies an edit to a service's document, or to nothing when the service is new.
@@ -58,7 +58,7 @@
     let service = service_of(edit)?;
     let mut next = doc.cloned().unwrap_or_else(|| ServiceDoc::empty(&service));
     if let Some(record) = next.edit(&edit.id) {
-        return Ok(Applied::Already(record.version));
+        return Ok(Applied::Duplicate(record.version));
     }
     for change in &edit.changes {
         check_unchanged(&next, change)?;
@@ -74,7 +74,7 @@
         version: next.version,
         changes: edit.changes.clone(),
     });
-    let surplus = next.edits.len().saturating_sub(EDITS_KEPT);
+    let surplus = next.edits.len().saturating_sub(MAX_EDIT_RECORDS);
     next.edits.drain(..surplus);
     next.validate()?;
     Ok(Applied::New(Box::new(next)))
--- a/crates/leverstream-table/src/lib.rs
+++ b/crates/leverstream-table/src/lib.rs
@@ -15,7 +15,7 @@
 
 pub use address::Address;
 pub use cell::Cell;
-pub use doc::{DOC_LIMIT_BYTES, EDITS_KEPT, EditRecord, ServiceDoc, fingerprint};
+pub use doc::{EditRecord, MAX_DOC_BYTES, MAX_EDIT_RECORDS, ServiceDoc, fingerprint};
 pub use edit::{Applied, Change, Edit, apply, diff};
 pub use error::{Fault, Faults, TableError};
 pub use file::{FileError, TableFile};
--- a/crates/leverstream-table/src/row.rs
+++ b/crates/leverstream-table/src/row.rs
@@ -200,7 +200,7 @@
     }
 
     /// Tells whether it may be given new work at all.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         !self.leaving && self.weight > 0
     }
 
--- a/crates/leverstream-table/tests/table.rs
+++ b/crates/leverstream-table/tests/table.rs
@@ -1,7 +1,7 @@
 //! Edits, validation and files of the table.
 
 use leverstream_table::{
-    Address, Applied, BackendRow, Cell, Change, DOC_LIMIT_BYTES, Edit, RouteRule, ServiceDoc,
+    Address, Applied, BackendRow, Cell, Change, Edit, MAX_DOC_BYTES, RouteRule, ServiceDoc,
     TableError, TableFile, apply, diff, from_csv, to_csv,
 };
 use proptest::prelude::*;
@@ -37,7 +37,7 @@
 fn an_edit_lands_once_however_often_it_is_made() {
     let doc = shop();
     let again = apply(Some(&doc), &edit("first", &[("shop.queue", json!(1))]), 9, 2);
-    assert_eq!(again, Ok(Applied::Already(1)));
+    assert_eq!(again, Ok(Applied::Duplicate(1)));
 }
 
 #[test]
@@ -81,7 +81,7 @@
 #[test]
 fn a_document_larger_than_the_platform_takes_is_refused() {
     let mut doc = shop();
-    for number in 0..DOC_LIMIT_BYTES / 100 {
+    for number in 0..MAX_DOC_BYTES / 100 {
         let address = Address(
             format!("10.1.{}.{}:80", number / 250, number % 250).parse().expect("an address"),
         );
