--- a/crates/leverstream-catalog/src/backend.rs
+++ b/crates/leverstream-catalog/src/backend.rs
@@ -2,40 +2,43 @@
 
 use serde::{Deserialize, Serialize};
 
-/// One start of a backend server, as the platform lists it.
+/// One incarnation of a backend server, as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backend {
-    /// Its id; a backend server that starts again may keep it.
+    /// The id, which a backend server may keep across restarts.
     pub instance: String,
-    /// When it started, in milliseconds since 1970 by its own clock; 0 if it does not say, and then each start has an
-    /// id of its own.
+    /// The start time by the backend server's own clock, in milliseconds since the Unix epoch.
+    ///
+    /// It is 0 if the backend server does not report it; each start then has a new id.
     #[serde(default)]
     pub born_ms: u64,
-    /// The service that it works for.
+    /// The service that it belongs to.
     pub service: String,
-    /// Where it listens. The address may pass to another backend server once this one has ended.
+    /// The address that it listens on. Another backend server may get the address after this one has ended.
     pub address: SocketAddr,
-    /// The data hall it stands in.
+    /// The data hall that it runs in.
     pub hall: String,
-    /// How many requests it works on at once.
+    /// How many requests it processes concurrently.
     pub slots: u32,
-    /// Whether it has said that it is about to end and takes no new requests.
+    /// Whether it has announced that it is shutting down and accepts no new requests.
     pub is_leaving: bool,
-    /// How much longer it works slowly after its start, when the record was written.
+    /// The rest of its warm-up, during which it is slow, at the time the record was written, in milliseconds.
     pub cold_left_ms: u64,
 }
 
-/// Which start of which backend server: what is known of one start says nothing of the next.
+/// Identifies one start of one backend server.
+///
+/// Measurements of one incarnation don't apply to the next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// The backend server's id.
+    /// The id of the backend server.
     pub instance: String,
-    /// When it started, as in [`Backend::born_ms`].
+    /// The start time, as in [`Backend::born_ms`].
     pub born_ms: u64,
 }
 
 impl Backend {
-    /// Which start of it this is.
+    /// Returns the incarnation that this record describes.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation { instance: self.instance.clone(), born_ms: self.born_ms }
     }
--- a/crates/leverstream-catalog/src/catalog.rs
+++ b/crates/leverstream-catalog/src/catalog.rs
@@ -6,57 +6,57 @@
 
 use crate::Route;
 
-/// One version of what the operators want served.
+/// One version of the operators' configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
     /// The version; a higher one is newer.
     pub version: u64,
-    /// The routes by host, those with the longest prefix first.
+    /// The routes by host, sorted by descending prefix length.
     hosts: HashMap<String, Vec<Route>>,
     /// The services by name.
     pub services: HashMap<String, ServiceSpec>,
-    /// What callers may send.
+    /// The limits on callers' requests.
     pub limits: Limits,
-    /// Whose keys open the routes that are not open to all; without any, all routes are.
+    /// The workspaces whose API keys the routes that are not open require; without workspaces every route is open.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub workspaces: Option<Workspaces>,
 }
 
-/// What the operators say of a service.
+/// The configuration of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceSpec {
-    /// The path of its backend servers' health check.
+    /// The health check path of its backend servers.
     pub health_path: String,
-    /// The connections that one of its backend servers takes from all VMs together.
+    /// The most connections that all VMs together open to one of its backend servers.
     pub connections: u32,
 }
 
-/// Bounds on what callers send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// The largest head of a request, in bytes.
+    /// The largest request header, in bytes.
     pub head_bytes: usize,
-    /// The largest body of a request, in bytes.
+    /// The largest request body, in bytes.
     pub body_bytes: usize,
-    /// The longest that a head may take to arrive.
+    /// The time limit for receiving a request header, in milliseconds.
     pub head_ms: u64,
-    /// The longest that a connection may rest between requests.
+    /// The time limit for an idle connection between requests, in milliseconds.
     pub idle_ms: u64,
 }
 
 impl Default for Limits {
-    /// The bounds in force until the first catalog has been read: generous, as nothing is served.
+    /// The limits until the first catalog is loaded; they are generous because no request is served yet.
     fn default() -> Limits {
         Limits { head_bytes: 64 << 10, body_bytes: 64 << 20, head_ms: 10_000, idle_ms: 60_000 }
     }
 }
 
-/// Why a catalog cannot be used.
+/// Why a catalog is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CatalogError {
-    /// The route at fault.
+    /// The name of the invalid route.
     pub route: String,
-    /// What is wrong with it.
+    /// What is wrong with the route.
     pub fault: &'static str,
 }
 
@@ -69,7 +69,7 @@
 impl std::error::Error for CatalogError {}
 
 impl Catalog {
-    /// Builds a catalog, refusing one whose routes cannot be followed.
+    /// Builds a catalog, or returns an error if a route is invalid.
     pub fn build(
         version: u64,
         routes: Vec<(String, Route)>,
@@ -78,7 +78,7 @@
     ) -> Result<Catalog, CatalogError> {
         let mut hosts: HashMap<String, Vec<Route>> = HashMap::new();
         for (host, route) in routes {
-            check(&route, &services)?;
+            validate_route(&route, &services)?;
             hosts.entry(host.to_ascii_lowercase()).or_default().push(route);
         }
         for routes in hosts.values_mut() {
@@ -87,49 +87,52 @@
         Ok(Catalog { version, hosts, services, limits, workspaces: None })
     }
 
-    /// The same catalog with workspaces, whose keys its routes ask for.
+    /// Replaces the workspaces whose API keys the routes require.
     pub fn with_workspaces(self, workspaces: Option<Workspaces>) -> Catalog {
         Catalog { workspaces, ..self }
     }
 
-    /// Finds the route of a request: the one of its host with the longest prefix of its path.
+    /// Finds the route of a request: the longest matching path prefix of its host.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.hosts.get(host)?.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The workspaces whose keys a route asks for, unless it is open to all.
+    /// Returns the workspaces whose API keys a route requires, or none if the route is open.
     pub fn required_workspaces(&self, route: &Route) -> Option<&Workspaces> {
         self.workspaces.as_ref().filter(|_| !route.is_open)
     }
 
-    /// The hosts with their routes.
+    /// Iterates over the hosts and their routes.
     pub fn hosts(&self) -> impl Iterator<Item = (&str, &[Route])> {
         self.hosts.iter().map(|(host, routes)| (host.as_str(), routes.as_slice()))
     }
 
-    /// How many routes there are.
+    /// Returns how many routes the catalog has.
     pub fn route_count(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
 }
 
-/// Checks that a route can be followed.
-fn check(route: &Route, services: &HashMap<String, ServiceSpec>) -> Result<(), CatalogError> {
+/// Checks that a route has a valid prefix, known services and nonzero limits.
+fn validate_route(
+    route: &Route,
+    services: &HashMap<String, ServiceSpec>,
+) -> Result<(), CatalogError> {
     let fail = |fault| Err(CatalogError { route: route.name.clone(), fault });
     if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
-        return fail("the prefix has no slash at an end");
+        return fail("the path prefix must start and end with `/`");
     }
     if !route.targets.iter().any(|target| target.weight > 0.0) {
-        return fail("no service has a weight above zero");
+        return fail("at least one target needs a weight above zero");
     }
     if route.targets.iter().any(|target| !services.contains_key(&target.service)) {
-        return fail("it names a service that is not listed");
+        return fail("a target names an unknown service");
     }
     if route.attempts == 0 {
-        return fail("it allows no attempt");
+        return fail("the maximum number of attempts must not be zero");
     }
     if route.timeout_ms == 0 {
-        return fail("it allows no time");
+        return fail("the timeout must not be zero");
     }
     Ok(())
 }
--- a/crates/leverstream-catalog/src/lib.rs
+++ b/crates/leverstream-catalog/src/lib.rs
@@ -1,7 +1,8 @@
-//! What a gateway serves: hosts and their routes, services, and the backend servers behind them.
+//! The configuration that a gateway serves: hosts, routes and services, and the records of the backend servers.
 //!
-//! A [`Catalog`] is one version of the operators' configuration, read-only once it is built. A
-//! [`Backend`] is one backend server as the platform lists it.
+//! A [`Catalog`] is one immutable version of the operators' configuration. A [`Backend`] is one
+//! incarnation of a backend server as the platform lists it. A [`Notice`] holds the load and
+//! shutdown signals in the header of a backend server's answer.
 
 mod backend;
 mod catalog;
--- a/crates/leverstream-catalog/src/notice.rs
+++ b/crates/leverstream-catalog/src/notice.rs
@@ -1,21 +1,21 @@
-/// What a backend server says of itself in the head of an answer, whatever the answer is.
+/// The load and shutdown signals of a backend server, read from the header of any answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Notice {
-    /// Whether it is about to end and takes no new requests.
+    /// Whether it is shutting down and accepts no new requests.
     pub is_leaving: bool,
-    /// For how long it wants no requests of whoever it answered, in milliseconds from now.
+    /// How long the VM that received the answer is to send no requests, in milliseconds from now.
     pub hold_off_ms: Option<u64>,
-    /// Whether it said how long and that could not be read as a time.
+    /// Whether the answer gives a hold-off time that cannot be parsed.
     pub is_hold_off_malformed: bool,
-    /// How many requests a second it takes from all VMs together, for as long as its answers say so.
+    /// The rate limit across all VMs, in requests per second; it applies while the answers state it.
     pub limit_per_s: Option<f64>,
-    /// Whether it named such a limit and that could not be read as one; it then says neither that it has one nor that
-    /// it has none.
+    /// Whether the answer gives a rate limit that cannot be parsed, so it shows neither that a limit exists nor that
+    /// none does.
     pub is_limit_malformed: bool,
 }
 
 impl Notice {
-    /// Tells whether it says anything.
+    /// Returns whether the answer carries no signal.
     pub fn is_empty(&self) -> bool {
         *self == Notice::default()
     }
--- a/crates/leverstream-catalog/tests/catalog.rs
+++ b/crates/leverstream-catalog/tests/catalog.rs
@@ -1,11 +1,11 @@
-//! Which route takes a request, and which catalogs are refused.
+//! Tests route matching, the split among targets, host parsing and the validation of catalogs.
 
 use std::collections::HashMap;
 
 use leverstream_catalog::{Catalog, Limits, Route, ServiceSpec, Target, request_host};
 use yare::parameterized;
 
-/// A route below a prefix to services with weights.
+/// A route from a path prefix to weighted services.
 fn route(name: &str, prefix: &str, targets: &[(&str, f64)]) -> Route {
     let target =
         |(service, weight): &(&str, f64)| Target { service: (*service).into(), weight: *weight };
@@ -33,49 +33,53 @@
 #[parameterized(
     longest = { "/x/y/z", Some("inner") },
     shorter = { "/x/q", Some("outer") },
-    slash_needed = { "/x", None },
-    other = { "/q/", None },
-    no_part_of_a_segment = { "/x/yz/", Some("outer") },
+    without_final_slash = { "/x", None },
+    unmatched = { "/q/", None },
+    partial_segment = { "/x/yz/", Some("outer") },
 )]
-fn the_longest_prefix_wins(path: &str, expected: Option<&str>) {
+fn longest_matching_prefix_selects_the_route(path: &str, expected: Option<&str>) {
     let routes = vec![route("outer", "/x/", &[("a", 1.0)]), route("inner", "/x/y/", &[("b", 1.0)])];
-    let catalog = build(routes).expect("the catalog is sound");
+    let catalog = build(routes).expect("the catalog is valid");
     let found = catalog.route("shop.example", path).map(|route| route.name.as_str());
     assert_eq!(found, expected);
     assert!(catalog.route("other.example", path).is_none());
 }
 
 #[parameterized(
-    no_slash = { route("r", "/x", &[("a", 1.0)]) },
+    no_final_slash = { route("r", "/x", &[("a", 1.0)]) },
     no_weight = { route("r", "/x/", &[("a", 0.0)]) },
     unknown_service = { route("r", "/x/", &[("c", 1.0)]) },
     no_attempt = { Route { attempts: 0, ..route("r", "/x/", &[("a", 1.0)]) } },
-    no_time = { Route { timeout_ms: 0, ..route("r", "/x/", &[("a", 1.0)]) } },
+    no_timeout = { Route { timeout_ms: 0, ..route("r", "/x/", &[("a", 1.0)]) } },
 )]
-fn a_route_that_cannot_be_followed_is_refused_by_name(route: Route) {
-    let error = build(vec![route]).expect_err("the catalog is refused");
+fn invalid_route_is_rejected_with_its_name(route: Route) {
+    let error = build(vec![route]).expect_err("the catalog is invalid");
     assert_eq!(error.route, "r");
 }
 
 #[test]
-fn targets_cover_their_parts() {
+fn targets_receive_shares_proportional_to_their_weights() {
     let route = route("r", "/x/", &[("a", 90.0), ("none", 0.0), ("b", 10.0)]);
     let count = |service: &str| {
-        let points = (0..1_000).map(|at| f64::from(at) / 1_000.0);
-        points.filter(|point| route.target_at(*point).expect("one").service == service).count()
+        let points = (0..1_000).map(|index| f64::from(index) / 1_000.0);
+        points.filter(|point| route.target_at(*point).expect("a target").service == service).count()
     };
     assert_eq!((count("a"), count("none"), count("b")), (900, 0, 100));
-    assert_eq!(route.target_at(1.0).expect("one").service, "b");
+    assert_eq!(route.target_at(1.0).expect("a target").service, "b");
 }
 
 #[parameterized(
     header = { None, Some("Shop.Example"), Some("shop.example") },
-    port = { None, Some("shop.example:8080"), Some("shop.example") },
-    absolute_form_decides = { Some("a.example"), Some("b.example"), Some("a.example") },
-    user = { Some("me@a.example:80"), None, Some("a.example") },
+    with_port = { None, Some("shop.example:8080"), Some("shop.example") },
+    absolute_form_takes_precedence = { Some("a.example"), Some("b.example"), Some("a.example") },
+    user_information = { Some("me@a.example:80"), None, Some("a.example") },
     none = { None, None, None },
     empty = { None, Some(""), None },
 )]
-fn the_host_of_a_request(authority: Option<&str>, header: Option<&str>, expected: Option<&str>) {
+fn request_host_is_lower_case_without_user_and_port(
+    authority: Option<&str>,
+    header: Option<&str>,
+    expected: Option<&str>,
+) {
     assert_eq!(request_host(authority, header).as_deref(), expected);
 }
