--- a/crates/leverstream-pace/src/backoff.rs
+++ b/crates/leverstream-pace/src/backoff.rs
@@ -1,31 +1,32 @@
 use rand::Rng;
 
-/// Waits that double after each failure, with jitter so that a fleet does not come back at once.
+/// Exponential backoff with jitter, so that the VMs of a fleet do not all retry at the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
-    /// The first wait.
-    first_ms: u64,
-    /// The longest wait.
-    limit_ms: u64,
-    /// Failures in a row.
-    failures: u32,
+    /// The longest delay after the first failure.
+    initial_ms: u64,
+    /// The upper limit of the delay.
+    max_ms: u64,
+    /// The number of consecutive failures.
+    consecutive_failures: u32,
 }
 
 impl Backoff {
-    /// Starts with no failures.
-    pub fn new(first_ms: u64, limit_ms: u64) -> Backoff {
-        Backoff { first_ms, limit_ms, failures: 0 }
+    /// Creates a backoff without failures.
+    pub fn new(initial_ms: u64, max_ms: u64) -> Backoff {
+        Backoff { initial_ms, max_ms, consecutive_failures: 0 }
     }
 
-    /// Notes a failure and returns how long to wait, between half and the whole of the step.
+    /// Records a failure and returns the delay, drawn between half of the current step and the whole step.
     pub fn next_delay_ms(&mut self, rng: &mut impl Rng) -> u64 {
-        let step = self.first_ms.saturating_mul(1 << self.failures.min(20)).min(self.limit_ms);
-        self.failures += 1;
-        rng.random_range(step / 2..=step)
+        let step_ms =
+            self.initial_ms.saturating_mul(1 << self.consecutive_failures.min(20)).min(self.max_ms);
+        self.consecutive_failures += 1;
+        rng.random_range(step_ms / 2..=step_ms)
     }
 
-    /// Notes a success.
+    /// Records a success, so that the next failure gets the first delay again.
     pub fn reset(&mut self) {
-        self.failures = 0;
+        self.consecutive_failures = 0;
     }
 }
--- a/crates/leverstream-pace/src/lib.rs
+++ b/crates/leverstream-pace/src/lib.rs
@@ -1,4 +1,4 @@
-//! Time: the process's clock, how often something may happen, and how long to wait after a failure.
+//! The process's clock, a token bucket for rate limits, and exponential backoff after failures.
 
 mod backoff;
 mod bucket;
--- a/crates/leverstream-pace/tests/clock.rs
+++ b/crates/leverstream-pace/tests/clock.rs
@@ -1,18 +1,18 @@
-//! Which clock the process goes by.
+//! Tests that the clock counts suspended time and converts its times for timers.
 
 use std::time::{Duration, Instant};
 
 use leverstream_pace::Clock;
 use rustix::time::{ClockId, clock_gettime};
 
-/// The clock that goes on while the machine is suspended, in milliseconds.
+/// Reads the operating system's clock that counts suspended time, in milliseconds.
 fn boot_ms() -> u64 {
     let reading = clock_gettime(ClockId::Boottime);
     u64::try_from(reading.tv_sec * 1_000 + reading.tv_nsec / 1_000_000).expect("it is positive")
 }
 
 #[test]
-fn it_goes_on_while_the_machine_is_suspended() {
+fn clock_follows_the_system_clock_that_counts_suspended_time() {
     let before_ms = boot_ms();
     let clock = Clock::start();
     let started_ms = boot_ms();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn timers_are_set_by_how_far_ahead_their_time_is() {
+fn instant_is_as_far_ahead_as_the_time_it_stands_for() {
     let clock = Clock::start();
     let ahead = clock.instant_at(clock.now_ms() + 5_000);
     let left = ahead.saturating_duration_since(Instant::now());
@@ -35,14 +35,14 @@
 }
 
 #[test]
-fn a_machine_that_was_not_suspended_was_not_asleep() {
+fn suspended_time_is_zero_without_suspension() {
     let clock = Clock::start();
     std::thread::sleep(Duration::from_millis(20));
     assert!(clock.suspended_ms() <= 1);
 }
 
 #[test]
-fn the_machines_reading_goes_on_from_one_clock_to_the_next() {
+fn time_since_boot_continues_across_clocks() {
     let first = Clock::start();
     let read_ms = first.since_boot_ms();
     std::thread::sleep(Duration::from_millis(5));
