--- a/crates/leverstream-error/src/kind.rs
+++ b/crates/leverstream-error/src/kind.rs
@@ -2,9 +2,9 @@
 
 use crate::{Next, Outcome};
 
-/// One way in which leverstream can refuse or fail.
+/// The kind of an error that leverstream returns.
 ///
-/// The list is closed: whatever goes wrong is mapped onto one of these.
+/// The list is closed: every error is mapped to one of these kinds.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum Kind {
     /// bad-request
@@ -83,21 +83,21 @@
     BackendsHoldOff,
 }
 
-/// How a [`Kind`] is answered.
+/// The answer for a [`Kind`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// The HTTP status code.
     pub status: u16,
-    /// What became of the request.
+    /// Whether the request ran.
     pub outcome: Outcome,
     /// What the caller may do next.
     pub next: Next,
-    /// After how many milliseconds the caller may come back, where that can help.
+    /// The delay before the caller may retry, in milliseconds, if a retry can help.
     pub retry_after_ms: Option<u32>,
 }
 
 impl Kind {
-    /// Every kind, in the order of the list.
+    /// Every kind, in order of declaration.
     pub const ALL: [Kind; 37] = [
         Kind::BadRequest,
         Kind::ServiceUnknown,
@@ -138,7 +138,7 @@
         Kind::BackendsHoldOff,
     ];
 
-    /// Looks the answer up in the table.
+    /// Returns the answer for this kind.
     pub fn answer(self) -> Answer {
         use Next::{AskAgain, Check, Correct, RetrySame};
         use Outcome::{NotRun, Ran, Unknown};
@@ -177,27 +177,28 @@
             Kind::EditInvalid => (422, NotRun, Correct, None),
             Kind::EditUnknown => (504, Unknown, RetrySame, Some(1_000)),
             Kind::PlatformAway => (503, NotRun, RetrySame, Some(1_000)),
-            // It is refused for as long as it comes again within ten minutes.
+            // A request that ends backend servers stays refused until ten minutes pass without a further attempt.
             Kind::EndsBackends => (503, NotRun, Correct, Some(600_000)),
-            // Whoever knows when the first of them takes work again says that instead.
+            // This is the default delay: a caller of this function that knows when the first backend server accepts
+            // requests again returns that time instead.
             Kind::BackendsHoldOff => (503, NotRun, RetrySame, Some(500)),
         };
         Answer { status, outcome, next, retry_after_ms }
     }
 
-    /// Finds the kind by the name that [`KIND_HEADER`](crate::KIND_HEADER) carries.
+    /// Finds a kind by its name in the [`KIND_HEADER`](crate::KIND_HEADER).
     pub fn from_name(name: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|kind| kind.to_string() == name)
     }
 
-    /// The kind that speaks for this attempt and the next of the same request.
+    /// Combines the errors of this attempt and the next attempt of the same request.
     ///
-    /// Once one attempt may have run, the whole request must not be said not to have run.
+    /// If one attempt may have run, the combined error must not report the request as not run.
     pub fn combined_with(self, next: Kind) -> Kind {
         if next.is_not_run() && !self.is_not_run() { self } else { next }
     }
 
-    /// Tells whether a request that failed this way has certainly not run.
+    /// Returns whether a request that failed with this kind has certainly not run.
     pub fn is_not_run(self) -> bool {
         self.answer().outcome == Outcome::NotRun
     }
--- a/crates/leverstream-error/src/lib.rs
+++ b/crates/leverstream-error/src/lib.rs
@@ -1,7 +1,7 @@
-//! The closed list of error kinds and the one table from a kind to its answer.
+//! The closed list of error kinds and the table that maps each kind to its answer.
 //!
-//! Every refusal or failure that leverstream itself answers with is one [`Kind`]. Its [`Answer`]
-//! gives the HTTP status, what became of the request ([`Outcome`]) and what the caller may do.
+//! Every error that leverstream itself returns to a caller is one [`Kind`]. Its [`Answer`] gives the
+//! HTTP status, whether the request ran ([`Outcome`]) and what the caller may do ([`Next`]).
 
 mod kind;
 mod outcome;
@@ -15,5 +15,5 @@
 /// The header that carries the name of the error [`Kind`].
 pub const KIND_HEADER: &str = "leverstream-error";
 
-/// The header that says, in milliseconds, when to come back.
+/// The header that gives the delay before a retry, in milliseconds.
 pub const RETRY_AFTER_HEADER: &str = "leverstream-retry-after-ms";
--- a/crates/leverstream-error/src/outcome.rs
+++ b/crates/leverstream-error/src/outcome.rs
@@ -1,7 +1,7 @@
 use displaydoc::Display;
 use serde::{Deserialize, Serialize};
 
-/// What became of the request that an answer belongs to.
+/// Whether the request that an answer belongs to ran.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
