--- a/crates/leverstream-catalog/tests/catalog.rs
+++ b/crates/leverstream-catalog/tests/catalog.rs
@@ -62,10 +62,10 @@
     let route = route("r", "/x/", &[("a", 90.0), ("none", 0.0), ("b", 10.0)]);
     let count = |service: &str| {
         let points = (0..1_000).map(|index| f64::from(index) / 1_000.0);
-        points.filter(|point| route.target_at(*point).expect("a target").service == service).count()
+        points.filter(|point| route.target_at(*point).expect("one").service == service).count()
     };
     assert_eq!((count("a"), count("none"), count("b")), (900, 0, 100));
-    assert_eq!(route.target_at(1.0).expect("a target").service, "b");
+    assert_eq!(route.target_at(1.0).expect("one").service, "b");
 }
 
 #[parameterized(
