--- a/crates/leverstream-table/src/cell.rs
+++ b/crates/leverstream-table/src/cell.rs
@@ -4,17 +4,17 @@
 
 use crate::error::TableError;
 
-/// A place in the table.
+/// The address of a cell or row of the table.
 ///
-/// Written `service.column` or `service/backend.column`; without the column it means the row.
+/// It is written `service.column` or `service/backend.column`; without a column it addresses the whole row.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Cell {
-    /// The service whose row or backend server is meant.
+    /// The service.
     pub service: String,
-    /// The backend server, unless the service's own row is meant.
+    /// The backend server; none addresses the row of the service itself.
     pub backend: Option<String>,
-    /// The column, unless the whole row is meant.
+    /// The column; none addresses the whole row.
     pub column: Option<String>,
 }
 
--- a/crates/leverstream-table/src/doc.rs
+++ b/crates/leverstream-table/src/doc.rs
@@ -7,50 +7,50 @@
 use crate::row::{BackendRow, ServiceRow, backend_faults, is_name};
 use crate::{Cell, Change};
 
-/// The largest document that is accepted, in bytes of JSON; the platform holds up to a megabyte.
+/// The largest valid document, in bytes of JSON; the platform stores up to 1 MB.
 pub const MAX_DOC_BYTES: usize = 900_000;
 
-/// How many of the last edits a document remembers.
+/// How many of the latest edits a document keeps.
 pub const MAX_EDIT_RECORDS: usize = 32;
 
-/// A service's row with its backend servers and last edits, as the platform holds it.
+/// The rows of a service and its backend servers with the latest edits, as the platform stores them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceDoc {
-    /// The service's name.
+    /// The name of the service.
     pub service: String,
-    /// Raised by each accepted edit and never lowered.
+    /// The version; every accepted edit increases it, and it never decreases.
     pub version: u64,
-    /// Whether the service was taken out of the table; the document stays as a mark.
+    /// Whether the service was removed from the table; the document stays as a tombstone.
     #[serde(default)]
     pub removed: bool,
-    /// The service's own row.
+    /// The row of the service itself.
     #[serde(default)]
     pub row: ServiceRow,
-    /// The rows of its backend servers by name.
+    /// The rows of its backend servers, by name.
     #[serde(default)]
     pub backends: BTreeMap<String, BackendRow>,
-    /// The last edits, oldest first.
+    /// The latest edits, oldest first.
     #[serde(default)]
     pub edits: Vec<EditRecord>,
 }
 
-/// An edit as it was accepted.
+/// The record of an accepted edit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EditRecord {
-    /// The edit's own id, by which a lost answer is resolved.
+    /// The id of the edit, by which a client whose answer was lost learns whether the edit was accepted.
     pub id: String,
-    /// Who made it.
+    /// The operator who made it.
     pub who: String,
-    /// When it was accepted, in milliseconds since 1970.
+    /// When it was accepted, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The version it made.
+    /// The document version that it produced.
     pub version: u64,
-    /// What it changed.
+    /// The changes that it made.
     pub changes: Vec<Change>,
 }
 
 impl ServiceDoc {
-    /// A service that has never been edited.
+    /// Creates the document of a service that has never been edited.
     pub fn empty(service: &str) -> ServiceDoc {
         ServiceDoc {
             service: service.to_owned(),
@@ -62,11 +62,14 @@
         }
     }
 
-    /// Checks the document as a whole and reports every fault.
+    /// Validates the whole document and returns every fault.
     pub fn validate(&self) -> Result<(), TableError> {
         let mut faults = Vec::new();
         if !is_name(&self.service) {
-            faults.push(Fault::new(&self.service, "name it in letters, digits, `-` and `_`"));
+            faults.push(Fault::new(
+                &self.service,
+                "use a name of 1 to 64 letters, digits, `-` and `_`",
+            ));
         }
         if !self.removed {
             faults.extend(self.row.faults(&self.service));
@@ -78,28 +81,28 @@
         if faults.is_empty() { Ok(()) } else { Err(TableError::Invalid(Faults(faults))) }
     }
 
-    /// Finds the record of an edit that has landed.
+    /// Finds the record of an accepted edit by its id.
     pub fn edit(&self, id: &str) -> Option<&EditRecord> {
         self.edits.iter().find(|record| record.id == id)
     }
 
-    /// Finds the last edit that touched a cell or its row.
+    /// Finds the latest edit that changed a cell or its row.
     pub fn last_edit_of(&self, cell: &Cell) -> Option<&EditRecord> {
-        let touches = |change: &Change| {
+        let has_changed_cell = |change: &Change| {
             change.cell.backend == cell.backend
                 && (change.cell.column == cell.column
                     || change.cell.column.is_none()
                     || cell.column.is_none())
         };
-        self.edits.iter().rev().find(|record| record.changes.iter().any(touches))
+        self.edits.iter().rev().find(|record| record.changes.iter().any(has_changed_cell))
     }
 
-    /// Writes the document in the form that the platform holds.
+    /// Serializes the document to JSON, as the platform stores it.
     pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads a document in the form that the platform holds.
+    /// Parses and validates a document from JSON.
     pub fn from_json(json: &[u8]) -> Result<ServiceDoc, String> {
         let doc: ServiceDoc = serde_json::from_slice(json).map_err(|error| error.to_string())?;
         doc.validate().map_err(|error| error.to_string())?;
@@ -107,7 +110,7 @@
     }
 }
 
-/// Hashes which version of a service is held, so that tables compare by a sum of these.
+/// Hashes the name and version of a service; VMs compare their tables by the sum of these hashes.
 pub fn fingerprint(service: &str, version: u64) -> u64 {
     let mut bytes = service.as_bytes().to_vec();
     bytes.push(0);
--- a/crates/leverstream-table/src/error.rs
+++ b/crates/leverstream-table/src/error.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// One thing that is wrong, where it is and what would mend it.
+/// One invalid value: its place and a hint how to correct it.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[displaydoc("{place}: {hint}")]
 pub struct Fault {
@@ -14,34 +14,34 @@
 }
 
 impl Fault {
-    /// Names a place and a hint.
+    /// Creates a fault from its place and hint.
     pub fn new(place: impl Into<String>, hint: impl Into<String>) -> Fault {
         Fault { place: place.into(), hint: hint.into() }
     }
 }
 
-/// Why an edit was not applied.
+/// Why an edit or a document is rejected.
 #[derive(Clone, Debug, PartialEq, Display)]
 pub enum TableError {
-    /// there is no `{0}` in the table
+    /// `{0}` is not in the table
     Unknown(String),
-    /// `{cell}` was changed by {who} meanwhile and now holds {value}
+    /// `{cell}` was changed by {who} in the meantime and is now {value}
     Conflict {
-        /// The cell that both wanted to change.
+        /// The cell that both edits change.
         cell: String,
-        /// Who changed it.
+        /// The operator who changed it first.
         who: String,
-        /// What it holds now.
+        /// The current value.
         value: Value,
     },
-    /// the table would not hold together: {0}
+    /// invalid table entries: {0}
     Invalid(Faults),
 }
 
 impl std::error::Error for TableError {}
 
 impl TableError {
-    /// The kind that answers it.
+    /// Returns the error kind that the answer carries.
     pub fn kind(&self) -> Kind {
         match self {
             TableError::Unknown(_) => Kind::CellUnknown,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Every fault that a check has found.
+/// All faults found by a validation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Faults(pub Vec<Fault>);
 
--- a/crates/leverstream-table/src/file.rs
+++ b/crates/leverstream-table/src/file.rs
@@ -7,31 +7,31 @@
 use crate::error::Fault;
 use crate::row::{BackendRow, ServiceRow};
 
-/// The whole table or a part of it, as a TOML file holds it.
+/// The table or a part of it, as exported to and imported from a file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TableFile {
-    /// The services by name.
+    /// The services, by name.
     #[serde(default)]
     pub services: BTreeMap<String, FileService>,
 }
 
-/// A service in a file.
+/// A service in a table file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FileService {
-    /// The version that the file was exported at, or 0.
+    /// The version of the service at the export, or 0 if the file doesn't give one.
     #[serde(default)]
     pub version: u64,
-    /// The service's own row.
+    /// The row of the service itself.
     #[serde(default)]
     pub row: ServiceRow,
-    /// Its backend servers by name.
+    /// The rows of its backend servers, by name.
     #[serde(default)]
     pub backends: BTreeMap<String, BackendRow>,
 }
 
-/// Why a file could not be read.
+/// Why a table file could not be parsed.
 #[derive(Clone, Debug, PartialEq, Display)]
 pub enum FileError {
     /// {0}
@@ -43,7 +43,7 @@
 impl std::error::Error for FileError {}
 
 impl TableFile {
-    /// Takes the rows of documents that are not removed.
+    /// Builds a file from the documents, leaving out removed services.
     pub fn from_docs<'a>(docs: impl IntoIterator<Item = &'a ServiceDoc>) -> TableFile {
         let services = docs
             .into_iter()
@@ -56,17 +56,17 @@
         TableFile { services }
     }
 
-    /// Reads a TOML text.
+    /// Parses a file from TOML.
     pub fn from_toml(text: &str) -> Result<TableFile, FileError> {
         toml::from_str(text).map_err(|error| FileError::Toml(error.to_string()))
     }
 
-    /// Writes a TOML text.
+    /// Serializes the file to TOML.
     pub fn to_toml(&self) -> String {
         toml::to_string(self).unwrap_or_default()
     }
 
-    /// Turns the rows into documents without history.
+    /// Converts the services to documents without edit records.
     pub fn into_docs(self) -> Vec<ServiceDoc> {
         self.services
             .into_iter()
--- a/crates/leverstream-table/src/route.rs
+++ b/crates/leverstream-table/src/route.rs
@@ -2,8 +2,8 @@
 
 /// A method and a path pattern, such as `GET /games/*`.
 ///
-/// `*` stands for any method, and at the end of the path for any rest. A rule names the requests
-/// that may be repeated; what no rule names runs at most once.
+/// `*` matches any method and, at the end of the path, any suffix. Rules select, for instance, the
+/// requests that may be repeated; a request that matches none of those rules runs at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct RouteRule {
@@ -12,14 +12,14 @@
 }
 
 impl RouteRule {
-    /// Tells whether a request with this method and path falls under the rule.
+    /// Returns whether a request with this method and path matches the rule.
     pub fn matches(&self, method: &str, path: &str) -> bool {
-        let method_fits = self.method == "*" || self.method == method;
-        let path_fits = match self.path.strip_suffix('*') {
-            Some(prefix) => path.starts_with(prefix) && !climbs(path),
+        let is_method_match = self.method == "*" || self.method == method;
+        let is_path_match = match self.path.strip_suffix('*') {
+            Some(prefix) => path.starts_with(prefix) && !may_leave_prefix(path),
             None => path == self.path,
         };
-        method_fits && path_fits
+        is_method_match && is_path_match
     }
 }
 
@@ -30,15 +30,15 @@
         let (method, path) = text
             .split_once(' ')
             .ok_or_else(|| format!("`{text}` is not a method, a space and a path"))?;
-        let method_ok = method == "*"
+        let is_valid_method = method == "*"
             || (!method.is_empty() && method.bytes().all(|b| b.is_ascii_uppercase() || b == b'-'));
-        if !method_ok {
-            return Err(format!("`{method}` is no method; write it in capitals, or `*`"));
+        if !is_valid_method {
+            return Err(format!("`{method}` is not a method in capital letters or `*`"));
         }
-        let stem = path.strip_suffix('*').unwrap_or(path);
-        if !stem.starts_with('/') || stem.contains(['*', ' ', '?', '#']) {
+        let prefix = path.strip_suffix('*').unwrap_or(path);
+        if !prefix.starts_with('/') || prefix.contains(['*', ' ', '?', '#']) {
             return Err(format!(
-                "`{path}` is no path; it starts with `/`, with `*` only at the end"
+                "`{path}` is not a path; it must start with `/`, and `*` is allowed only at the end"
             ));
         }
         Ok(RouteRule { method: method.to_owned(), path: path.to_owned() })
@@ -51,10 +51,10 @@
     }
 }
 
-/// Tells whether a path could leave the prefix it starts with once a backend server resolves it.
+/// Returns whether a path could leave its prefix when a backend server normalizes it.
 ///
-/// Such a path must not pass as repeatable, since it may name another resource.
-fn climbs(path: &str) -> bool {
+/// Such a path may denote another resource, so it must not match a rule that makes requests repeatable.
+fn may_leave_prefix(path: &str) -> bool {
     let lower = path.to_ascii_lowercase();
     lower.contains("..") || lower.contains("%2e") || lower.contains("//") || lower.contains("%2f")
 }
--- a/crates/leverstream-table/tests/table.rs
+++ b/crates/leverstream-table/tests/table.rs
@@ -1,4 +1,4 @@
-//! Edits, validation and files of the table.
+//! Tests edits, validation, route rules and files of the table.
 
 use leverstream_table::{
     Address, Applied, BackendRow, Cell, Change, Edit, MAX_DOC_BYTES, RouteRule, ServiceDoc,
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 use yare::parameterized;
 
-/// An edit of some cells.
+/// An edit that sets these cells.
 fn edit(id: &str, cells: &[(&str, Value)]) -> Edit {
     let changes = cells.iter().map(|(cell, to)| Change {
         cell: cell.parse().expect("a cell"),
@@ -18,58 +18,59 @@
     Edit { id: id.to_owned(), who: "ann".to_owned(), changes: changes.collect() }
 }
 
-/// A service with one backend server.
+/// The document of a service with one backend server.
 fn shop() -> ServiceDoc {
     let rows =
         [("shop", json!({ "taken_over": true })), ("shop/b1", json!({ "address": "10.0.0.1:80" }))];
     applied(apply(None, &edit("first", &rows), 0, 1))
 }
 
-/// The document that an edit made.
+/// Returns the document that an edit produced.
 fn applied(result: Result<Applied, TableError>) -> ServiceDoc {
     match result {
         Ok(Applied::New(doc)) => *doc,
-        other => panic!("not applied: {other:?}"),
+        other => panic!("the edit is not applied: {other:?}"),
     }
 }
 
 #[test]
-fn an_edit_lands_once_however_often_it_is_made() {
+fn repeated_edit_is_applied_once() {
     let doc = shop();
     let again = apply(Some(&doc), &edit("first", &[("shop.queue", json!(1))]), 9, 2);
     assert_eq!(again, Ok(Applied::Duplicate(1)));
 }
 
 #[test]
-fn versions_exceed_whatever_was_seen() {
+fn new_version_exceeds_the_highest_seen_version() {
     let doc = applied(apply(Some(&shop()), &edit("second", &[("shop.queue", json!(1))]), 41, 2));
     assert_eq!(doc.version, 42);
 }
 
 #[test]
-fn a_cell_changed_meanwhile_is_a_conflict_that_names_who_and_what() {
+fn change_of_a_cell_with_another_value_is_a_conflict_with_operator_and_value() {
     let doc = applied(apply(Some(&shop()), &edit("second", &[("shop.queue", json!(7))]), 0, 2));
-    let mut late = edit("third", &[("shop.queue", json!(8))]);
-    late.changes[0].was = Some(json!(64));
-    let error = apply(Some(&doc), &late, 0, 3).expect_err("it is refused");
-    let wanted = TableError::Conflict {
+    let mut stale = edit("third", &[("shop.queue", json!(8))]);
+    stale.changes[0].was = Some(json!(64));
+    let error = apply(Some(&doc), &stale, 0, 3).expect_err("the edit is rejected");
+    let expected = TableError::Conflict {
         cell: "shop.queue".to_owned(),
         who: "ann".to_owned(),
         value: json!(7),
     };
-    assert_eq!(error, wanted);
+    assert_eq!(error, expected);
 }
 
 #[test]
-fn all_faults_are_told_at_once() {
-    let bad = [
+fn validation_returns_all_faults_at_once() {
+    let invalid = [
         ("shop.floor_percent", json!(101)),
         ("shop.deadline_ms", json!(0)),
         ("shop/b1.slots", json!(0)),
         ("shop/b2", json!({ "address": "0.0.0.0:80" })),
     ];
-    let Err(TableError::Invalid(faults)) = apply(Some(&shop()), &edit("bad", &bad), 0, 2) else {
-        panic!("it is refused");
+    let Err(TableError::Invalid(faults)) = apply(Some(&shop()), &edit("bad", &invalid), 0, 2)
+    else {
+        panic!("the edit is rejected");
     };
     let places: Vec<&str> = faults.0.iter().map(|fault| fault.place.as_str()).collect();
     assert_eq!(
@@ -79,7 +80,7 @@
 }
 
 #[test]
-fn a_document_larger_than_the_platform_takes_is_refused() {
+fn document_above_the_size_limit_is_rejected() {
     let mut doc = shop();
     for number in 0..MAX_DOC_BYTES / 100 {
         let address = Address(
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn a_removed_service_leaves_a_mark_with_a_higher_version() {
+fn removed_service_leaves_a_tombstone_with_a_higher_version() {
     let doc = applied(apply(Some(&shop()), &edit("gone", &[("shop", Value::Null)]), 0, 2));
     assert!(doc.removed && doc.backends.is_empty() && doc.version == 2);
 }
@@ -101,27 +102,27 @@
     plain = { "GET /games/*", "GET", "/games/7", true },
     other_method = { "GET /games/*", "POST", "/games/7", false },
     any_method = { "* /games/*", "POST", "/games/7", true },
-    exact = { "GET /games", "GET", "/games/7", false },
-    climbs = { "GET /games/*", "GET", "/games/../orders", false },
-    climbs_hidden = { "GET /games/*", "GET", "/games/%2E%2e/orders", false },
-    double = { "GET /games/*", "GET", "/games//orders", false },
+    exact_path = { "GET /games", "GET", "/games/7", false },
+    parent_segment = { "GET /games/*", "GET", "/games/../orders", false },
+    encoded_parent_segment = { "GET /games/*", "GET", "/games/%2E%2e/orders", false },
+    double_slash = { "GET /games/*", "GET", "/games//orders", false },
 )]
-fn routes_match(rule: &str, method: &str, path: &str, wanted: bool) {
+fn route_rule_matches_method_and_path(rule: &str, method: &str, path: &str, expected: bool) {
     let rule = RouteRule::try_from(rule.to_owned()).expect("a rule");
-    assert_eq!(rule.matches(method, path), wanted);
+    assert_eq!(rule.matches(method, path), expected);
 }
 
 #[parameterized(
-    lower = { "get /x" }, no_path = { "GET" }, query = { "GET /x?y" }, middle = { "GET /*/x" },
+    lower_case = { "get /x" }, no_path = { "GET" }, query = { "GET /x?y" }, inner_wildcard = { "GET /*/x" },
     relative = { "GET x" }, two_spaces = { "GET  /x" },
 )]
-fn bad_routes_are_refused(rule: &str) {
+fn invalid_route_rules_are_rejected(rule: &str) {
     assert!(RouteRule::try_from(rule.to_owned()).is_err());
 }
 
 proptest! {
     #[test]
-    fn files_give_back_the_rows(weight in 0_u32..10_000, slots in 1_u32..10_000, queue in 0_u32..1_000, floor in 0_u8..=100) {
+    fn rows_round_trip_through_toml_and_csv(weight in 0_u32..10_000, slots in 1_u32..10_000, queue in 0_u32..1_000, floor in 0_u8..=100) {
         let cells = [
             ("shop/b1.weight", json!(weight)), ("shop/b1.slots", json!(slots)),
             ("shop.queue", json!(queue)), ("shop.floor_percent", json!(floor)),
@@ -132,14 +133,14 @@
             from_csv(&to_csv([&doc])).expect("CSV"),
         ];
         for file in files {
-            let back = file.into_docs().remove(0);
-            prop_assert_eq!(diff(&doc, &back), vec![]);
-            prop_assert_eq!(back.version, 2);
+            let parsed = file.into_docs().remove(0);
+            prop_assert_eq!(diff(&doc, &parsed), vec![]);
+            prop_assert_eq!(parsed.version, 2);
         }
     }
 
     #[test]
-    fn a_difference_applied_gives_the_other_rows(weight in 0_u32..10_000, queue in 0_u32..1_000) {
+    fn applying_a_diff_gives_the_rows_of_the_other_document(weight in 0_u32..10_000, queue in 0_u32..1_000) {
         let from = shop();
         let cells = [
             ("shop/b1.weight", json!(weight)), ("shop.queue", json!(queue)),
@@ -148,12 +149,12 @@
         let to = applied(apply(Some(&from), &edit("second", &cells), 0, 2));
         let changes = diff(&from, &to);
         let edit = Edit { id: "third".to_owned(), who: "ben".to_owned(), changes };
-        let made = applied(apply(Some(&from), &edit, 0, 3));
-        prop_assert_eq!((made.row, made.backends), (to.row, to.backends));
+        let edited = applied(apply(Some(&from), &edit, 0, 3));
+        prop_assert_eq!((edited.row, edited.backends), (to.row, to.backends));
     }
 
     #[test]
-    fn no_text_makes_the_readers_panic(text in ".{0,200}") {
+    fn parsers_do_not_panic_on_arbitrary_text(text in ".{0,200}") {
         let _ = text.parse::<Cell>();
         let _ = RouteRule::try_from(text.clone());
         let _ = TableFile::from_toml(&text);
