--- a/crates/leverstream-table/src/row.rs
+++ b/crates/leverstream-table/src/row.rs
@@ -8,7 +8,7 @@
 /// The longest duration that a row may set, in milliseconds.
 const MAX_DURATION_MS: u64 = 3_600_000;
 
-/// The upper limit of a row's `body_limit_bytes`, in bytes.
+/// The upper limit of `body_limit_bytes`, because bodies of this size are kept in memory for a retry.
 const MAX_BODY_LIMIT_BYTES: u64 = 16 << 20;
 
 /// The most route rules in one column.
@@ -38,7 +38,7 @@
     pub body_limit_bytes: u64,
     /// The requests that are idempotent, so that they may run more than once.
     pub repeatable: Vec<RouteRule>,
-    /// The low-priority requests, which are removed first when the queue is full.
+    /// The low-priority requests, which are rejected or removed first when the queue is full.
     pub give_way: Vec<RouteRule>,
     /// How to treat a request that must run at most once but has no ticket and key.
     pub unkeyed: Unkeyed,
--- a/crates/leverstream-table/tests/table.rs
+++ b/crates/leverstream-table/tests/table.rs
@@ -70,7 +70,7 @@
     ];
     let Err(TableError::Invalid(faults)) = apply(Some(&shop()), &edit("bad", &invalid), 0, 2)
     else {
-        panic!("the edit is rejected");
+        panic!("the edit is not rejected as invalid");
     };
     let places: Vec<&str> = faults.0.iter().map(|fault| fault.place.as_str()).collect();
     assert_eq!(
--- a/crates/leverstream-ticket/tests/once.rs
+++ b/crates/leverstream-ticket/tests/once.rs
@@ -56,7 +56,7 @@
 ) -> RunGuard {
     match begin(ledger, issuer, ticket, key, now_ms) {
         BeginOutcome::Run(guard) => guard,
-        BeginOutcome::Wait(_) => panic!("the request waits for a duplicate"),
+        BeginOutcome::Wait(_) => panic!("the request is a duplicate"),
         BeginOutcome::Refuse(kind) => panic!("the request is refused: {kind}"),
     }
 }
