--- a/crates/leverstream-pace/src/lib.rs
+++ b/crates/leverstream-pace/src/lib.rs
@@ -1,9 +1,9 @@
-//! Time: the process's clock, how often something may happen, and how long to wait after a failure.
+//! The process's clock, a token bucket for rate limits, and exponential backoff after failures.
 
 mod backoff;
 mod bucket;
 mod clock;
 
 pub use backoff::Backoff;
-pub use bucket::Bucket;
+pub use bucket::TokenBucket;
 pub use clock::Clock;
