--- a/crates/leverstream-health/src/checks.rs
+++ b/crates/leverstream-health/src/checks.rs
@@ -1,67 +1,69 @@
 use crate::score::{Baseline, Score};
 
-/// The share of the ejection score that health checks can reach.
-const CHECKS_SHARE: f64 = 0.8;
+/// The largest share of the ejection score that health checks alone can reach.
+const MAX_CHECKS_SHARE: f64 = 0.8;
 
-/// How much checks add at the most to what work says, as a part of that, where ejection is decided.
+/// The most that health checks add to the score of real work when ejection is decided, as a share
+/// of that score.
 ///
-/// Checks misreport, and then for long: were they believed more, one slow answer of a busy machine would eject a sound backend
-/// server.
-const BESIDE_WORK: f64 = 0.5;
+/// Health checks can misreport for a long time. With a higher share, a single slow answer from a
+/// busy machine would eject a healthy backend server.
+const MAX_SHARE_OF_WORK_SCORE: f64 = 0.5;
 
-/// What health checks say of one backend server.
+/// The results of one backend server's health checks.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Checks {
-    /// The score of those that were answered badly.
+    /// The score of the checks that got a bad answer.
     score: Score,
-    /// Bad ones in a row.
+    /// The number of consecutive bad or refused checks.
     bad_in_a_row: u32,
 }
 
 impl Checks {
-    /// Notes one that was answered well.
+    /// Records a check that got a good answer.
     pub fn good(&mut self) {
         self.clear();
     }
 
-    /// Notes one that was answered badly.
+    /// Records a check that got a bad answer.
     pub fn bad(&mut self, baseline: Baseline, eject_score: f64) {
         self.bad_in_a_row += 1;
         self.score.add(0.0, 1.0, baseline);
-        self.score.cap(eject_score * CHECKS_SHARE);
+        self.score.cap(eject_score * MAX_CHECKS_SHARE);
     }
 
-    /// Notes one that was refused, which none can misreport.
+    /// Records a check whose connection was refused. A refused connection cannot be a misreport, so
+    /// it counts as real work and leaves this score alone.
     pub fn refused(&mut self) {
         self.bad_in_a_row += 1;
     }
 
-    /// Notes that work went well.
-    pub fn contradict(&mut self) {
+    /// Clears the score, as real work succeeded.
+    pub fn clear_score(&mut self) {
         self.score.clear();
     }
 
-    /// The score.
+    /// The current score.
     pub fn value(&self) -> f64 {
         self.score.value()
     }
 
-    /// What they add to the score of work where ejection is decided.
-    pub fn beside(&self, work: Score) -> f64 {
-        self.score.value().min(work.value() * BESIDE_WORK)
+    /// The amount that checks add to the score of real work when ejection is decided.
+    pub fn capped_by_work(&self, work: Score) -> f64 {
+        self.score.value().min(work.value() * MAX_SHARE_OF_WORK_SCORE)
     }
 
-    /// Bad ones in a row.
+    /// The number of consecutive bad or refused checks.
     pub fn bad_in_a_row(&self) -> u32 {
         self.bad_in_a_row
     }
 
-    /// Fades the score over a time.
+    /// Decays the score over the elapsed time.
     pub fn fade(&mut self, elapsed_ms: u64) {
         self.score.fade(elapsed_ms);
     }
 
-    /// Forgets what they said, as when a trial begins.
+    /// Clears all results, for example when a trial begins.
     pub fn clear(&mut self) {
         *self = Checks::default();
     }
--- a/crates/leverstream-health/src/health.rs
+++ b/crates/leverstream-health/src/health.rs
@@ -2,45 +2,46 @@
 
 use crate::checks::Checks;
 use crate::observation::{Probe, Work};
-use crate::pool::{Count, Pool};
+use crate::peer_reports::{Count, PeerReports};
 use crate::rule::EjectRule;
 use crate::score::{Baseline, Score, units_of};
 use crate::settings::HealthSettings;
-use crate::sketch::Sketch;
+use crate::sketch::QuantileSketch;
 use crate::standing::Standing;
 
-/// The quantile of the others' times against which slowness is judged.
-const TYPICAL_QUANTILE: f64 = 0.95;
+/// The quantile of the other backend servers' times that slowness is measured against.
+const BASELINE_QUANTILE: f64 = 0.95;
 
-/// How much slower than that an answer must be to count as slow.
+/// The multiple of that quantile from which an answer counts as slow.
 const SLOW_FACTOR: f64 = 1.5;
 
-/// Below this time nothing counts as slow, in milliseconds.
-const SLOW_LEAST_MS: f64 = 5.0;
+/// The time below which no answer counts as slow, in milliseconds.
+const MIN_SLOW_MS: f64 = 5.0;
 
-/// How many times the others must have shown before slowness is judged against them.
-const TYPICAL_FROM: f64 = 20.0;
+/// The number of observed times below which slowness isn't measured against them.
+const MIN_OBSERVED_TIMES: f64 = 20.0;
 
-/// The units of bad evidence in a refused connection.
+/// The units of bad evidence that a refused connection gives.
 const REFUSED_UNITS: u8 = 2;
 
-/// The units of bad evidence in a failed answer.
+/// The units of bad evidence that a failed answer gives.
 const FAILED_UNITS: u8 = 1;
 
-/// The least share of its weight that a backend server in service is given for its score.
-const SHIFT_LEAST: f64 = 0.1;
+/// The smallest share of its weight to which a score lowers a backend server in service.
+const MIN_SHIFT_SHARE: f64 = 0.1;
 
-/// How long a backend server's own word that it drains counts, in milliseconds.
-const DRAINING_MS: u64 = 60_000;
+/// The time for which a backend server's notice that it drains counts, in milliseconds.
+const DRAIN_NOTICE_MS: u64 = 60_000;
 
-/// How long what was counted takes to halve, in milliseconds.
+/// The half-life of recent counts and times, in milliseconds.
 const COUNT_HALF_LIFE_MS: f64 = 10_000.0;
 
-/// The same for the counts that show a sudden change of the whole service.
-const SUDDEN_HALF_LIFE_MS: f64 = 1_000.0;
+/// The half-life of the counts that detect a sudden change of the whole service, in milliseconds.
+const SHORT_HALF_LIFE_MS: f64 = 1_000.0;
 
-/// The most that one backend server's score adds to that mean, as a share of the ejection score.
-const MEAN_CAP: f64 = 1.5;
+/// The most that one backend server's score adds to the mean over the others, as a multiple of the
+/// ejection score.
+const MAX_MEAN_CONTRIBUTION: f64 = 1.5;
 
 /// The key of a backend server in a [`Health`]'s arena.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -48,107 +49,107 @@
 
 /// One VM's view of the health of one service's backend servers.
 pub struct Health {
-    /// What the service's row says.
+    /// The service's settings.
     settings: HealthSettings,
-    /// How ejection is decided.
+    /// The rule that decides on ejection.
     rule: &'static EjectRule,
-    /// The backend servers.
+    /// The backend servers, by key.
     backends: Vec<Backend>,
-    /// When [`tick`](Self::tick) last ran.
+    /// The time of the last [`tick`](Self::tick).
     ticked_ms: u64,
-    /// How long work usually takes, as of the last tick.
+    /// The median time of a request over all backend servers, as of the last tick.
     typical_ms: f64,
 }
 
-/// What is held of one backend server.
+/// The state of one backend server.
 struct Backend {
     /// Its name in the table.
     name: String,
-    /// Its weight in the table; 0 when it takes no work.
+    /// Its weight in the table; 0 when it takes no requests.
     weight: f64,
-    /// Where it stands.
+    /// The ejection state.
     standing: Standing,
-    /// Ejections that were not yet made up for.
+    /// The number of past ejections that are not yet forgiven; they lengthen the next hold-off.
     ejections: u32,
-    /// When its last ramp ended.
+    /// The time of its last return to full service or of the last forgiven ejection.
     settled_ms: u64,
-    /// The score of this VM's own work.
+    /// The score of this VM's own requests.
     own: Score,
-    /// What health checks say.
+    /// The results of its health checks.
     checks: Checks,
-    /// What other VMs have seen.
-    pool: Pool,
+    /// The evidence that other VMs report.
+    peer_reports: PeerReports,
     /// The times of good answers.
-    times: Sketch,
-    /// Recent good and bad work, fading.
+    times: QuantileSketch,
+    /// Recent good answers and bad evidence, with the longer half-life.
     recent: Recent,
-    /// The same, fading fast.
-    sudden: Recent,
-    /// Counts since the start, for other VMs.
+    /// Recent good answers and bad evidence, with the shorter half-life.
+    short_term: Recent,
+    /// The counts since the start that other VMs are sent.
     count: Count,
-    /// From which time work counts as slow.
+    /// The time from which a request counts as slow.
     slow_ms: f64,
-    /// Failures in a row.
+    /// The number of consecutive failures.
     failures_in_a_row: u32,
-    /// Until when its own word that it drains counts.
+    /// The time until which its notice that it drains counts.
     draining_until_ms: u64,
 }
 
-/// Counts of work that fade.
+/// Counts of evidence that decay.
 #[derive(Clone, Copy, Debug, Default)]
 struct Recent {
-    /// Good answers.
+    /// The number of good answers.
     good: f64,
-    /// Units of bad evidence.
+    /// The number of units of bad evidence.
     bad: f64,
 }
 
-/// What a picker is told of a backend server.
+/// The health of a backend server as load balancing uses it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fitness {
+pub struct BackendFitness {
     /// The share of its weight that it should carry, from 0 to 1.
     pub share: f64,
-    /// Whether it may only be given single repeatable requests.
+    /// Whether it may only get single repeatable requests.
     pub is_trial: bool,
-    /// The requests that other VMs have under way there.
+    /// The number of requests that other VMs have in flight there.
     pub others_in_flight: u32,
-    /// From which time work there counts as slow.
+    /// The time from which a request there counts as slow.
     pub slow_ms: f64,
 }
 
-/// What an operator is shown of a backend server.
+/// The health of a backend server as operators see it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct View {
     /// Its name.
     pub name: String,
-    /// Where it stands.
+    /// The ejection state.
     pub standing: Standing,
-    /// The score of this VM's own work and checks.
+    /// The score of this VM's own requests and health checks.
     pub own_score: f64,
     /// The score on which several VMs agree, if they do.
     pub agreed_score: Option<f64>,
-    /// From which time work there counts as slow.
+    /// The time from which a request there counts as slow.
     pub slow_ms: f64,
-    /// Ejections that were not yet made up for.
+    /// The number of past ejections that are not yet forgiven; they lengthen the next hold-off.
     pub ejections: u32,
-    /// Whether it says that it drains.
+    /// Whether its notice that it drains counts.
     pub is_draining: bool,
-    /// Counts since the start.
+    /// The counts since the start.
     pub count: Count,
 }
 
 impl Health {
-    /// Opens a view without backend servers.
+    /// Creates a view without backend servers.
     pub fn open(settings: HealthSettings, rule: &'static EjectRule, now_ms: u64) -> Health {
         Health { settings, rule, backends: Vec::new(), ticked_ms: now_ms, typical_ms: 0.0 }
     }
 
-    /// Changes what the row says.
+    /// Replaces the settings.
     pub fn set_settings(&mut self, settings: HealthSettings) {
         self.settings = settings;
     }
 
-    /// Adds a backend server; one that `is_cold` starts with a small share.
+    /// Adds a backend server; one that `is_cold` ramps up from a small share.
     pub fn add(&mut self, name: &str, weight: u32, is_cold: bool, now_ms: u64) -> BackendKey {
         let standing =
             if is_cold { Standing::Ramping { since_ms: now_ms } } else { Standing::Serving };
@@ -160,10 +161,10 @@
             settled_ms: now_ms,
             own: Score::default(),
             checks: Checks::default(),
-            pool: Pool::default(),
-            times: Sketch::default(),
+            peer_reports: PeerReports::default(),
+            times: QuantileSketch::default(),
             recent: Recent::default(),
-            sudden: Recent::default(),
+            short_term: Recent::default(),
             count: Count::default(),
             slow_ms: self.settings.deadline_ms as f64 / 4.0,
             failures_in_a_row: 0,
@@ -172,7 +173,7 @@
         BackendKey(self.backends.len() as u32 - 1)
     }
 
-    /// Changes a backend server's weight; 0 means that it takes no work.
+    /// Changes a backend server's weight; 0 means that it takes no requests.
     pub fn set_weight(&mut self, key: BackendKey, weight: u32) {
         self.backend_mut(key).weight = f64::from(weight);
     }
@@ -182,9 +183,10 @@
         (0..self.backends.len() as u32).map(BackendKey)
     }
 
-    /// Notes the end of a piece of work.
+    /// Records the end of a request.
     ///
-    /// `charged` is how many units of bad evidence its age has given already while it ran.
+    /// `charged` is the number of units of bad evidence that the request's age already gave while
+    /// it ran.
     pub fn finish(&mut self, key: BackendKey, work: Work, time_ms: f64, charged: u8) {
         let backend = self.backend_mut(key);
         let units = match work {
@@ -201,25 +203,26 @@
         }
         let is_good = work == Work::Good && units == 0 && charged == 0;
         if is_good {
-            backend.checks.contradict();
+            backend.checks.clear_score();
         }
-        self.observe(key, u64::from(is_good), u64::from(units));
+        self.record(key, u64::from(is_good), u64::from(units));
     }
 
-    /// Notes units of bad evidence from work that is still under way.
+    /// Records units of bad evidence from a request that is still in flight.
     pub fn charge(&mut self, key: BackendKey, units: u8) {
-        self.observe(key, 0, u64::from(units));
+        self.record(key, 0, u64::from(units));
     }
 
-    /// From which time work at a backend server counts as slow.
+    /// The time from which a request to a backend server counts as slow.
     pub fn slow_ms(&self, key: BackendKey) -> f64 {
         self.backend(key).slow_ms
     }
 
-    /// Notes the end of a health check.
+    /// Records the end of a health check.
     ///
-    /// An answered check never clears the evidence of real work, and bad answers alone never reach
-    /// the ejection score: checks misreport. Only a refused connection counts like work.
+    /// A good check never clears the evidence of real requests, and bad answers to checks alone
+    /// never reach the ejection score, because checks can misreport. Only a refused connection
+    /// counts as a real request does.
     pub fn probe(&mut self, key: BackendKey, probe: Probe) {
         let baseline = self.baseline(key);
         let eject_score = self.settings.eject_score;
@@ -229,17 +232,17 @@
             Probe::Bad => checks.bad(baseline, eject_score),
             Probe::Refused => {
                 checks.refused();
-                self.observe(key, 0, u64::from(REFUSED_UNITS));
+                self.record(key, 0, u64::from(REFUSED_UNITS));
             }
         }
     }
 
-    /// Notes that a backend server says it drains.
+    /// Records a backend server's notice that it drains.
     pub fn drain(&mut self, key: BackendKey, now_ms: u64) {
-        self.backend_mut(key).draining_until_ms = now_ms + DRAINING_MS;
+        self.backend_mut(key).draining_until_ms = now_ms + DRAIN_NOTICE_MS;
     }
 
-    /// Takes in what another VM has seen of a backend server.
+    /// Records another VM's report about a backend server.
     pub fn report(
         &mut self,
         key: BackendKey,
@@ -249,27 +252,28 @@
         now_ms: u64,
     ) {
         let baseline = self.baseline(key);
-        self.backend_mut(key).pool.report(reporter, count, in_flight, baseline, now_ms);
+        self.backend_mut(key).peer_reports.report(reporter, count, in_flight, baseline, now_ms);
     }
 
-    /// Notes that another VM is there, whether or not it had something new to tell.
+    /// Records that another VM is alive, whether or not it had something new to report.
     pub fn hear(&mut self, reporter: u64, now_ms: u64) {
         for backend in &mut self.backends {
-            backend.pool.hear(reporter, now_ms);
+            backend.peer_reports.hear(reporter, now_ms);
         }
     }
 
-    /// The counts to tell other VMs.
+    /// The counts that other VMs are sent.
     pub fn count(&self, key: BackendKey) -> Count {
         self.backend(key).count
     }
 
-    /// Tells whether a backend server says that it drains.
+    /// Tells whether a backend server's notice that it drains still counts.
     pub fn is_draining(&self, key: BackendKey, now_ms: u64) -> bool {
         now_ms < self.backend(key).draining_until_ms
     }
 
-    /// Decides what is due by now: fades old evidence, tries, returns, ejects.
+    /// Does what is due by now: decays old evidence, advances trials and ramps, returns and ejects
+    /// backend servers.
     pub fn tick(&mut self, now_ms: u64) {
         self.fade(now_ms);
         self.update_times();
@@ -278,21 +282,21 @@
         self.eject(now_ms);
     }
 
-    /// What a picker is told of a backend server.
-    pub fn fitness(&self, key: BackendKey, now_ms: u64) -> Fitness {
+    /// The health of a backend server as load balancing uses it.
+    pub fn fitness(&self, key: BackendKey, now_ms: u64) -> BackendFitness {
         let backend = self.backend(key);
         let standing = backend.standing.share(self.settings.ramp_ms, now_ms);
         let is_draining = self.is_draining(key, now_ms);
         let share = if is_draining { 0.0 } else { standing * self.shift(backend) };
-        Fitness {
+        BackendFitness {
             share,
             is_trial: matches!(backend.standing, Standing::Trial { .. }) && !is_draining,
-            others_in_flight: backend.pool.in_flight(),
+            others_in_flight: backend.peer_reports.in_flight(),
             slow_ms: backend.slow_ms,
         }
     }
 
-    /// What an operator is shown of a backend server.
+    /// The health of a backend server as operators see it.
     pub fn view(&self, key: BackendKey, now_ms: u64) -> View {
         let backend = self.backend(key);
         View {
@@ -313,133 +317,135 @@
         if total == 0.0 { 1.0 } else { self.serving_weight(now_ms) / total }
     }
 
-    /// How long work of this service usually takes, in milliseconds.
+    /// The median time of a request to this service in milliseconds, 0 without enough observations.
     pub fn typical_ms(&self) -> f64 {
         self.typical_ms
     }
 
-    /// How many backend servers are out of service.
+    /// The number of backend servers out of service.
     pub fn ejected(&self) -> usize {
         self.backends.iter().filter(|backend| !backend.standing.is_in_service()).count()
     }
 
-    /// Failures in a row of a backend server's work.
+    /// The number of consecutive failures of a backend server's requests.
     pub(crate) fn failures_in_a_row(&self, key: BackendKey) -> u32 {
         self.backend(key).failures_in_a_row
     }
 
-    /// Bad health checks in a row of a backend server.
+    /// The number of consecutive bad health checks of a backend server.
     pub(crate) fn probes_in_a_row(&self, key: BackendKey) -> u32 {
         self.backend(key).checks.bad_in_a_row()
     }
 
-    /// The score of this VM's own work and checks.
+    /// The score of this VM's own requests and health checks.
     fn own_score(&self, backend: &Backend) -> f64 {
         backend.own.value() + backend.checks.value()
     }
 
-    /// The same where ejection is decided, which checks alone never bring about.
-    fn judged_score(&self, backend: &Backend) -> f64 {
-        backend.own.value() + backend.checks.beside(backend.own)
+    /// The score on which ejection is decided. Checks alone never raise it.
+    fn score_for_ejection(&self, backend: &Backend) -> f64 {
+        backend.own.value() + backend.checks.capped_by_work(backend.own)
     }
 
-    /// The score on which several VMs agree.
+    /// The score on which several VMs agree, if they do.
     fn agreed_score(&self, backend: &Backend) -> Option<f64> {
         let recent = backend.recent.good + backend.recent.bad;
-        let agrees = backend.pool.agrees(backend.own, recent);
-        agrees.then(|| backend.pool.total(backend.own, self.settings.eject_score))
+        let agrees = backend.peer_reports.agrees(backend.own, recent);
+        agrees.then(|| backend.peer_reports.total(backend.own, self.settings.eject_score))
     }
 
-    /// The mean of a score over the service's other backend servers, those ejected too.
+    /// The mean of a score over the service's other backend servers, including ejected ones.
     fn mean_of_others(&self, key: BackendKey, score: impl Fn(&Backend) -> f64) -> f64 {
-        let cap = self.settings.eject_score * MEAN_CAP;
+        let cap = self.settings.eject_score * MAX_MEAN_CONTRIBUTION;
         let (sum, count) = self
             .others(key)
             .fold((0.0, 0.0), |(sum, count), other| (sum + score(other).min(cap), count + 1.0));
         if count == 0.0 { 0.0 } else { sum / count }
     }
 
-    /// The share of its weight that a backend server is left with for its score.
+    /// The share of its weight that a backend server keeps at its score.
     fn shift(&self, backend: &Backend) -> f64 {
         if !self.rule.shifts {
             return 1.0;
         }
         let score = self.own_score(backend).max(self.agreed_score(backend).unwrap_or(0.0));
-        (1.0 - score / self.settings.eject_score).clamp(SHIFT_LEAST, 1.0)
+        (1.0 - score / self.settings.eject_score).clamp(MIN_SHIFT_SHARE, 1.0)
     }
 
-    /// Adds good answers and units of bad evidence to all that counts them.
-    fn observe(&mut self, key: BackendKey, good: u64, bad: u64) {
+    /// Adds good answers and units of bad evidence to all of a backend server's counts and scores.
+    fn record(&mut self, key: BackendKey, good: u64, bad: u64) {
         let baseline = self.baseline(key);
         let backend = self.backend_mut(key);
         backend.own.add(good as f64, bad as f64, baseline);
         backend.recent.add(good, bad);
-        backend.sudden.add(good, bad);
+        backend.short_term.add(good, bad);
         backend.count.good += good;
         backend.count.bad += bad;
     }
 
-    /// The share of bad work among the service's other backend servers.
+    /// The baseline from the evidence of the service's other backend servers in service. The longer
+    /// and the shorter half-life are both tried, and the higher share of bad evidence holds.
     fn baseline(&self, key: BackendKey) -> Baseline {
         let mut recent = Recent::default();
-        let mut sudden = Recent::default();
+        let mut short_term = Recent::default();
         for other in self.others(key).filter(|other| other.standing.is_in_service()) {
             recent.merge(other.recent);
-            sudden.merge(other.sudden);
+            short_term.merge(other.short_term);
         }
         Baseline::from_counts(recent.good, recent.bad)
-            .max(Baseline::from_counts(sudden.good, sudden.bad))
+            .max(Baseline::from_counts(short_term.good, short_term.bad))
     }
 
-    /// Lets what was observed fade.
+    /// Decays all evidence.
     fn fade(&mut self, now_ms: u64) {
         let elapsed_ms = now_ms.saturating_sub(self.ticked_ms);
         self.ticked_ms = now_ms;
         let factor = (-(elapsed_ms as f64) / COUNT_HALF_LIFE_MS).exp2();
-        let sudden_factor = (-(elapsed_ms as f64) / SUDDEN_HALF_LIFE_MS).exp2();
+        let short_term_factor = (-(elapsed_ms as f64) / SHORT_HALF_LIFE_MS).exp2();
         for backend in &mut self.backends {
             backend.own.fade(elapsed_ms);
             backend.checks.fade(elapsed_ms);
-            backend.pool.fade(elapsed_ms, now_ms);
+            backend.peer_reports.fade(elapsed_ms, now_ms);
             backend.recent.fade(factor);
-            backend.sudden.fade(sudden_factor);
-            if backend.times.total() > TYPICAL_FROM {
+            backend.short_term.fade(short_term_factor);
+            if backend.times.total() > MIN_OBSERVED_TIMES {
                 backend.times.fade(factor as f32);
             }
         }
     }
 
-    /// Works out anew how long work takes, and from which time it is slow at each backend server.
+    /// Updates the median time of a request and the time from which a request is slow at each
+    /// backend server.
     fn update_times(&mut self) {
-        let mut all = Sketch::default();
+        let mut all = QuantileSketch::default();
         for backend in &self.backends {
             all.merge(&backend.times, 1.0);
         }
-        self.typical_ms = if all.total() < TYPICAL_FROM { 0.0 } else { all.quantile(0.5) };
+        self.typical_ms = if all.total() < MIN_OBSERVED_TIMES { 0.0 } else { all.quantile(0.5) };
         let fallback_ms = self.settings.deadline_ms as f64 / 4.0;
         for backend in &mut self.backends {
             let mut others = all.clone();
             others.merge(&backend.times, -1.0);
-            backend.slow_ms = if others.total() < TYPICAL_FROM {
+            backend.slow_ms = if others.total() < MIN_OBSERVED_TIMES {
                 fallback_ms
             } else {
-                (others.quantile(TYPICAL_QUANTILE) * SLOW_FACTOR).max(SLOW_LEAST_MS)
+                (others.quantile(BASELINE_QUANTILE) * SLOW_FACTOR).max(MIN_SLOW_MS)
             };
         }
     }
 
-    /// The weight of all backend servers that take work; those that drain take none.
+    /// The weight of all backend servers that take requests; draining ones take none.
     fn total_weight(&self, now_ms: u64) -> f64 {
         self.backends.iter().map(|backend| backend.usable_weight(now_ms)).sum()
     }
 
-    /// The weight that is in service; a ramping backend server counts for what it carries.
+    /// The weight that is in service; a ramping backend server counts with its present share.
     fn serving_weight(&self, now_ms: u64) -> f64 {
         let share = |backend: &Backend| backend.standing.share(self.settings.ramp_ms, now_ms);
         self.backends.iter().map(|backend| backend.usable_weight(now_ms) * share(backend)).sum()
     }
 
-    /// The other backend servers that take work.
+    /// The other backend servers that take requests.
     fn others(&self, key: BackendKey) -> impl Iterator<Item = &Backend> {
         let indexed = self.backends.iter().enumerate();
         indexed
@@ -447,12 +453,12 @@
             .map(|(_, backend)| backend)
     }
 
-    /// Looks a backend server up.
+    /// The state of a backend server.
     fn backend(&self, key: BackendKey) -> &Backend {
         &self.backends[key.0 as usize]
     }
 
-    /// Looks a backend server up to change it.
+    /// The mutable state of a backend server.
     fn backend_mut(&mut self, key: BackendKey) -> &mut Backend {
         &mut self.backends[key.0 as usize]
     }
@@ -465,13 +471,13 @@
         self.bad += bad as f64;
     }
 
-    /// Adds another's counts.
+    /// Adds another set of counts.
     fn merge(&mut self, other: Recent) {
         self.good += other.good;
         self.bad += other.bad;
     }
 
-    /// Fades the counts by a factor below one.
+    /// Multiplies the counts by a factor below one.
     fn fade(&mut self, factor: f64) {
         self.good *= factor;
         self.bad *= factor;
@@ -479,16 +485,16 @@
 }
 
 impl Backend {
-    /// Its weight, unless it drains.
+    /// Its weight, or 0 while it drains.
     fn usable_weight(&self, now_ms: u64) -> f64 {
         if now_ms < self.draining_until_ms { 0.0 } else { self.weight }
     }
 
-    /// Forgets the scores, as when a trial begins.
+    /// Clears the scores, for example when a trial begins.
     fn clear_scores(&mut self) {
         self.own.clear();
         self.checks.clear();
-        self.pool.clear();
+        self.peer_reports.clear();
         self.failures_in_a_row = 0;
     }
 }
--- a/crates/leverstream-health/src/health/eject.rs
+++ b/crates/leverstream-health/src/health/eject.rs
@@ -1,46 +1,47 @@
-//! Who goes, who may come back, and when.
+//! Ejection, trials, and the return to service.
 
 use super::{BackendKey, Health};
 use crate::observation::Work;
 use crate::score::units_of;
 use crate::standing::{Reason, Standing};
 
-/// How many trial requests must go well before the return.
-const TRIALS: u32 = 3;
+/// The number of successful trial requests that a return requires.
+const REQUIRED_TRIALS: u32 = 3;
 
-/// How long a backend server waits for trial requests before it returns without any, for services
-/// whose requests may not be repeated.
-const UNTRIED_MS: u64 = 600_000;
+/// The time without trial requests after which a backend server returns untried, in milliseconds.
+/// Services whose requests may not be repeated send no trials.
+const TRIAL_WAIT_LIMIT_MS: u64 = 600_000;
 
 /// The longest hold-off, as a multiple of the first.
-const HOLDOFF_LIMIT: u64 = 64;
+const MAX_HOLDOFF_FACTOR: u64 = 64;
 
-/// How far the mean score of the others must be exceeded, as a multiple of it.
+/// The factor of the others' mean score by which a score must exceed the ejection score.
 ///
-/// Under a fault of the whole service all scores rise together, and none stands out.
-const STANDS_OUT: f64 = 3.0;
+/// Under a fault of the whole service all scores rise together, and none exceeds the others.
+const OUTLIER_FACTOR: f64 = 3.0;
 
-/// The units of bad evidence from which a trial that was answered has failed.
-const TRIAL_FAILS_FROM: u8 = 3;
+/// The units of bad evidence from which an answered trial request counts as failed.
+const TRIAL_FAILURE_UNITS: u8 = 3;
 
 impl Health {
-    /// Judges a backend server by how far its score stands out from the service's others.
+    /// Returns the reason to eject a backend server, if its score is an outlier among the service's
+    /// others.
     pub(crate) fn judge_evidence(&self, key: BackendKey) -> Option<Reason> {
         let limit = self.settings.eject_score;
         let backend = self.backend(key);
-        let own_mean = self.mean_of_others(key, |other| self.judged_score(other));
-        if self.judged_score(backend) >= limit + STANDS_OUT * own_mean {
+        let own_mean = self.mean_of_others(key, |other| self.score_for_ejection(other));
+        if self.score_for_ejection(backend) >= limit + OUTLIER_FACTOR * own_mean {
             return Some(Reason::Own);
         }
         let agreed = self.agreed_score(backend)?;
-        let mean = self.mean_of_others(key, |other| other.pool.total(other.own, limit));
-        (agreed >= limit + STANDS_OUT * mean).then_some(Reason::Agreed)
+        let mean = self.mean_of_others(key, |other| other.peer_reports.total(other.own, limit));
+        (agreed >= limit + OUTLIER_FACTOR * mean).then_some(Reason::Agreed)
     }
 
-    /// Notes the end of a trial request.
+    /// Records the end of a trial request.
     ///
-    /// One that is merely slow decides nothing: a quantile of a few quick answers is a sharp limit,
-    /// and each failed trial doubles the hold-off.
+    /// A slightly slow answer decides nothing: the quantile of a few fast answers is a strict
+    /// limit, and each failed trial doubles the hold-off.
     pub fn finish_trial(&mut self, key: BackendKey, work: Work, time_ms: f64, now_ms: u64) {
         let backend = self.backend(key);
         let Standing::Trial { since_ms, good } = backend.standing else { return };
@@ -49,13 +50,14 @@
             Work::Good if units == 0 => {
                 self.backend_mut(key).standing = Standing::Trial { since_ms, good: good + 1 };
             }
-            Work::Good if units < TRIAL_FAILS_FROM => {}
+            Work::Good if units < TRIAL_FAILURE_UNITS => {}
             Work::Nothing => {}
             _ => self.eject_one(key, Reason::Trial, now_ms),
         }
     }
 
-    /// Moves backend servers along on their way back.
+    /// Moves ejected backend servers through trials and ramp-up back to full service, and forgives
+    /// past ejections over time.
     pub(super) fn advance(&mut self, now_ms: u64) {
         let settings = self.settings;
         for backend in &mut self.backends {
@@ -65,8 +67,8 @@
                     backend.clear_scores();
                 }
                 Standing::Trial { since_ms, good } => {
-                    let is_untried = now_ms.saturating_sub(since_ms) >= UNTRIED_MS;
-                    if good >= TRIALS || (is_untried && backend.own.value() == 0.0) {
+                    let is_untried = now_ms.saturating_sub(since_ms) >= TRIAL_WAIT_LIMIT_MS;
+                    if good >= REQUIRED_TRIALS || (is_untried && backend.own.value() == 0.0) {
                         backend.standing = Standing::Ramping { since_ms: now_ms };
                     }
                 }
@@ -88,8 +90,8 @@
         }
     }
 
-    /// Returns ejected backend servers, those due first, when others that drained have taken what is
-    /// in service below the floor or to nothing.
+    /// Returns ejected backend servers to service, those due first, while draining backend servers
+    /// leave less weight in service than the floor, or none.
     pub(super) fn restore(&mut self, now_ms: u64) {
         while let Some(key) = self.next_to_restore(now_ms) {
             let backend = self.backend_mut(key);
@@ -99,10 +101,11 @@
         }
     }
 
-    /// The ejected backend server to return now, if too little is in service.
+    /// The ejected backend server to return now, if too little weight is in service.
     fn next_to_restore(&self, now_ms: u64) -> Option<BackendKey> {
         let usable = |key: &BackendKey| self.backend(*key).usable_weight(now_ms);
-        // One that ramps counts whole: what is missing there comes by itself.
+        // A ramping backend server counts with its full weight, as its share rises without a return
+        // of others.
         let in_service = self.keys().filter(|key| self.backend(*key).standing.is_in_service());
         let weight: f64 = in_service.map(|key| usable(&key)).sum();
         if weight > 0.0 && weight >= self.floor_weight(now_ms) {
@@ -117,7 +120,7 @@
         ejected.min_by_key(|(until_ms, _)| *until_ms).map(|(_, key)| key)
     }
 
-    /// Ejects those who should go, the worst first, as far as the floor allows.
+    /// Ejects the backend servers that the rule names, the worst first, as far as the floor allows.
     pub(super) fn eject(&mut self, now_ms: u64) {
         let judge = self.rule.judge;
         let mut candidates: Vec<(BackendKey, Reason)> = self
@@ -134,7 +137,7 @@
         }
     }
 
-    /// Tells whether the floor still holds without a backend server.
+    /// Tells whether the floor still holds without the backend server.
     fn floor_allows(&self, key: BackendKey, now_ms: u64) -> bool {
         let backend = self.backend(key);
         let share = backend.standing.share(self.settings.ramp_ms, now_ms);
@@ -147,11 +150,12 @@
         self.total_weight(now_ms) * f64::from(self.settings.floor_percent) / 100.0
     }
 
-    /// Ejects a backend server; each time in a row for twice as long.
+    /// Ejects a backend server; each further ejection doubles the hold-off up to its limit.
     fn eject_one(&mut self, key: BackendKey, reason: Reason, now_ms: u64) {
         let holdoff_ms = self.settings.holdoff_ms;
         let backend = self.backend_mut(key);
-        let factor = 1_u64.checked_shl(backend.ejections).unwrap_or(u64::MAX).min(HOLDOFF_LIMIT);
+        let factor =
+            1_u64.checked_shl(backend.ejections).unwrap_or(u64::MAX).min(MAX_HOLDOFF_FACTOR);
         let until_ms = now_ms + holdoff_ms.saturating_mul(factor);
         backend.ejections += 1;
         backend.standing = Standing::Ejected { since_ms: now_ms, until_ms, reason };
--- a/crates/leverstream-health/src/lib.rs
+++ b/crates/leverstream-health/src/lib.rs
@@ -1,14 +1,16 @@
-//! Which backend servers are fit for work: evidence, ejection, the floor, and the way back.
+//! Judges the health of backend servers: evidence, ejection, the floor of weight in service, and
+//! the return to service.
 //!
-//! [`Health`] is one VM's view of one service. It takes observations of real work, of health checks
-//! and of other VMs, and decides at each [`tick`](Health::tick). Nothing here reads a clock or does
-//! I/O: the present time is an argument.
+//! [`Health`] is one VM's view of one service. It takes observations of real requests, health
+//! checks and reports of other VMs, and decides at each [`tick`](Health::tick). [`Suspicion`]
+//! estimates from the last few outcomes how likely the next request to a backend server fails. This
+//! crate reads no clock and does no I/O: the present time is an argument.
 
 mod checks;
 mod episodes;
 mod health;
 mod observation;
-mod pool;
+mod peer_reports;
 mod rule;
 mod score;
 mod settings;
@@ -17,12 +19,12 @@
 mod suspicion;
 
 pub use episodes::Episodes;
-pub use health::{BackendKey, Fitness, Health, View};
+pub use health::{BackendFitness, BackendKey, Health, View};
 pub use observation::{Probe, Work};
-pub use pool::{Count, Pool};
+pub use peer_reports::{Count, PeerReports};
 pub use rule::{EjectRule, eject_rule, eject_rules};
-pub use score::{Baseline, Score, UNITS_LIMIT, units_of};
+pub use score::{Baseline, MAX_UNITS, Score, units_of};
 pub use settings::HealthSettings;
-pub use sketch::Sketch;
+pub use sketch::QuantileSketch;
 pub use standing::{Reason, Standing};
 pub use suspicion::Suspicion;
--- a/crates/leverstream-health/src/observation.rs
+++ b/crates/leverstream-health/src/observation.rs
@@ -1,23 +1,23 @@
-/// How a piece of real work ended, as far as it tells of the backend server's health.
+/// The outcome of a request to a backend server, as evidence of the backend server's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// A whole answer that does not tell of a fault.
+    /// A complete answer that shows no fault.
     Good,
-    /// An answer that tells of a fault of the backend server, or a broken one.
+    /// An answer that shows a fault of the backend server, or an incomplete answer.
     Failed,
     /// The connection was refused or could not be opened.
     ConnectFailed,
-    /// Nothing can be learned: the caller went away, or the work was shed.
+    /// No evidence: the caller disconnected, or the backend server shed the request.
     Nothing,
 }
 
-/// How a health check ended.
+/// The result of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Probe {
-    /// It was answered well.
+    /// The answer was good.
     Good,
-    /// It was answered badly, or not in time.
+    /// The answer was bad, or came too late.
     Bad,
-    /// The connection was refused, which no check can misreport.
+    /// The connection was refused. A health check cannot misreport this.
     Refused,
 }
--- a/crates/leverstream-health/src/rule.rs
+++ b/crates/leverstream-health/src/rule.rs
@@ -1,19 +1,21 @@
 use crate::health::{BackendKey, Health};
 use crate::standing::Reason;
 
-/// A way to decide that a backend server should be ejected, registered by name.
+/// A rule that decides whether to eject a backend server, registered by name.
 pub struct EjectRule {
-    /// The name by which settings and reports choose it.
+    /// The name used in settings and reports.
     pub name: &'static str,
-    /// Tells whether the backend server should go and on whose evidence, floor aside.
+    /// Returns the reason to eject the backend server, if there is one; the floor is checked
+    /// elsewhere.
     pub judge: fn(&Health, BackendKey) -> Option<Reason>,
-    /// Whether a score short of ejection lowers the share of work.
+    /// Whether a score below the ejection score already lowers the backend server's share of
+    /// requests.
     pub shifts: bool,
 }
 
 inventory::collect!(EjectRule);
 
-/// All rules that have registered.
+/// All registered rules.
 pub fn eject_rules() -> impl Iterator<Item = &'static EjectRule> {
     inventory::iter::<EjectRule>()
 }
@@ -23,10 +25,10 @@
     eject_rules().find(|rule| rule.name == name)
 }
 
-/// Failures in a row after which the plain rule ejects.
+/// The number of consecutive failures after which `failures-in-a-row` ejects.
 const FAILURES_IN_A_ROW: u32 = 5;
 
-/// Bad health checks in a row after which the probing rule ejects.
+/// The number of consecutive bad health checks after which `probes-in-a-row` ejects.
 const PROBES_IN_A_ROW: u32 = 3;
 
 inventory::submit! {
@@ -49,12 +51,12 @@
     EjectRule { name: "shift-only", judge: judge_never, shifts: true }
 }
 
-/// Ejects after failures in a row, as most proxies do.
+/// Ejects after consecutive failures, as most proxies do.
 fn judge_failures(health: &Health, key: BackendKey) -> Option<Reason> {
     (health.failures_in_a_row(key) >= FAILURES_IN_A_ROW).then_some(Reason::Own)
 }
 
-/// Ejects after bad health checks in a row, as most balancers do.
+/// Ejects after consecutive bad health checks, as most load balancers do.
 fn judge_probes(health: &Health, key: BackendKey) -> Option<Reason> {
     (health.probes_in_a_row(key) >= PROBES_IN_A_ROW).then_some(Reason::Own)
 }
--- a/crates/leverstream-health/src/score.rs
+++ b/crates/leverstream-health/src/score.rs
@@ -1,51 +1,57 @@
-/// The share of bad work that is expected of a sick backend server.
-const SICK_SHARE: f64 = 0.3;
+/// The share of bad evidence that is expected of a faulty backend server.
+const FAULTY_SHARE: f64 = 0.3;
 
-/// The share of bad work below which a service's baseline is never taken to be.
-const BASELINE_LEAST: f64 = 0.01;
+/// The lower bound of a service's baseline share of bad evidence.
+const MIN_BASELINE_SHARE: f64 = 0.01;
 
-/// How many observations the assumed baseline counts for.
-const PRIOR_COUNT: f64 = 20.0;
+/// The number of observations that the prior for the baseline weighs as much as.
+const PRIOR_OBSERVATIONS: f64 = 20.0;
 
-/// The most units of bad evidence that one request can give.
-pub const UNITS_LIMIT: u8 = 5;
+/// The largest number of units of bad evidence that one request can give.
+pub const MAX_UNITS: u8 = 5;
 
-/// After how long an unrenewed score has halved, in milliseconds.
+/// The half-life of a score without new evidence, in milliseconds.
 const HALF_LIFE_MS: f64 = 300_000.0;
 
-/// A cumulative-sum test for a change of a backend server from healthy to sick (Page, 1954).
+/// A cumulative-sum (CUSUM) test for the change of a backend server from healthy to faulty (Page,
+/// 1954).
 ///
-/// Each observation adds the logarithm of how much likelier it is from a sick backend server than
-/// from the service's others; the sum never falls below zero, so that a long healthy time does not
-/// delay the detection.
+/// Each observation adds its log likelihood ratio between a faulty backend server and the others of
+/// the service. The sum never falls below zero, so that a long healthy time doesn't delay the
+/// detection.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Score(f64);
 
-/// The share of bad work among a service's other backend servers.
+/// The log likelihood ratios of observations, given the share of bad evidence among a service's
+/// other backend servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Baseline {
-    /// What one unit of bad evidence adds.
+    /// The amount that one unit of bad evidence adds to a score.
     bad: f64,
-    /// What one good answer adds; below zero.
+    /// The amount that one good answer adds to a score; negative.
     good: f64,
 }
 
 impl Baseline {
-    /// The one of two that takes bad work for more usual.
+    /// Returns the baseline with the higher share of bad evidence.
     pub fn max(self, other: Baseline) -> Baseline {
         if self.bad <= other.bad { self } else { other }
     }
 
-    /// Works the baseline out from counts of good and bad work.
+    /// Computes the baseline from counts of good answers and units of bad evidence.
     pub fn from_counts(good: f64, bad: f64) -> Baseline {
-        let share = (bad + BASELINE_LEAST * PRIOR_COUNT) / (good + bad + PRIOR_COUNT);
-        let share = share.clamp(BASELINE_LEAST, SICK_SHARE);
-        Baseline { bad: (SICK_SHARE / share).ln(), good: ((1.0 - SICK_SHARE) / (1.0 - share)).ln() }
+        let share =
+            (bad + MIN_BASELINE_SHARE * PRIOR_OBSERVATIONS) / (good + bad + PRIOR_OBSERVATIONS);
+        let share = share.clamp(MIN_BASELINE_SHARE, FAULTY_SHARE);
+        Baseline {
+            bad: (FAULTY_SHARE / share).ln(),
+            good: ((1.0 - FAULTY_SHARE) / (1.0 - share)).ln(),
+        }
     }
 }
 
 impl Score {
-    /// The present value.
+    /// The current value.
     pub fn value(self) -> f64 {
         self.0
     }
@@ -55,30 +61,31 @@
         self.0 = (self.0 + bad * baseline.bad + good * baseline.good).max(0.0);
     }
 
-    /// Fades the score over a time in which nothing was observed.
+    /// Decays the score over the elapsed time.
     pub fn fade(&mut self, elapsed_ms: u64) {
         self.0 *= (-(elapsed_ms as f64) / HALF_LIFE_MS).exp2();
     }
 
-    /// Starts anew.
+    /// Resets the score to zero.
     pub fn clear(&mut self) {
         self.0 = 0.0;
     }
 
-    /// Bounds the score from above.
+    /// Limits the score to an upper bound.
     pub fn cap(&mut self, limit: f64) {
         self.0 = self.0.min(limit);
     }
 }
 
-/// How many units of bad evidence a time gives against the time from which work is slow.
+/// The units of bad evidence that a request time gives, relative to the time from which a request
+/// counts as slow.
 ///
-/// One when it is slow at all and one more for each further doubling, so that a stalled request
-/// speaks louder the longer it lasts.
+/// A slow request gives one unit and one more for each further doubling of the time, so that a
+/// stalled request weighs more the longer it lasts.
 pub fn units_of(time_ms: f64, slow_ms: f64) -> u8 {
     if time_ms < slow_ms {
         return 0;
     }
     let doublings = (time_ms / slow_ms).log2().floor() as u8;
-    doublings.saturating_add(1).min(UNITS_LIMIT)
+    doublings.saturating_add(1).min(MAX_UNITS)
 }
--- a/crates/leverstream-health/src/settings.rs
+++ b/crates/leverstream-health/src/settings.rs
@@ -1,17 +1,19 @@
 use leverstream_table::ServiceRow;
 
-/// What a service's row says about ejection and return.
+/// A service's settings for ejection and return.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthSettings {
-    /// The share of the weight that ejection must leave in service.
+    /// The share of the weight that must stay in service, in percent.
     pub floor_percent: u8,
     /// The score from which a backend server is ejected.
     pub eject_score: f64,
-    /// How long a backend server stays ejected the first time.
+    /// The duration of the first ejection of a backend server, in milliseconds.
     pub holdoff_ms: u64,
-    /// How long a new or returning backend server takes to carry its full share.
+    /// The time in which a new or returning backend server ramps up to its full share, in
+    /// milliseconds.
     pub ramp_ms: u64,
-    /// The longest that a request may take; without evidence a quarter of it counts as slow.
+    /// The longest that a request may take, in milliseconds. Without enough observed times, a
+    /// request counts as slow from a quarter of it.
     pub deadline_ms: u64,
 }
 
--- a/crates/leverstream-health/src/standing.rs
+++ b/crates/leverstream-health/src/standing.rs
@@ -1,39 +1,39 @@
-/// Where a backend server stands on its way out of service and back.
+/// The ejection state of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Standing {
     /// It carries its full share.
     Serving,
-    /// It gets no work.
+    /// It gets no requests.
     Ejected {
         /// When it was ejected.
         since_ms: u64,
-        /// When it may be tried.
+        /// When trial requests may begin.
         until_ms: u64,
-        /// Why it was ejected.
+        /// On whose evidence it was ejected.
         reason: Reason,
     },
-    /// It gets single repeatable requests.
+    /// It gets single repeatable requests as a trial.
     Trial {
-        /// Since when.
+        /// The time at which this state began.
         since_ms: u64,
-        /// How many went well.
+        /// The number of successful trial requests.
         good: u32,
     },
-    /// Its share is rising.
+    /// Its share of requests rises to the full share.
     Ramping {
-        /// Since when.
+        /// The time at which this state began.
         since_ms: u64,
     },
 }
 
-/// On whose evidence a backend server was ejected.
+/// The evidence on which a backend server was ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// This VM's own work showed it.
+    /// This VM's own requests and checks.
     Own,
-    /// Several VMs agree.
+    /// A majority of the VMs with enough evidence.
     Agreed,
-    /// A trial request went badly.
+    /// A failed trial request.
     Trial,
 }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Tells whether it carries work other than trials.
+    /// Tells whether it carries requests other than trials.
     pub fn is_in_service(self) -> bool {
         matches!(self, Standing::Serving | Standing::Ramping { .. })
     }
--- a/crates/leverstream-health/src/suspicion.rs
+++ b/crates/leverstream-health/src/suspicion.rs
@@ -1,67 +1,71 @@
 use crate::Episodes;
-use crate::episodes::{COURSES, FAILS_IN_EPISODE, courses, kept};
+use crate::episodes::{EPISODE_FAILURE_CHANCE, HYPOTHESES, decay_factors, hypotheses};
 
-/// The least chance of an episode: one good answer more says nothing.
-const LEAST_CHANCE: f64 = 0.002;
+/// The lower bound of the chance of an episode; further good answers don't lower it.
+const MIN_EPISODE_CHANCE: f64 = 0.002;
 
-/// The chance of an episode that is left however many failures came.
-const MOST_CHANCE: f64 = 0.99;
+/// The upper bound of the chance of an episode; further failures don't raise it.
+const MAX_EPISODE_CHANCE: f64 = 0.99;
 
-/// How many outcomes that are told together count; more say nothing more.
-const COUNT_LIMIT: u64 = 8;
+/// The largest number of outcomes in one report that count; more add no evidence.
+const MAX_OUTCOMES_PER_REPORT: u64 = 8;
 
-/// The chance that a backend server is in an episode of failures, by its last outcomes.
+/// An estimate of the chance that a backend server is in an episode of failures, from its last
+/// outcomes.
 ///
-/// A backend server is taken to be either sound or in an episode. Each outcome changes the chance of the
-/// latter by Bayes' rule; with time it goes towards the share of the time that backend servers of its service
-/// spend in episodes, as fast as episodes come and go there ([`Episodes`]).
+/// A backend server is either healthy or in an episode. Each outcome updates the chance of an
+/// episode by Bayes' rule. Over time the chance returns to the share of the time that backend
+/// servers of its service spend in episodes, at the rate at which episodes begin and end there
+/// ([`Episodes`]).
 ///
-/// Beside [`Health`](crate::Health), which judges over minutes, this reacts to a single failure and forgets
-/// it within seconds.
+/// [`Health`](crate::Health) judges over minutes; this estimate reacts to a single failure and
+/// forgets it within seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Suspicion {
-    /// The chance of an episode by each course that episodes may take, as of the last outcome.
-    by_course: [f32; COURSES],
-    /// The chance of an episode, each course by its weight, as of the last outcome.
+    /// The chance of an episode under each hypothesis, as of the last outcome.
+    by_hypothesis: [f32; HYPOTHESES],
+    /// The mean chance of an episode over the weighted hypotheses, as of the last outcome.
     chance: f64,
-    /// When the last outcome was seen.
-    at_ms: u64,
-    /// When the last failure was seen, if there was one.
+    /// The time of the last outcome.
+    updated_ms: u64,
+    /// The time of the last failure, if there was one.
     last_bad_ms: Option<u64>,
 }
 
 impl Suspicion {
-    /// A backend server of which nothing was seen yet; it has just appeared, so it is taken to be sound.
+    /// Creates the estimate for a backend server without outcomes. It has just appeared, so it is
+    /// assumed to be healthy.
     pub fn open(now_ms: u64) -> Suspicion {
         Suspicion {
-            by_course: [LEAST_CHANCE as f32; COURSES],
-            chance: LEAST_CHANCE,
-            at_ms: now_ms,
+            by_hypothesis: [MIN_EPISODE_CHANCE as f32; HYPOTHESES],
+            chance: MIN_EPISODE_CHANCE,
+            updated_ms: now_ms,
             last_bad_ms: None,
         }
     }
 
-    /// Notes good outcomes.
+    /// Records good outcomes.
     pub fn good(&mut self, count: u64, episodes: &mut Episodes, now_ms: u64) {
-        for _ in 0..count.min(COUNT_LIMIT) {
-            self.note(false, episodes, now_ms);
+        for _ in 0..count.min(MAX_OUTCOMES_PER_REPORT) {
+            self.record(false, episodes, now_ms);
         }
     }
 
-    /// Notes bad outcomes.
+    /// Records bad outcomes.
     pub fn bad(&mut self, count: u64, episodes: &mut Episodes, now_ms: u64) {
-        for _ in 0..count.min(COUNT_LIMIT) {
-            self.note(true, episodes, now_ms);
+        for _ in 0..count.min(MAX_OUTCOMES_PER_REPORT) {
+            self.record(true, episodes, now_ms);
             self.last_bad_ms = Some(now_ms);
         }
     }
 
-    /// Notes that a request was given up unanswered after a time that a share of the sound answers exceed;
-    /// true if that makes an episode likely.
+    /// Records that a request was abandoned without an answer, after a time that the given share of
+    /// healthy answers exceeds. Returns true if an episode is now likely.
     pub fn unanswered(&mut self, slower_share: f64, episodes: &Episodes, now_ms: u64) -> bool {
-        let in_episode = FAILS_IN_EPISODE + (1.0 - FAILS_IN_EPISODE) * slower_share;
-        self.weigh(in_episode, &[slower_share; COURSES], now_ms);
-        self.sum_up(episodes);
+        let episode_likelihood =
+            EPISODE_FAILURE_CHANCE + (1.0 - EPISODE_FAILURE_CHANCE) * slower_share;
+        self.update(episode_likelihood, &[slower_share; HYPOTHESES], now_ms);
+        self.update_chance(episodes);
         let is_likely = self.chance >= 0.5;
         if is_likely {
             self.last_bad_ms = Some(now_ms);
@@ -69,19 +73,20 @@
         is_likely
     }
 
-    /// By how much a request under way, after a time that a share of the sound answers exceed, makes an
-    /// episode likelier.
+    /// The odds ratio in favour of an episode that a request in flight gives, after a time that the
+    /// given share of healthy answers exceeds.
     pub fn overdue_odds(slower_share: f64) -> f64 {
-        FAILS_IN_EPISODE / slower_share + 1.0 - FAILS_IN_EPISODE
+        EPISODE_FAILURE_CHANCE / slower_share + 1.0 - EPISODE_FAILURE_CHANCE
     }
 
-    /// The chance that the next request fails, from 0 to 1; `overdue_odds` is what the requests under way say.
+    /// The chance that the next request fails, from 0 to 1; `overdue_odds` is the odds ratio that
+    /// the requests in flight give.
     pub fn failure_chance(&self, overdue_odds: f64, episodes: &Episodes, now_ms: u64) -> f64 {
         episodes.failure_chance(self.chance_with(overdue_odds, episodes, now_ms))
     }
 
-    /// The chance that a request under way gets no answer, after a time that a share of the sound answers
-    /// exceed; `overdue_odds` is what all requests under way say.
+    /// The chance that a request in flight gets no answer, after a time that the given share of
+    /// healthy answers exceeds; `overdue_odds` is the odds ratio that all requests in flight give.
     pub fn silence_chance(
         &self,
         overdue_odds: f64,
@@ -89,65 +94,71 @@
         episodes: &Episodes,
         now_ms: u64,
     ) -> f64 {
-        let silent =
-            FAILS_IN_EPISODE / (FAILS_IN_EPISODE + (1.0 - FAILS_IN_EPISODE) * slower_share);
-        self.chance_with(overdue_odds, episodes, now_ms) * silent
+        let unanswered_share = EPISODE_FAILURE_CHANCE
+            / (EPISODE_FAILURE_CHANCE + (1.0 - EPISODE_FAILURE_CHANCE) * slower_share);
+        self.chance_with(overdue_odds, episodes, now_ms) * unanswered_share
     }
 
-    /// How long ago the last bad outcome was, if there was one.
+    /// The age of the last bad outcome, if there was one, in milliseconds.
     pub fn bad_age_ms(&self, now_ms: u64) -> Option<u64> {
-        self.last_bad_ms.map(|at_ms| now_ms.saturating_sub(at_ms))
+        self.last_bad_ms.map(|bad_ms| now_ms.saturating_sub(bad_ms))
     }
 
-    /// Notes one outcome.
-    fn note(&mut self, has_failed: bool, episodes: &mut Episodes, now_ms: u64) {
-        let chance = |failed: f64| if has_failed { failed } else { 1.0 - failed };
-        let mut otherwise = [0.0; COURSES];
-        for (otherwise, course) in otherwise.iter_mut().zip(courses()) {
-            *otherwise = chance(episodes.fails_by(course));
+    /// Records one outcome.
+    fn record(&mut self, has_failed: bool, episodes: &mut Episodes, now_ms: u64) {
+        let likelihood_of =
+            |failure_chance: f64| if has_failed { failure_chance } else { 1.0 - failure_chance };
+        let mut healthy_likelihoods = [0.0; HYPOTHESES];
+        for (likelihood, hypothesis) in healthy_likelihoods.iter_mut().zip(hypotheses()) {
+            *likelihood = likelihood_of(episodes.healthy_failure_chance_under(hypothesis));
         }
-        let foretold = self.weigh(chance(FAILS_IN_EPISODE), &otherwise, now_ms);
-        episodes.note(has_failed, &foretold);
-        self.sum_up(episodes);
+        let likelihoods =
+            self.update(likelihood_of(EPISODE_FAILURE_CHANCE), &healthy_likelihoods, now_ms);
+        episodes.record(has_failed, &likelihoods);
+        self.update_chance(episodes);
     }
 
-    /// Changes the chances for an outcome that has one chance in an episode and by each course another
-    /// otherwise; returns the chance that each course gave to it.
-    fn weigh(
+    /// Applies Bayes' rule to the chance under each hypothesis, with the likelihood of the outcome
+    /// in an episode and at a healthy backend server. Returns the total likelihood of the outcome
+    /// under each hypothesis.
+    fn update(
         &mut self,
-        in_episode: f64,
-        otherwise: &[f64; COURSES],
+        episode_likelihood: f64,
+        healthy_likelihoods: &[f64; HYPOTHESES],
         now_ms: u64,
-    ) -> [f64; COURSES] {
-        let kept = kept(now_ms.saturating_sub(self.at_ms));
-        let mut foretold = [0.0; COURSES];
-        for (index, course) in courses().enumerate() {
-            let chance = course.chance(self.by_course[index].into(), &kept);
-            let (yes, no) = (chance * in_episode, (1.0 - chance) * otherwise[index]);
-            foretold[index] = yes + no;
-            self.by_course[index] = (yes / (yes + no)).clamp(LEAST_CHANCE, MOST_CHANCE) as f32;
+    ) -> [f64; HYPOTHESES] {
+        let decay_factors = decay_factors(now_ms.saturating_sub(self.updated_ms));
+        let mut likelihoods = [0.0; HYPOTHESES];
+        for (index, hypothesis) in hypotheses().enumerate() {
+            let chance = hypothesis.chance(self.by_hypothesis[index].into(), &decay_factors);
+            let (episode, healthy) =
+                (chance * episode_likelihood, (1.0 - chance) * healthy_likelihoods[index]);
+            likelihoods[index] = episode + healthy;
+            self.by_hypothesis[index] = (episode / (episode + healthy))
+                .clamp(MIN_EPISODE_CHANCE, MAX_EPISODE_CHANCE)
+                as f32;
         }
-        self.at_ms = self.at_ms.max(now_ms);
-        foretold
+        self.updated_ms = self.updated_ms.max(now_ms);
+        likelihoods
     }
 
-    /// Sums the chances by the courses up, each by its weight.
-    fn sum_up(&mut self, episodes: &Episodes) {
-        let weighed = self.by_course.iter().zip(episodes.weights());
+    /// Updates the mean chance over the weighted hypotheses.
+    fn update_chance(&mut self, episodes: &Episodes) {
+        let weighed = self.by_hypothesis.iter().zip(episodes.weights());
         self.chance = weighed.map(|(chance, weight)| f64::from(*chance) * weight).sum();
     }
 
-    /// The chance of an episode by now, with what the requests under way say.
+    /// The present chance of an episode, including the evidence of the requests in flight.
     fn chance_with(&self, overdue_odds: f64, episodes: &Episodes, now_ms: u64) -> f64 {
         let chance = self.chance(episodes, now_ms);
-        let (yes, no) = (chance * overdue_odds, 1.0 - chance);
-        yes / (yes + no)
+        let (episode, healthy) = (chance * overdue_odds, 1.0 - chance);
+        episode / (episode + healthy)
     }
 
-    /// The chance of an episode by now.
+    /// The present chance of an episode.
     fn chance(&self, episodes: &Episodes, now_ms: u64) -> f64 {
-        let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
+        let age_ms = now_ms.saturating_sub(self.updated_ms) as f64;
         let share = episodes.share();
-        share + (self.chance - share) * (-age_ms / episodes.memory_ms()).exp()
+        share + (self.chance - share) * (-age_ms / episodes.decay_ms()).exp()
     }
 }
--- a/crates/leverstream-health/tests/suspicion.rs
+++ b/crates/leverstream-health/tests/suspicion.rs
@@ -147,9 +147,9 @@
 fn a_service_teaches_how_often_its_backend_servers_fail_and_for_how_long() {
     let often = learned(30_000, 9_000);
     assert!((0.15..0.45).contains(&often.share()), "{}", often.share());
-    assert!((4_000.0..14_000.0).contains(&often.memory_ms()), "{}", often.memory_ms());
+    assert!((4_000.0..14_000.0).contains(&often.decay_ms()), "{}", often.decay_ms());
     let short = learned(30_000, 1_000);
-    assert!(short.memory_ms() < often.memory_ms() / 2.0, "{}", short.memory_ms());
+    assert!(short.decay_ms() < often.decay_ms() / 2.0, "{}", short.decay_ms());
     let never = learned(30_000, 0);
     assert!(never.share() < 0.01, "{}", never.share());
 }
@@ -199,9 +199,9 @@
 fn the_same_chain_teaches_the_same_however_rarely_it_is_looked_at() {
     for looks_per_s in [0.1, 1.0, 10.0] {
         let episodes = learned_by_looks(looks_per_s);
-        let (share, memory_ms) = (episodes.share(), episodes.memory_ms());
+        let (share, decay_ms) = (episodes.share(), episodes.decay_ms());
         assert!((0.2..=0.4).contains(&share), "{looks_per_s}: {share}");
-        assert!((4_000.0..=13_000.0).contains(&memory_ms), "{looks_per_s}: {memory_ms}");
+        assert!((4_000.0..=13_000.0).contains(&decay_ms), "{looks_per_s}: {decay_ms}");
     }
 }
 
