--- a/crates/leverstream-suspect/src/digest.rs
+++ b/crates/leverstream-suspect/src/digest.rs
@@ -1,16 +1,18 @@
 use std::fmt;
 
-/// What digests are made for, so that no other use of the secret yields the same ones.
+/// The key derivation context of request digests, so that no other use of the secret yields the
+/// same digests.
 const REQUEST_CONTEXT: &str = "leverstream 2026-12-03 requests known again";
 
-/// The same for starts of backend servers.
-const END_CONTEXT: &str = "leverstream 2026-12-03 ended backend servers";
+/// The key derivation context of the digests of backend server incarnations.
+const INCARNATION_CONTEXT: &str = "leverstream 2026-12-03 ended backend servers";
 
-/// What must be alike for two requests to be one that comes again.
+/// The parts of a request that identify it when it is sent again.
 ///
-/// A request that comes again has another id, another time left, and may come from another address or over another VM:
-/// none of that counts. Other header fields do not count either, so two requests that differ only there share what is
-/// held against one of them; callers of other workspaces never do.
+/// A retried request has another id and remaining time, and may come from another address or
+/// through another VM, so none of these counts. Other header fields don't count either: two
+/// requests that differ only in these share their recorded incarnations. Requests of different workspaces
+/// never do.
 #[derive(Clone, Copy, Debug)]
 pub struct Asked<'a> {
     /// The method.
@@ -19,34 +21,38 @@
     pub host: &'a str,
     /// The path with the query.
     pub target: &'a str,
-    /// The workspace, where there are any.
+    /// The workspace, or an empty string where there are none.
     pub workspace: &'a str,
     /// The body.
     pub body: &'a [u8],
 }
 
-/// Makes digests, the same on all VMs of a fleet. They are keyed, so nobody outside can find two requests that share one.
+/// Computes keyed digests that are the same on all VMs of a fleet. Without the key, nobody can
+/// construct two requests that share a digest.
 #[derive(Clone)]
 pub struct RequestHasher {
-    /// Derived from the fleet's secret, for requests.
+    /// The key for requests, derived from the fleet's secret.
     requests: [u8; 32],
-    /// Derived from the fleet's secret, for starts of backend servers.
-    ends: [u8; 32],
+    /// The key for incarnations of backend servers, derived from the fleet's secret.
+    incarnations: [u8; 32],
 }
 
 impl RequestHasher {
-    /// Derives the hasher from the fleet's secret.
+    /// Derives the keys from the fleet's secret.
     pub fn derive(secret: &str) -> RequestHasher {
         let derive = |context| blake3::derive_key(context, secret.as_bytes());
-        RequestHasher { requests: derive(REQUEST_CONTEXT), ends: derive(END_CONTEXT) }
+        RequestHasher {
+            requests: derive(REQUEST_CONTEXT),
+            incarnations: derive(INCARNATION_CONTEXT),
+        }
     }
 
-    /// The digest of a request; a microsecond for each kilobyte of its body.
+    /// The digest of a request; takes a microsecond for each kilobyte of the body.
     pub fn request(&self, asked: &Asked<'_>) -> RequestDigest {
         let Asked { method, host, target, workspace, body } = *asked;
         let mut hasher = blake3::Hasher::new_keyed(&self.requests);
         for part in [method.as_bytes(), host.as_bytes(), target.as_bytes(), workspace.as_bytes()] {
-            // The length keeps "ab" and "c" apart from "a" and "bc".
+            // The length prefix distinguishes "ab", "c" from "a", "bc".
             hasher.update(&(part.len() as u64).to_le_bytes()).update(part);
         }
         let hash = hasher.update(body).finalize();
@@ -55,9 +61,9 @@
         RequestDigest(u128::from_be_bytes(digest))
     }
 
-    /// The digest of a start of a backend server.
+    /// The digest of one incarnation of a backend server.
     pub fn end(&self, instance: &str, born_ms: u64) -> EndDigest {
-        let mut hasher = blake3::Hasher::new_keyed(&self.ends);
+        let mut hasher = blake3::Hasher::new_keyed(&self.incarnations);
         let hash = hasher.update(&born_ms.to_le_bytes()).update(instance.as_bytes()).finalize();
         let mut digest = [0; 8];
         digest.copy_from_slice(&hash.as_bytes()[..8]);
@@ -65,7 +71,8 @@
     }
 }
 
-/// What a request is known again by: among a million requests, two are alike by chance once in 10^26.
+/// The digest that identifies a request. Among a million requests, the chance that two share a
+/// digest is 1 in 10^26.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestDigest(pub u128);
 
@@ -81,6 +88,6 @@
     }
 }
 
-/// A start of a backend server that has ended.
+/// The digest that identifies one incarnation of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndDigest(pub u64);
--- a/crates/leverstream-suspect/src/lib.rs
+++ b/crates/leverstream-suspect/src/lib.rs
@@ -1,4 +1,10 @@
-//! Requests under which backend servers end, known again however often and wherever they come.
+//! Detects requests that crash backend servers and refuses them, on whichever VM they arrive.
+//!
+//! An end is the end of one incarnation of a backend server while it runs a request. [`Suspects`]
+//! counts the ends of each request and merges what other VMs report. [`LeftRuns`] attributes ends
+//! to requests whose answers are no longer awaited. [`RequestHasher`] makes the digests by which
+//! requests and incarnations are recognized. This crate reads no clock and does no I/O: the present
+//! time is an argument.
 
 mod digest;
 mod runs;
--- a/crates/leverstream-suspect/src/runs.rs
+++ b/crates/leverstream-suspect/src/runs.rs
@@ -2,80 +2,90 @@
 
 use crate::{EndDigest, RequestDigest};
 
-/// How long after a VM stopped to wait for an answer an end of the backend server still counts against the request, in
-/// milliseconds: one that ends under a request does so within a second, and what listens no more is noticed by the next
-/// connection.
-const LEFT_MS: u64 = 1_500;
+/// The time after a VM stopped awaiting an answer in which an end of the backend server still
+/// counts against the request, in milliseconds. A backend server that ends because of a request
+/// does so within a second, and the next connection attempt notices that it no longer listens.
+const ABANDONED_RETENTION_MS: u64 = 1_500;
 
-/// How long an end that was noticed counts against a request that was there and is given up later, in milliseconds: the
-/// word that its connection has ended may be lost, and it is waited for until its time is up.
-const ENDED_MS: u64 = 10_000;
+/// The time for which a noticed end counts against a request that was sent before it and is
+/// abandoned later, in milliseconds. The packet that closes the request's connection may be lost,
+/// and the request then waits until its deadline.
+const ENDED_RETENTION_MS: u64 = 10_000;
 
-/// How many of each are remembered; a VM with more of them forgets the eldest.
-const LIMIT: usize = 256;
+/// The largest number of requests, and of ended incarnations, that are remembered; further ones
+/// evict the oldest.
+const MAX_REMEMBERED: usize = 256;
 
-/// Requests whose answers are no longer waited for, as their callers have left or their time was up, and backend servers
-/// that were seen to have ended: which of them belong together shows only when both are known.
+/// Matches abandoned requests with ended backend servers.
+///
+/// A request is abandoned when its caller disconnects or its deadline passes. Whether the backend
+/// server ended because of it may show only later, so both are remembered for a while.
 #[derive(Debug, Default)]
 pub struct LeftRuns {
-    /// The requests, the eldest first.
-    left: VecDeque<Left>,
-    /// The backend servers, and when they were seen to have ended, the eldest first.
+    /// The abandoned requests, the oldest first.
+    abandoned: VecDeque<Abandoned>,
+    /// The ended incarnations and when each end was noticed, the oldest first.
     ended: VecDeque<(EndDigest, u64)>,
 }
 
-/// A request whose answer is no longer waited for.
+/// A request whose answer is no longer awaited.
 #[derive(Clone, Copy, Debug)]
-struct Left {
+struct Abandoned {
     /// The request.
     digest: RequestDigest,
-    /// The start of a backend server that it was at.
-    at: EndDigest,
-    /// When it was given up.
-    left_ms: u64,
+    /// The incarnation of the backend server that it was sent to.
+    incarnation: EndDigest,
+    /// The time when it was abandoned.
+    abandoned_ms: u64,
 }
 
 impl LeftRuns {
-    /// Notes that a request's answer is no longer waited for; true if its backend server was seen to end since it was sent
-    /// there.
+    /// Records that a request's answer is no longer awaited; returns true if an end of its backend
+    /// server was noticed since the request was sent.
     pub fn leave(
         &mut self,
         digest: RequestDigest,
-        at: EndDigest,
+        incarnation: EndDigest,
         sent_ms: u64,
         now_ms: u64,
     ) -> bool {
-        let is_since = |(ended, ended_ms): &(EndDigest, u64)| *ended == at && *ended_ms >= sent_ms;
-        if self.ended.iter().any(is_since) {
+        let ended_since_sent =
+            |(ended, ended_ms): &(EndDigest, u64)| *ended == incarnation && *ended_ms >= sent_ms;
+        if self.ended.iter().any(ended_since_sent) {
             return true;
         }
-        push(&mut self.left, Left { digest, at, left_ms: now_ms });
+        push_bounded(&mut self.abandoned, Abandoned { digest, incarnation, abandoned_ms: now_ms });
         false
     }
 
-    /// Tells whether a start of a backend server was seen to have ended.
-    pub fn has_ended(&self, start: EndDigest) -> bool {
-        self.ended.iter().any(|(ended, _)| *ended == start)
+    /// Tells whether an end of the incarnation was noticed.
+    pub fn has_ended(&self, incarnation: EndDigest) -> bool {
+        self.ended.iter().any(|(ended, _)| *ended == incarnation)
     }
 
-    /// Notes that a start of a backend server is seen to have ended; takes the requests that were there.
+    /// Records that an incarnation has ended; removes and returns the requests that were abandoned
+    /// there shortly before.
     pub fn end(&mut self, ended: EndDigest, now_ms: u64) -> Vec<RequestDigest> {
-        self.left.retain(|left| now_ms < left.left_ms + LEFT_MS);
-        self.ended.retain(|(_, ended_ms)| now_ms < ended_ms + ENDED_MS);
+        self.abandoned.retain(|abandoned| now_ms < abandoned.abandoned_ms + ABANDONED_RETENTION_MS);
+        self.ended.retain(|(_, ended_ms)| now_ms < ended_ms + ENDED_RETENTION_MS);
         if !self.ended.iter().any(|(other, _)| *other == ended) {
-            push(&mut self.ended, (ended, now_ms));
+            push_bounded(&mut self.ended, (ended, now_ms));
         }
-        let digests = self.left.iter().filter(|left| left.at == ended).map(|left| left.digest);
+        let digests = self
+            .abandoned
+            .iter()
+            .filter(|abandoned| abandoned.incarnation == ended)
+            .map(|abandoned| abandoned.digest);
         let digests = digests.collect();
-        self.left.retain(|left| left.at != ended);
+        self.abandoned.retain(|abandoned| abandoned.incarnation != ended);
         digests
     }
 }
 
-/// Adds to what is remembered, the eldest of which makes room.
-fn push<T>(all: &mut VecDeque<T>, one: T) {
-    all.push_back(one);
-    if all.len() > LIMIT {
-        all.pop_front();
+/// Appends an item and drops the oldest one if there are too many.
+fn push_bounded<T>(queue: &mut VecDeque<T>, item: T) {
+    queue.push_back(item);
+    if queue.len() > MAX_REMEMBERED {
+        queue.pop_front();
     }
 }
--- a/crates/leverstream-suspect/src/suspects.rs
+++ b/crates/leverstream-suspect/src/suspects.rs
@@ -4,103 +4,108 @@
 
 use crate::{EndDigest, RequestDigest};
 
-/// Under how many ends a request is refused.
+/// The number of ends from which a request is refused.
 ///
-/// Two would spare a backend server each time, but an ordinary request is at two that end rather often. In simulated time,
-/// seven backend servers of three slots: beside a request that ends them, two refuse 1.6 ordinary requests in 10,000
-/// and three none; where one of them ends by itself each 0.7 s, two refuse 24 and three 0.2. The request itself ends 2.2
-/// and 3.2 of them.
+/// Two would cost one backend server less for each such request, but ordinary requests are often
+/// in flight at two that end. In simulated time, with seven backend servers of three slots: beside
+/// a request that ends them, a limit of two refuses 1.6 of 10,000 ordinary requests and a limit of
+/// three refuses none; where one of them ends by itself every 0.7 s, two refuse 24 and three
+/// refuse 0.2. The request itself ends 2.2 backend servers with a limit of two and 3.2 with three.
 pub const ENDS_TO_REFUSE: usize = 3;
 
-/// How long what is known of a request is kept after it last came or ended a backend server, in milliseconds.
+/// The time for which a request is remembered after it last arrived or ended a backend server, in
+/// milliseconds.
 ///
-/// A request that comes again sooner is refused for as long as it does. One that comes later costs up to three backend
-/// servers again.
+/// A refused request that arrives again within this time stays refused. One that arrives later can
+/// end up to three backend servers again.
 pub const KEPT_MS: u64 = 600_000;
 
-/// How many requests are held against at the most: 0.6 MB. A whole service of 300 backend servers that ends at
-/// once has fewer requests under way.
+/// The largest number of requests that are remembered, which take 0.6 MB. A whole service of 300
+/// backend servers that ends at once has fewer requests in flight.
 pub const LIMIT: usize = 4_096;
 
-/// From how many ends on a request is among those that VMs compare with each other again and again. Of one end they are
-/// told when it happens: after a service has ended as a whole, there are thousands of those.
-const COMPARED_ENDS: usize = 2;
+/// The number of ends from which VMs repeatedly compare what they know of a request. A request with
+/// one end is reported only when the end happens, because the end of a whole service leaves
+/// thousands of those.
+const MIN_COMPARED_ENDS: usize = 2;
 
-/// What a VM knows of requests under which backend servers ended.
+/// The requests under which backend servers ended, as one VM knows them.
 ///
-/// Of each request it is the set of starts of backend servers that ended under it. Sets are merged by union, so word that
-/// comes late, twice or in another order changes nothing, and no count is handed on. An answer that is sound takes all
-/// back that was known until then: it raises the number of the set, and of two sets the one with the higher number
-/// holds. A set keeps the least [`ENDS_TO_REFUSE`] of its members, which a union does too.
+/// For each request this is the set of incarnations that ended under it. Sets merge by union, so
+/// that late, duplicate and reordered reports change nothing, and no counts are exchanged. A
+/// healthy answer clears the set: it raises the set's version, and of two sets the one with the
+/// higher version wins. Each set keeps only its [`ENDS_TO_REFUSE`] smallest members, which the
+/// union preserves.
 #[derive(Clone, Debug)]
 pub struct Suspects {
-    /// Under how many ends a request is refused.
+    /// The number of ends from which a request is refused.
     ends_to_refuse: usize,
-    /// The requests.
+    /// The remembered requests.
     entries: BTreeMap<RequestDigest, Entry>,
-    /// A digest of those that VMs compare.
+    /// A combined hash of the entries that VMs compare.
     fingerprint: u64,
 }
 
-/// What is known of one request.
+/// The entry of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Entry {
-    /// How often it was cleared by a sound answer.
+    /// The number of times that a healthy answer cleared it; the version of the set.
     cleared: u32,
-    /// What ended under it since, in order.
+    /// The incarnations that ended under it since then, sorted.
     ends: Vec<EndDigest>,
-    /// When it last came, or ended a backend server.
+    /// The time when it last arrived or ended a backend server.
     seen_ms: u64,
 }
 
-/// What one VM tells another of a request.
+/// One VM's report to another about a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Told {
     /// The request.
     pub digest: RequestDigest,
-    /// How often it was cleared by a sound answer.
+    /// The number of times that a healthy answer cleared it; the version of the set.
     pub cleared: u32,
-    /// What ended under it since.
+    /// The incarnations that ended under it since then.
     pub ends: Vec<EndDigest>,
-    /// How long ago it last came, or ended a backend server.
+    /// The time since it last arrived or ended a backend server, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What may be done with a request.
+/// The decision on where a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
-    /// Nothing is known against it.
+    /// Nothing is recorded against it.
     Free,
-    /// A backend server ended under it: it goes to one at a time.
+    /// A backend server ended under it: it is sent to one backend server at a time.
     Suspect,
-    /// One more end, and it is refused: it goes to one, and not on from there.
+    /// One more end, and it is refused: it is sent to one backend server and not retried at
+    /// another.
     LastTry,
-    /// It is sent to none.
+    /// It is sent to no backend server.
     Refused,
 }
 
 impl Suspects {
-    /// Starts with nothing known.
+    /// Creates an empty set.
     pub fn open(ends_to_refuse: usize) -> Suspects {
         Suspects { ends_to_refuse, entries: BTreeMap::new(), fingerprint: 0 }
     }
 
-    /// Tells whether nothing is held against any request.
+    /// Tells whether no request is remembered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// How many requests something is held against.
+    /// The number of remembered requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// How many requests are refused.
+    /// The number of refused requests.
     pub fn refused(&self) -> usize {
         self.entries.values().filter(|entry| self.is_refused(entry)).count()
     }
 
-    /// What may be done with a request.
+    /// The decision on where a request may be sent.
     pub fn verdict(&self, digest: RequestDigest) -> Verdict {
         match self.entries.get(&digest) {
             None => Verdict::Free,
@@ -111,14 +116,15 @@
         }
     }
 
-    /// Notes that a backend server ended while it ran a request; true if that is news.
+    /// Records that a backend server ended while it ran a request; returns true if this changes the
+    /// entry.
     pub fn end(&mut self, digest: RequestDigest, end: EndDigest, now_ms: u64) -> bool {
         let cleared = self.entries.get(&digest).map_or(0, |entry| entry.cleared);
         let ends = vec![end];
         self.hear(&Told { digest, cleared, ends, age_ms: 0 }, now_ms)
     }
 
-    /// Notes that a request was answered soundly; true if that takes back what was held against it.
+    /// Records that a request got a healthy answer; returns true if this clears recorded ends.
     pub fn clear(&mut self, digest: RequestDigest, now_ms: u64) -> bool {
         let Some(entry) = self.entries.get(&digest).filter(|entry| !entry.ends.is_empty()) else {
             return false;
@@ -127,7 +133,8 @@
         self.hear(&Told { digest, cleared, ends: Vec::new(), age_ms: 0 }, now_ms)
     }
 
-    /// Notes that a request has come again; true if that should be told, as others would soon forget it.
+    /// Records that a request has arrived again; returns true if this should be reported, because
+    /// other VMs would soon forget the request.
     pub fn come(&mut self, digest: RequestDigest, now_ms: u64) -> bool {
         let Some(entry) = self.entries.get_mut(&digest) else { return false };
         let is_old = now_ms.saturating_sub(entry.seen_ms) > KEPT_MS / 4;
@@ -135,7 +142,7 @@
         is_old
     }
 
-    /// Takes in what another VM tells; true if that is news.
+    /// Merges another VM's report; returns true if this changes the entry.
     pub fn hear(&mut self, told: &Told, now_ms: u64) -> bool {
         if told.age_ms >= KEPT_MS {
             return false;
@@ -158,32 +165,34 @@
         let is_news = before
             .as_ref()
             .is_none_or(|before| (before.cleared, &before.ends) != (entry.cleared, &entry.ends));
-        self.fingerprint ^= before.map_or(0, |before| mark(told.digest, &before));
-        self.fingerprint ^= mark(told.digest, &entry);
+        self.fingerprint ^= before.map_or(0, |before| entry_hash(told.digest, &before));
+        self.fingerprint ^= entry_hash(told.digest, &entry);
         self.entries.insert(told.digest, entry);
-        self.bound();
+        self.enforce_limit();
         is_news && self.entries.contains_key(&told.digest)
     }
 
-    /// What other VMs are told of a request.
+    /// The report about a request for other VMs.
     pub fn told(&self, digest: RequestDigest, now_ms: u64) -> Option<Told> {
         let entry = self.entries.get(&digest)?;
         let age_ms = now_ms.saturating_sub(entry.seen_ms);
         Some(Told { digest, cleared: entry.cleared, ends: entry.ends.clone(), age_ms })
     }
 
-    /// What VMs compare with each other.
+    /// The reports that VMs compare with each other.
     pub fn compared(&self, now_ms: u64) -> impl Iterator<Item = Told> + '_ {
         let compared = self.entries.iter().filter(|(_, entry)| is_compared(entry));
         compared.filter_map(move |(digest, _)| self.told(*digest, now_ms))
     }
 
-    /// A digest of what VMs compare: those with the same know the same; 0 if there is nothing to compare.
+    /// The combined hash of the entries that VMs compare: VMs with the same hash have the same
+    /// entries. It is 0 if there is nothing to compare.
     pub fn fingerprint(&self) -> u64 {
         self.fingerprint
     }
 
-    /// Forgets what has not come for long; returns what was refused of it.
+    /// Forgets the requests that have not arrived for long; returns those of them that were
+    /// refused.
     pub fn sweep(&mut self, now_ms: u64) -> Vec<RequestDigest> {
         let is_old = |entry: &Entry| now_ms.saturating_sub(entry.seen_ms) >= KEPT_MS;
         let old = self.entries.iter().filter(|(_, entry)| is_old(entry));
@@ -200,36 +209,36 @@
         entry.ends.len() >= self.ends_to_refuse
     }
 
-    /// Drops requests while there are too many: those with the fewest ends first, and among them the same on all VMs that
-    /// tell each other.
+    /// Drops requests while there are too many, those with the fewest ends first and then those
+    /// with the smallest digests, so that VMs that exchange reports drop the same ones.
     ///
-    /// A flood of requests of one end each so leaves those alone under which two have ended, whoever sends it. One of
-    /// [`LIMIT`] requests of two ends each leaves no room for another: it takes as many ends as backend servers of three
-    /// slots and a queue of seven have in 800 ends within [`KEPT_MS`].
-    fn bound(&mut self) {
+    /// A flood of requests with one end each therefore never displaces a request with two ends. A
+    /// flood of [`LIMIT`] requests with two ends each leaves no room for others; with backend
+    /// servers of three slots and a queue of seven, it takes 800 ends within [`KEPT_MS`].
+    fn enforce_limit(&mut self) {
         while self.entries.len() > LIMIT {
-            let least =
+            let smallest =
                 self.entries.iter().min_by_key(|(digest, entry)| (entry.ends.len(), **digest));
-            let Some(least) = least.map(|(digest, _)| *digest) else { return };
-            self.remove(least);
+            let Some(smallest) = smallest.map(|(digest, _)| *digest) else { return };
+            self.remove(smallest);
         }
     }
 
-    /// Forgets a request.
+    /// Removes a request.
     fn remove(&mut self, digest: RequestDigest) {
         if let Some(entry) = self.entries.remove(&digest) {
-            self.fingerprint ^= mark(digest, &entry);
+            self.fingerprint ^= entry_hash(digest, &entry);
         }
     }
 }
 
-/// Tells whether VMs compare what they know of a request.
+/// Tells whether VMs compare the entry of a request.
 fn is_compared(entry: &Entry) -> bool {
-    entry.ends.len() >= COMPARED_ENDS || entry.cleared > 0
+    entry.ends.len() >= MIN_COMPARED_ENDS || entry.cleared > 0
 }
 
-/// What a request adds to the fingerprint.
-fn mark(digest: RequestDigest, entry: &Entry) -> u64 {
+/// The hash that an entry contributes to the fingerprint.
+fn entry_hash(digest: RequestDigest, entry: &Entry) -> u64 {
     if !is_compared(entry) {
         return 0;
     }
