--- a/crates/leverstream-health/tests/health.rs
+++ b/crates/leverstream-health/tests/health.rs
@@ -1,4 +1,4 @@
-//! Ejection, the floor, checks that lie, and the way back.
+//! Ejection, the floor of weight in service, misreporting health checks, and the return to service.
 
 use leverstream_health::{
     BackendKey, Count, Health, HealthSettings, Probe, Reason, Standing, Work, eject_rule,
@@ -6,10 +6,10 @@
 use leverstream_table::ServiceRow;
 use proptest::prelude::*;
 
-/// The first backend server.
+/// The backend server that the tests make fail.
 const FIRST: BackendKey = BackendKey(0);
 
-/// A view of some backend servers of equal weight, warmed up with good answers of 10 ms.
+/// A view of backend servers of equal weight, each with 100 good answers of 10 ms.
 fn warm(backends: usize, floor_percent: u8) -> Health {
     let row = ServiceRow { floor_percent, ..ServiceRow::default() };
     let rule = eject_rule("evidence").expect("the rule is built in");
@@ -24,7 +24,7 @@
     health
 }
 
-/// Where a backend server stands.
+/// The ejection state of a backend server.
 fn standing(health: &Health, key: BackendKey) -> Standing {
     health.view(key, 0).standing
 }
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn failures_of_one_eject_it_and_of_all_eject_none() {
+fn failures_eject_one_backend_but_failures_everywhere_eject_none() {
     let mut health = warm(4, 50);
     for _ in 0..10 {
         health.finish(FIRST, Work::Failed, 10.0, 0);
@@ -54,12 +54,12 @@
 }
 
 #[test]
-fn a_stall_counts_while_it_goes_on_and_slowness_is_relative() {
+fn a_request_in_flight_counts_as_stalled_and_slowness_is_relative() {
     let mut health = warm(4, 50);
     health.charge(FIRST, 5);
     health.tick(100);
     assert!(is_ejected(&health, FIRST));
-    // A service whose answers all take as long has no slow backend server.
+    // In a service whose answers all take equally long, no backend server is slow.
     let mut health = warm(4, 50);
     for _ in 0..500 {
         for key in health.keys() {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn checks_alone_eject_nobody_and_good_ones_do_not_clear_work() {
+fn bad_checks_alone_do_not_eject_and_good_checks_do_not_clear_failed_requests() {
     let mut health = warm(4, 0);
     for _ in 0..1_000 {
         health.probe(FIRST, Probe::Bad);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn one_reporter_convinces_nobody_and_several_do() {
+fn one_reporter_does_not_eject_and_several_do() {
     let report = |health: &mut Health, reporters: u64| {
         for reporter in 1..=reporters {
             health.report(FIRST, reporter, Count::default(), 0, 100);
@@ -112,14 +112,14 @@
     let mut health = fresh();
     report(&mut health, 3);
     assert!(matches!(standing(&health, FIRST), Standing::Ejected { reason: Reason::Agreed, .. }));
-    // A VM whose own work there goes well does not join in.
+    // A VM whose own requests there succeed doesn't agree.
     let mut health = warm(4, 50);
     report(&mut health, 3);
     assert!(!is_ejected(&health, FIRST));
 }
 
 #[test]
-fn the_way_back_leads_over_trials_and_a_ramp_and_grows_longer_each_time() {
+fn an_ejected_backend_returns_through_trials_and_a_ramp_after_growing_hold_offs() {
     let mut health = warm(4, 50);
     let mut now_ms = 100;
     let mut last_ms = 0;
@@ -154,12 +154,12 @@
 }
 
 #[test]
-fn work_of_a_vm_that_tells_no_more_does_not_hold_slots() {
+fn requests_in_flight_of_a_silent_vm_expire() {
     let mut health = warm(2, 50);
     health.report(FIRST, 7, Count::default(), 3, 100);
     health.tick(150);
     assert_eq!(health.fitness(FIRST, 150).others_in_flight, 3);
-    // Heard again it still counts; silent it soon does not.
+    // A sign of life keeps the count; after silence it soon expires.
     health.hear(7, 1_000);
     health.tick(2_000);
     assert_eq!(health.fitness(FIRST, 2_000).others_in_flight, 3);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn one_that_says_it_drains_gets_no_work_for_a_while() {
+fn a_draining_backend_gets_no_requests_until_its_notice_expires() {
     let mut health = warm(2, 50);
     health.drain(FIRST, 100);
     assert_eq!(health.fitness(FIRST, 200).share, 0.0);
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn those_that_drain_do_not_count_towards_the_floor() {
+fn draining_backends_do_not_count_towards_the_floor() {
     let mut health = warm(3, 50);
     health.drain(BackendKey(1), 100);
     health.drain(BackendKey(2), 100);
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn an_ejected_one_returns_when_the_others_drain() {
+fn an_ejected_backend_returns_when_the_others_drain() {
     let mut health = warm(3, 50);
     (0..20).for_each(|_| health.finish(FIRST, Work::Failed, 10.0, 0));
     health.tick(100);
@@ -202,14 +202,14 @@
     assert!(health.fitness(FIRST, 200).share > 0.0);
 }
 
-/// What is observed: of which backend server, and what.
+/// A backend server, the kind of observation, and the pause before it.
 fn observation() -> impl Strategy<Value = (u32, u8, u64)> {
     (0_u32..6, 0_u8..6, 0_u64..3_000)
 }
 
 proptest! {
     #[test]
-    fn no_sequence_of_signals_breaks_the_floor(floor in 0_u8..=100, seen in prop::collection::vec(observation(), 1..400)) {
+    fn no_sequence_of_observations_breaks_the_floor(floor in 0_u8..=100, seen in prop::collection::vec(observation(), 1..400)) {
         let mut health = warm(6, floor);
         let mut now_ms = 100;
         for (backend, what, pause_ms) in seen {
@@ -231,12 +231,13 @@
     }
 }
 
-/// Seen: one of four sound backend servers ejected by one VM of three, in 4 of 360 runs beside load, with a score of 12.7 and 13.0
-/// where 12 ejects.
-/// How: checks that misreport had brought 9.6 of it, a single slow answer of a busy machine the rest.
-/// Cause: what checks and work say was added up, so that next to no evidence of work was needed.
+/// Guards against ejection of a healthy backend server on misreporting checks. One of four was
+/// ejected by one VM of three, in 4 of 360 runs under load, with scores of 12.7 and 13.0 where 12
+/// ejects: 9.6 came from misreporting checks, the rest from a single slow answer of a busy machine.
+/// The scores of checks and of real requests were summed, so that almost no evidence of real
+/// requests was needed.
 #[test]
-fn checks_that_misreport_and_a_slow_answer_eject_nobody() {
+fn misreporting_checks_and_a_slow_answer_do_not_eject() {
     for time_ms in [25.0, 60.0] {
         let mut health = warm(4, 50);
         (0..40).for_each(|_| health.probe(FIRST, Probe::Bad));
@@ -244,7 +245,7 @@
         health.tick(100);
         assert!(!is_ejected(&health, FIRST), "{:?}", health.view(FIRST, 100));
     }
-    // Beside failures they count.
+    // Together with failed requests, checks count.
     let ejected_after = |checks: usize| {
         let mut health = warm(4, 50);
         let fails = |count: &usize| {
--- a/crates/leverstream-health/tests/suspicion.rs
+++ b/crates/leverstream-health/tests/suspicion.rs
@@ -1,10 +1,10 @@
-//! What the last outcomes say of the next one, and what a service's episodes teach.
+//! The failure estimate of one backend server, and what a service's episode model learns.
 
 use leverstream_health::{Episodes, Suspicion};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// The chance of a failure from which requests that run once avoid a backend server.
+/// The failure chance from which requests that may run only once avoid a backend server.
 const AVOID_FROM: f64 = 0.35;
 
 /// Tells whether a backend server is avoided.
@@ -12,7 +12,7 @@
     suspicion.failure_chance(1.0, episodes, now_ms) >= AVOID_FROM
 }
 
-/// Lets the other backend servers of the service answer, so that failures stay rare there.
+/// Records good answers of the service's other backend servers, so that its failures stay rare.
 fn others_answer(episodes: &mut Episodes, now_ms: u64) {
     for _ in 0..25 {
         Suspicion::open(now_ms).good(8, episodes, now_ms);
@@ -20,16 +20,16 @@
 }
 
 /// A backend server that has answered well until `now_ms`.
-fn sound(episodes: &mut Episodes, now_ms: u64) -> Suspicion {
+fn healthy(episodes: &mut Episodes, now_ms: u64) -> Suspicion {
     let mut suspicion = Suspicion::open(0);
     suspicion.good(20, episodes, now_ms);
     suspicion
 }
 
 #[test]
-fn a_stray_error_among_good_answers_avoids_nobody_but_a_second_one_does() {
+fn a_backend_is_avoided_after_a_second_error_but_not_after_a_single_one() {
     let mut episodes = Episodes::default();
-    let mut suspicion = sound(&mut episodes, 1_000);
+    let mut suspicion = healthy(&mut episodes, 1_000);
     suspicion.bad(1, &mut episodes, 1_000);
     assert!(!is_avoided(&suspicion, &episodes, 1_000));
     suspicion.bad(1, &mut episodes, 1_050);
@@ -38,34 +38,35 @@
 }
 
 #[test]
-fn one_failure_where_nothing_was_heard_of_late_avoids_for_seconds() {
+fn one_failure_without_recent_outcomes_avoids_a_backend_for_seconds() {
     let mut episodes = Episodes::default();
-    let mut suspicion = sound(&mut episodes, 1_000);
+    let mut suspicion = healthy(&mut episodes, 1_000);
     suspicion.bad(1, &mut episodes, 4_000);
     assert!(is_avoided(&suspicion, &episodes, 5_000));
     assert!(!is_avoided(&suspicion, &episodes, 12_000));
 }
 
 #[test]
-fn failures_in_a_row_avoid_for_longer() {
+fn consecutive_failures_avoid_a_backend_for_longer() {
     let avoided_ms = |failures: u64| {
         let mut episodes = Episodes::default();
-        let mut suspicion = sound(&mut episodes, 1_000);
-        (0..failures).for_each(|at| suspicion.bad(1, &mut episodes, 4_000 + at));
-        // What the others answer teaches the same in all cases.
+        let mut suspicion = healthy(&mut episodes, 1_000);
+        (0..failures).for_each(|index| suspicion.bad(1, &mut episodes, 4_000 + index));
+        // The same answers of the others in all cases give the same model.
         (0..40).for_each(|_| others_answer(&mut episodes, 4_000 + failures));
         let end_ms = 4_000 + failures;
         (0..60_000).find(|ms| !is_avoided(&suspicion, &episodes, end_ms + ms)).expect("it ends")
     };
     assert!(avoided_ms(1) < avoided_ms(2));
     assert!(avoided_ms(2) <= avoided_ms(4));
-    // The chance is at its bound; forty teach a little more of how long episodes last.
+    // The chance is at its upper bound; forty failures only lengthen the learned duration of
+    // episodes a little.
     let (four_ms, forty_ms) = (avoided_ms(4), avoided_ms(40));
     assert!(four_ms.abs_diff(forty_ms) * 100 <= four_ms, "{four_ms} {forty_ms}");
 }
 
 #[test]
-fn a_good_answer_ends_the_row_but_not_the_memory() {
+fn a_good_answer_after_failures_does_not_clear_them() {
     let mut episodes = Episodes::default();
     let mut suspicion = Suspicion::open(0);
     suspicion.bad(4, &mut episodes, 1_000);
@@ -78,16 +79,17 @@
 }
 
 #[test]
-fn nothing_seen_is_nearly_sound() {
+fn a_backend_without_outcomes_is_nearly_healthy() {
     let (suspicion, episodes) = (Suspicion::open(5_000), Episodes::default());
     assert!(suspicion.failure_chance(1.0, &episodes, 5_000) < 0.05);
     assert_eq!(suspicion.bad_age_ms(5_000), None);
 }
 
-/// How many requests fail in an episode, if one is sent whenever the backend server is not avoided.
+/// The number of requests that fail in an episode, if one is sent whenever the backend server is
+/// not avoided.
 fn trials_in_an_episode(episode_ms: u64) -> usize {
     let mut episodes = Episodes::default();
-    let mut suspicion = sound(&mut episodes, 7_000);
+    let mut suspicion = healthy(&mut episodes, 7_000);
     let mut trials = 0;
     for now_ms in (10_000..10_000 + episode_ms).step_by(50) {
         if !is_avoided(&suspicion, &episodes, now_ms) {
@@ -100,7 +102,7 @@
 }
 
 #[test]
-fn trials_grow_rare_the_longer_an_episode_lasts() {
+fn trials_become_rarer_the_longer_an_episode_lasts() {
     assert_eq!(trials_in_an_episode(500), 1);
     assert!(trials_in_an_episode(9_000) <= 4, "{}", trials_in_an_episode(9_000));
     assert!(trials_in_an_episode(27_000) <= 7, "{}", trials_in_an_episode(27_000));
@@ -112,7 +114,7 @@
     let mut suspicion = Suspicion::open(0);
     (0..100).for_each(|at| suspicion.bad(1, &mut episodes, 10_000 + at * 100));
     assert!(is_avoided(&suspicion, &episodes, 24_000), "an episode of ten seconds may go on");
-    // The others of the service have answered meanwhile.
+    // The others of the service have answered in the meantime.
     others_answer(&mut episodes, 26_000);
     for now_ms in (26_000..27_000).step_by(250) {
         suspicion.good(1, &mut episodes, now_ms);
@@ -125,8 +127,8 @@
     assert!(!is_avoided(&suspicion, &episodes, now_ms), "the next failure begins anew");
 }
 
-/// What five minutes of ten backend servers teach, each failing for `episode_ms` of every `period_ms`, one
-/// after the other, with requests every 200 ms unless they are avoided.
+/// The model learned in five minutes from ten backend servers, each failing for `episode_ms` of
+/// every `period_ms` in turn, with requests every 200 ms unless they are avoided.
 fn learned(period_ms: u64, episode_ms: u64) -> Episodes {
     let mut episodes = Episodes::default();
     let mut all = vec![Suspicion::open(0); 10];
@@ -144,7 +146,7 @@
 }
 
 #[test]
-fn a_service_teaches_how_often_its_backend_servers_fail_and_for_how_long() {
+fn a_model_learns_how_often_and_how_long_backends_fail() {
     let often = learned(30_000, 9_000);
     assert!((0.15..0.45).contains(&often.share()), "{}", often.share());
     assert!((4_000.0..14_000.0).contains(&often.decay_ms()), "{}", often.decay_ms());
@@ -155,11 +157,11 @@
 }
 
 #[test]
-fn where_a_whole_service_fails_a_third_of_its_work_few_are_avoided() {
+fn few_backends_are_avoided_where_a_whole_service_fails_a_third_of_its_requests() {
     let mut episodes = Episodes::default();
     let mut all = vec![Suspicion::open(0); 10];
     let mut avoided = 0;
-    // Each third request fails, whichever backend server it goes to.
+    // Every third request fails, at whichever backend server.
     for at in 0..3_000_u64 {
         let (now_ms, index) = (at * 20, (at % 10) as usize);
         match at % 3 {
@@ -167,25 +169,26 @@
             _ => all[index].good(1, &mut episodes, now_ms),
         }
         if at >= 600 {
-            avoided += all.iter().filter(|one| is_avoided(one, &episodes, now_ms)).count();
+            avoided +=
+                all.iter().filter(|suspicion| is_avoided(suspicion, &episodes, now_ms)).count();
         }
     }
     let share = avoided as f64 / (2_400.0 * 10.0);
     assert!(share < 0.25, "{share}");
 }
 
-/// What a hidden chain teaches that is in episodes for three tenths of the time, 9 s each on average, where each
-/// of 40 backend servers is looked at so often a second.
-fn learned_by_looks(looks_per_s: f64) -> Episodes {
+/// The model learned from a hidden Markov chain that is in episodes for three tenths of the time, 9
+/// s each on average, where each of 40 backend servers is observed at the given rate.
+fn learned_at_rate(observations_per_s: f64) -> Episodes {
     let mut rng = StdRng::seed_from_u64(7);
     let mut episodes = Episodes::default();
     let mut all = vec![(Suspicion::open(0), false); 40];
     for now_ms in (10..300_000_u64).step_by(10) {
-        for (suspicion, is_sick) in &mut all {
-            let change_per_s = if *is_sick { 1.0 / 9.0 } else { 3.0 / 7.0 / 9.0 };
-            *is_sick ^= rng.random_bool(change_per_s * 0.01);
-            if rng.random_bool(looks_per_s * 0.01) {
-                match rng.random_bool(if *is_sick { 0.8 } else { 0.01 }) {
+        for (suspicion, is_in_episode) in &mut all {
+            let change_per_s = if *is_in_episode { 1.0 / 9.0 } else { 3.0 / 7.0 / 9.0 };
+            *is_in_episode ^= rng.random_bool(change_per_s * 0.01);
+            if rng.random_bool(observations_per_s * 0.01) {
+                match rng.random_bool(if *is_in_episode { 0.8 } else { 0.01 }) {
                     true => suspicion.bad(1, &mut episodes, now_ms),
                     false => suspicion.good(1, &mut episodes, now_ms),
                 }
@@ -196,22 +199,22 @@
 }
 
 #[test]
-fn the_same_chain_teaches_the_same_however_rarely_it_is_looked_at() {
-    for looks_per_s in [0.1, 1.0, 10.0] {
-        let episodes = learned_by_looks(looks_per_s);
+fn the_learned_model_does_not_depend_on_the_rate_of_observations() {
+    for observations_per_s in [0.1, 1.0, 10.0] {
+        let episodes = learned_at_rate(observations_per_s);
         let (share, decay_ms) = (episodes.share(), episodes.decay_ms());
-        assert!((0.2..=0.4).contains(&share), "{looks_per_s}: {share}");
-        assert!((4_000.0..=13_000.0).contains(&decay_ms), "{looks_per_s}: {decay_ms}");
+        assert!((0.2..=0.4).contains(&share), "{observations_per_s}: {share}");
+        assert!((4_000.0..=13_000.0).contains(&decay_ms), "{observations_per_s}: {decay_ms}");
     }
 }
 
 #[test]
-fn one_of_which_nothing_is_heard_is_not_taken_for_failing() {
-    // Seven in ten fail as soon as they are looked at, and nobody looks at the other three again.
+fn a_backend_without_recent_outcomes_is_not_avoided() {
+    // Seven in ten fail as soon as they are observed, and the other three are not observed again.
     let mut episodes = Episodes::default();
     let mut failing = vec![Suspicion::open(0); 70];
     for now_ms in (1_000..60_000).step_by(500) {
-        failing.iter_mut().for_each(|one| one.bad(1, &mut episodes, now_ms));
+        failing.iter_mut().for_each(|suspicion| suspicion.bad(1, &mut episodes, now_ms));
         others_answer(&mut episodes, now_ms);
     }
     assert!(episodes.unseen_failure_chance() < AVOID_FROM, "{}", episodes.unseen_failure_chance());
--- a/crates/leverstream-suspect/tests/fleet/mod.rs
+++ b/crates/leverstream-suspect/tests/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet in simulated time before backend servers that end under one request which comes again and again.
+//! A fleet in simulated time, and backend servers that end under one request that is sent again and
+//! again.
 
 mod vm;
 
@@ -11,333 +12,343 @@
 
 use vm::{Message, Vm};
 
-/// How soon after the third end, and after what befell it, a VM in touch must know the request, in milliseconds.
-pub const KNOWN_MS: u64 = 3_000;
+/// The time after the third end, and after the last fault of a VM, within which a connected VM must
+/// know the request, in milliseconds.
+pub const LEARN_LIMIT_MS: u64 = 3_000;
 
-/// How long an ended backend server is down, in milliseconds.
-const DOWN_MS: u64 = 3_000;
+/// The time for which an ended backend server is down, in milliseconds.
+const RESTART_MS: u64 = 3_000;
 
-/// How long after its start a VM that nobody tells reads the store, in milliseconds.
-const READ_MS: u64 = 150;
+/// The interval between a VM's start, or failed read, and its next read of the store, in
+/// milliseconds.
+const STORE_READ_MS: u64 = 150;
 
-/// How long a write to the store takes, in milliseconds.
-const WRITE_MS: u64 = 10;
+/// The duration of a write to the store, in milliseconds.
+const STORE_WRITE_MS: u64 = 10;
 
 /// The digest of the request that ends backend servers.
 const ENDING: RequestDigest = RequestDigest(u128::MAX / 3);
 
-/// What befalls a VM.
+/// A fault of a VM.
 #[derive(Clone, Copy, Debug)]
-pub enum Event {
-    /// Its process ends, and starts again after so long.
+pub enum Fault {
+    /// Its process is killed and restarts after this time.
     Kill(u64),
-    /// It stands still for so long.
+    /// It is frozen for this time.
     Freeze(u64),
-    /// It reaches no other VM and no store for so long; backend servers it reaches.
+    /// It is cut off from other VMs and the store for this time, but not from backend servers.
     Cut(u64),
 }
 
-/// What happens in a run.
+/// The parameters of a simulation run.
 #[derive(Clone, Debug)]
-pub struct Story {
-    /// How many VMs there are.
+pub struct Scenario {
+    /// The number of VMs.
     pub vms: usize,
-    /// How many of them callers are sent to.
-    pub placed: usize,
-    /// How many backend servers there are.
+    /// The number of VMs that callers send requests to.
+    pub entry_vms: usize,
+    /// The number of backend servers.
     pub servers: usize,
-    /// How many requests one works on at once.
+    /// The number of requests that a backend server runs at once.
     pub slots: usize,
-    /// How many more wait there.
+    /// The number of requests that wait at a backend server.
     pub queue: usize,
-    /// Under how many ends a request is refused.
+    /// The number of ends from which a request is refused.
     pub ends_to_refuse: usize,
-    /// How often the request that ends backend servers comes on average, and from when on; never if not told.
+    /// The mean interval between arrivals of the request that ends backend servers, and the time of
+    /// its first arrival, both in milliseconds; `None` if it never arrives.
     pub ending: Option<(u64, u64)>,
-    /// How many ordinary requests come a second.
+    /// The rate of ordinary requests per second.
     pub requests_per_s: f64,
-    /// The time between two backend servers that end by themselves, if any do.
+    /// The mean time between backend servers that end by themselves, if any do.
     pub crash_gap_ms: Option<u64>,
-    /// What befalls VMs, and when.
-    pub events: Vec<(u64, usize, Event)>,
-    /// From when to when the store is away.
-    pub store_away: Option<(u64, u64)>,
+    /// The faults: the time, the VM and the kind.
+    pub faults: Vec<(u64, usize, Fault)>,
+    /// The period in which the store is unreachable.
+    pub store_outage: Option<(u64, u64)>,
     /// The share of datagrams that are lost.
     pub lost: f64,
-    /// The share that come twice.
-    pub doubled: f64,
-    /// How late datagrams come at the most, in milliseconds.
-    pub late_ms: u64,
-    /// How long it goes on.
+    /// The share of datagrams that arrive twice.
+    pub duplicated: f64,
+    /// The largest delay of a datagram, in milliseconds.
+    pub max_delay_ms: u64,
+    /// The length of the run, in milliseconds.
     pub length_ms: u64,
-    /// What decides.
+    /// The seed of the random number generator.
     pub seed: u64,
 }
 
-/// What was seen from outside.
+/// The observations of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// When backend servers ended under the request.
+pub struct Observed {
+    /// The times when backend servers ended under the request.
     pub ends: Vec<u64>,
-    /// When the request reached backend servers, and whether the VM was in touch.
+    /// The times when the request reached backend servers, and whether the sending VM was
+    /// connected.
     pub sends: Vec<(u64, bool)>,
-    /// Ordinary requests.
+    /// The number of ordinary requests.
     pub ordinary: usize,
-    /// Those answered well in the end.
+    /// The number of ordinary requests that succeeded in the end.
     pub served: usize,
-    /// Those that were refused as if they ended backend servers.
-    pub accused: usize,
-    /// Datagrams sent.
+    /// The number of ordinary requests that were refused as if they ended backend servers.
+    pub wrongly_refused: usize,
+    /// The number of datagrams sent.
     pub datagrams: usize,
 }
 
-impl Seen {
-    /// How often the request reached backend servers from VMs in touch later than it must be known.
+impl Observed {
+    /// The number of times that connected VMs sent the request to backend servers after they had to
+    /// know it.
     pub fn late(&self) -> usize {
         let Some(third) = self.ends.get(2) else { return 0 };
-        let is_late = |(at_ms, in_touch): &&(u64, bool)| *in_touch && *at_ms > third + KNOWN_MS;
+        let is_late =
+            |(at_ms, is_connected): &&(u64, bool)| *is_connected && *at_ms > third + LEARN_LIMIT_MS;
         self.sends.iter().filter(is_late).count()
     }
 }
 
-/// What comes at its time.
+/// A scheduled event.
 #[derive(Clone, Debug)]
-enum Due {
-    /// A request comes to a VM that callers are sent to.
+enum Event {
+    /// A request arrives at a VM that callers send requests to.
     Arrive(Request),
-    /// The next ordinary request.
+    /// The next ordinary request arrives.
     Ordinary,
-    /// The request that ends backend servers.
+    /// The request that ends backend servers arrives.
     Ending,
-    /// A run comes to its end.
+    /// A backend server finishes a request: its index, its incarnation, the run.
     RunEnds(usize, u64, u64),
-    /// A start of a backend server ends.
+    /// A backend server ends, if it is still in the given incarnation.
     ServerEnds(usize, u64),
-    /// A backend server is back.
+    /// A backend server starts again.
     ServerStarts(usize),
-    /// Backend servers end by themselves.
+    /// A backend server ends by itself.
     Crash,
-    /// A datagram reaches a VM's process.
+    /// A datagram arrives at a VM: the receiver, the sender, the message.
     Deliver(usize, usize, Message),
-    /// A VM does what is due.
+    /// A VM's process ticks.
     Tick(usize, u64),
-    /// Something befalls a VM.
-    Befall(usize, Event),
+    /// A fault hits a VM.
+    FaultHits(usize, Fault),
     /// A VM's process starts.
     Start(usize),
-    /// A VM reads the store.
+    /// A VM's process reads the store.
     Read(usize, u64),
-    /// The store has taken a request.
+    /// The store has written a refused request.
     Kept(Told),
 }
 
-/// A request on its way.
+/// A request that has not succeeded yet.
 #[derive(Clone, Debug)]
 struct Request {
-    /// What it is known again by.
+    /// The digest that identifies it.
     digest: RequestDigest,
-    /// How often its caller may come again.
-    again: u32,
-    /// How often the VM may send it on.
+    /// The number of retries that its caller has left.
+    retries: u32,
+    /// The number of attempts that the VM has left.
     attempts: u32,
-    /// The VM that has it, and which life of it.
-    at: Option<(usize, u64)>,
+    /// The VM that holds it, and the number of the VM's process.
+    vm_process: Option<(usize, u64)>,
 }
 
 /// A backend server.
 #[derive(Debug, Default)]
 struct Server {
-    /// Which start it is; even while it is down.
+    /// The number of its incarnation, also while it is down.
     start: u64,
     /// Whether it is up.
     is_up: bool,
-    /// What runs and waits there.
+    /// The requests that run or wait there.
     runs: BTreeMap<u64, Request>,
 }
 
-/// The world.
-struct World {
-    /// What happens.
-    story: Story,
-    /// What decides.
+/// The simulation.
+struct Simulation {
+    /// The parameters.
+    scenario: Scenario,
+    /// The seed of the random number generator.
     rng: StdRng,
-    /// What comes, by time and then in order.
-    due: BinaryHeap<Reverse<(u64, u64)>>,
-    /// The same, by its number.
-    dues: BTreeMap<u64, Due>,
-    /// Counts what comes.
+    /// The schedule: times and event numbers, the earliest first.
+    schedule: BinaryHeap<Reverse<(u64, u64)>>,
+    /// The scheduled events by number.
+    events_by_number: BTreeMap<u64, Event>,
+    /// The last number given to an event or run.
     number: u64,
     /// The present time.
     now_ms: u64,
-    /// The VMs; none while a process is down.
+    /// The process_numbers of the VMs; `None` while a process is down.
     vms: Vec<Option<Vm>>,
-    /// Which life each is in.
-    lives: Vec<u64>,
-    /// Until when each stands still or is cut off, and since when nothing befell it.
-    frozen_ms: Vec<u64>,
-    /// Until when each reaches no other VM.
-    cut_ms: Vec<u64>,
-    /// From when on each knows the backend servers.
-    knows_ms: Vec<u64>,
-    /// Since when nothing has befallen each.
-    calm_ms: Vec<u64>,
+    /// The number of each VM's present process.
+    process_numbers: Vec<u64>,
+    /// The time until which each VM is frozen.
+    frozen_until_ms: Vec<u64>,
+    /// The time until which each VM is cut off.
+    cut_until_ms: Vec<u64>,
+    /// The time from which each VM knows the backend servers.
+    ready_ms: Vec<u64>,
+    /// The time since which each VM has been free of faults.
+    fault_free_since_ms: Vec<u64>,
     /// The backend servers.
     servers: Vec<Server>,
-    /// What the store holds.
+    /// The reports in the store.
     store: Vec<Told>,
-    /// What was seen.
-    seen: Seen,
+    /// The observations.
+    seen: Observed,
 }
 
-/// Plays a story.
-pub fn play(story: Story) -> Seen {
-    let mut world = World::open(story);
-    while let Some(Reverse((at_ms, number))) = world.due.pop() {
-        if at_ms > world.story.length_ms {
+/// Runs a simulation.
+pub fn simulate(scenario: Scenario) -> Observed {
+    let mut simulation = Simulation::open(scenario);
+    while let Some(Reverse((at_ms, number))) = simulation.schedule.pop() {
+        if at_ms > simulation.scenario.length_ms {
             break;
         }
-        world.now_ms = at_ms;
-        if let Some(due) = world.dues.remove(&number) {
-            world.happen(due);
+        simulation.now_ms = at_ms;
+        if let Some(event) = simulation.events_by_number.remove(&number) {
+            simulation.handle(event);
         }
     }
-    world.seen
+    simulation.seen
 }
 
-impl World {
-    /// Starts all at once.
-    fn open(story: Story) -> World {
-        let vms = story.vms;
+impl Simulation {
+    /// Starts all VMs and backend servers at once.
+    fn open(scenario: Scenario) -> Simulation {
+        let vms = scenario.vms;
         let up = |_| Server { start: 1, is_up: true, runs: BTreeMap::new() };
-        let mut world = World {
-            rng: StdRng::seed_from_u64(story.seed),
-            due: BinaryHeap::new(),
-            dues: BTreeMap::new(),
+        let mut simulation = Simulation {
+            rng: StdRng::seed_from_u64(scenario.seed),
+            schedule: BinaryHeap::new(),
+            events_by_number: BTreeMap::new(),
             number: 0,
             now_ms: 0,
             vms: (0..vms).map(|_| None).collect(),
-            lives: vec![0; vms],
-            frozen_ms: vec![0; vms],
-            cut_ms: vec![0; vms],
-            knows_ms: vec![0; vms],
-            calm_ms: vec![0; vms],
-            servers: (0..story.servers).map(up).collect(),
+            process_numbers: vec![0; vms],
+            frozen_until_ms: vec![0; vms],
+            cut_until_ms: vec![0; vms],
+            ready_ms: vec![0; vms],
+            fault_free_since_ms: vec![0; vms],
+            servers: (0..scenario.servers).map(up).collect(),
             store: Vec::new(),
-            seen: Seen::default(),
-            story,
+            seen: Observed::default(),
+            scenario,
         };
-        (0..vms).for_each(|vm| world.start(vm));
-        world.calm_ms = vec![0; vms];
-        for (at_ms, vm, event) in world.story.events.clone() {
-            world.after(at_ms, Due::Befall(vm, event));
+        (0..vms).for_each(|vm| simulation.start(vm));
+        simulation.fault_free_since_ms = vec![0; vms];
+        for (at_ms, vm, fault) in simulation.scenario.faults.clone() {
+            simulation.after(at_ms, Event::FaultHits(vm, fault));
         }
-        if let Some((_, from_ms)) = world.story.ending {
-            world.after(from_ms, Due::Ending);
+        if let Some((_, from_ms)) = simulation.scenario.ending {
+            simulation.after(from_ms, Event::Ending);
         }
-        world.after(1, Due::Ordinary);
-        if let Some(gap_ms) = world.story.crash_gap_ms {
-            world.after(gap_ms, Due::Crash);
+        simulation.after(1, Event::Ordinary);
+        if let Some(gap_ms) = simulation.scenario.crash_gap_ms {
+            simulation.after(gap_ms, Event::Crash);
         }
-        world
+        simulation
     }
 
-    /// Has something come after a while.
-    fn after(&mut self, wait_ms: u64, due: Due) {
+    /// Schedules an event.
+    fn after(&mut self, wait_ms: u64, event: Event) {
         self.number += 1;
-        self.due.push(Reverse((self.now_ms + wait_ms, self.number)));
-        self.dues.insert(self.number, due);
+        self.schedule.push(Reverse((self.now_ms + wait_ms, self.number)));
+        self.events_by_number.insert(self.number, event);
     }
 
-    /// Has something happen.
-    fn happen(&mut self, due: Due) {
-        match due {
-            Due::Ordinary => self.ordinary(),
-            Due::Ending => self.ending(),
-            Due::Arrive(request) => self.arrive(request),
-            Due::RunEnds(server, start, run) => self.run_ends(server, start, run),
-            Due::ServerEnds(server, start) => self.server_ends(server, start, true),
-            Due::ServerStarts(server) => {
+    /// Handles an event.
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Ordinary => self.ordinary(),
+            Event::Ending => self.ending(),
+            Event::Arrive(request) => self.arrive(request),
+            Event::RunEnds(server, start, run) => self.run_ends(server, start, run),
+            Event::ServerEnds(server, start) => self.server_ends(server, start, true),
+            Event::ServerStarts(server) => {
                 self.servers[server].start += 1;
                 self.servers[server].is_up = true;
             }
-            Due::Crash => self.crash(),
-            Due::Deliver(to, from, message) => self.deliver(to, from, &message),
-            Due::Tick(vm, life) => self.tick(vm, life),
-            Due::Befall(vm, event) => self.befall(vm, event),
-            Due::Start(vm) => self.start(vm),
-            Due::Read(vm, life) => self.read(vm, life),
-            Due::Kept(told) => self.store.push(told),
+            Event::Crash => self.crash(),
+            Event::Deliver(to, from, message) => self.deliver(to, from, &message),
+            Event::Tick(vm, process_number) => self.tick(vm, process_number),
+            Event::FaultHits(vm, fault) => self.apply_fault(vm, fault),
+            Event::Start(vm) => self.start(vm),
+            Event::Read(vm, process_number) => self.read(vm, process_number),
+            Event::Kept(told) => self.store.push(told),
         }
     }
 
-    /// An ordinary request comes.
+    /// An ordinary request arrives.
     fn ordinary(&mut self) {
         self.seen.ordinary += 1;
         let digest = RequestDigest(u128::from(self.rng.random::<u64>()));
         let attempts = 1 + u32::from(self.rng.random_bool(0.5));
-        self.arrive(Request { digest, again: 2, attempts, at: None });
-        let gap_ms = (1_000.0 / self.story.requests_per_s * self.rng.random_range(0.2..1.8)) as u64;
-        self.after(gap_ms.max(1), Due::Ordinary);
+        self.arrive(Request { digest, retries: 2, attempts, vm_process: None });
+        let gap_ms =
+            (1_000.0 / self.scenario.requests_per_s * self.rng.random_range(0.2..1.8)) as u64;
+        self.after(gap_ms.max(1), Event::Ordinary);
     }
 
-    /// The request that ends backend servers comes.
+    /// The request that ends backend servers arrives.
     fn ending(&mut self) {
         let attempts = 1 + u32::from(self.rng.random_bool(0.5));
-        self.arrive(Request { digest: ENDING, again: 0, attempts, at: None });
-        let gap_ms = self.story.ending.map_or(1, |(gap_ms, _)| gap_ms);
+        self.arrive(Request { digest: ENDING, retries: 0, attempts, vm_process: None });
+        let gap_ms = self.scenario.ending.map_or(1, |(gap_ms, _)| gap_ms);
         let gap_ms = self.rng.random_range(1..2 * gap_ms);
-        self.after(gap_ms, Due::Ending);
+        self.after(gap_ms, Event::Ending);
     }
 
-    /// A request comes to one of the VMs that callers are sent to.
+    /// A request arrives at one of the VMs that callers send requests to.
     fn arrive(&mut self, request: Request) {
-        let vm = self.rng.random_range(0..self.story.placed);
+        let vm = self.rng.random_range(0..self.scenario.entry_vms);
         if self.vms[vm].is_none() {
-            return self.come_again(&request);
+            return self.retry(&request);
         }
-        // One that stands still, or has just started and does not know the backend servers yet, has it wait.
-        let until_ms = self.frozen_ms[vm].max(self.knows_ms[vm]);
+        // A frozen VM, or one that doesn't know the backend servers yet, makes the request wait.
+        let until_ms = self.frozen_until_ms[vm].max(self.ready_ms[vm]);
         if until_ms > self.now_ms {
-            return self.after(until_ms - self.now_ms, Due::Arrive(request));
+            return self.after(until_ms - self.now_ms, Event::Arrive(request));
         }
-        self.send(Request { at: Some((vm, self.lives[vm])), ..request });
+        self.send(Request { vm_process: Some((vm, self.process_numbers[vm])), ..request });
     }
 
-    /// The VM sends a request on.
+    /// The VM sends a request to a backend server.
     fn send(&mut self, mut request: Request) {
-        let Some((vm, life)) = request.at else { return };
-        let Some(process) = self.vms[vm].as_mut().filter(|_| self.lives[vm] == life) else {
-            return self.come_again(&request);
+        let Some((vm, process_number)) = request.vm_process else { return };
+        let Some(process) =
+            self.vms[vm].as_mut().filter(|_| self.process_numbers[vm] == process_number)
+        else {
+            return self.retry(&request);
         };
         if process.suspects.verdict(request.digest) == Verdict::Refused {
             process.suspects.come(request.digest, self.now_ms);
-            self.seen.accused += usize::from(request.digest != ENDING);
+            self.seen.wrongly_refused += usize::from(request.digest != ENDING);
             return;
         }
-        let room = self.story.slots + self.story.queue;
+        let room = self.scenario.slots + self.scenario.queue;
         let has_room =
             |server: &usize| self.servers[*server].is_up && self.servers[*server].runs.len() < room;
         let free: Vec<usize> = (0..self.servers.len()).filter(has_room).collect();
         let Some(server) = free.get(self.rng.random_range(0..free.len().max(1))).copied() else {
-            return self.come_again(&request);
+            return self.retry(&request);
         };
         request.attempts -= 1;
         self.number += 1;
         let run = self.number;
         let start = self.servers[server].start;
         if request.digest == ENDING {
-            let in_touch = self.now_ms >= self.calm_ms[vm] + KNOWN_MS || self.calm_ms[vm] == 0;
-            self.seen.sends.push((self.now_ms, in_touch));
+            let is_connected = self.now_ms >= self.fault_free_since_ms[vm] + LEARN_LIMIT_MS
+                || self.fault_free_since_ms[vm] == 0;
+            self.seen.sends.push((self.now_ms, is_connected));
             let work_ms = self.rng.random_range(20..120);
-            self.after(work_ms, Due::ServerEnds(server, start));
+            self.after(work_ms, Event::ServerEnds(server, start));
         } else {
             let work_ms = self.rng.random_range(100..500);
-            self.after(work_ms, Due::RunEnds(server, start, run));
+            self.after(work_ms, Event::RunEnds(server, start, run));
         }
         self.servers[server].runs.insert(run, request);
     }
 
-    /// A run comes to a good end.
+    /// A backend server finishes a request successfully.
     fn run_ends(&mut self, server: usize, start: u64, run: u64) {
         if self.servers[server].start != start || !self.servers[server].is_up {
             return;
@@ -345,21 +356,21 @@
         let Some(request) = self.servers[server].runs.remove(&run) else { return };
         self.seen.served += 1;
         let now_ms = self.now_ms;
-        if let Some(vm) = self.process(request.at)
+        if let Some(vm) = self.process(request.vm_process)
             && vm.suspects.clear(request.digest, now_ms)
         {
-            vm.tell_of(request.digest, now_ms);
+            vm.schedule_reports(request.digest, now_ms);
         }
     }
 
-    /// A backend server ends.
+    /// A backend server ends and drops all its requests.
     fn server_ends(&mut self, server: usize, start: u64, is_under_request: bool) {
         if self.servers[server].start != start || !self.servers[server].is_up {
             return;
         }
         self.servers[server].is_up = false;
         self.servers[server].start += 1;
-        self.after(DOWN_MS, Due::ServerStarts(server));
+        self.after(RESTART_MS, Event::ServerStarts(server));
         if is_under_request {
             self.seen.ends.push(self.now_ms);
         }
@@ -369,41 +380,43 @@
         }
     }
 
-    /// A VM sees the connection of a request break, and that its backend server has ended.
+    /// A VM sees that a request's connection broke and that its backend server has ended.
     fn cut(&mut self, request: Request, end: EndDigest) {
         let now_ms = self.now_ms;
-        let Some((vm, _)) = request.at else { return };
-        let is_frozen = self.frozen_ms[vm] > now_ms;
-        let Some(process) = self.process(request.at) else { return self.come_again(&request) };
+        let Some((vm, _)) = request.vm_process else { return };
+        let is_frozen = self.frozen_until_ms[vm] > now_ms;
+        let Some(process) = self.process(request.vm_process) else { return self.retry(&request) };
         if is_frozen {
-            // What listens there again by the time it wakes tells of no end.
-            return self.come_again(&request);
+            // By the time it resumes, the next incarnation listens there, so it notices no end.
+            return self.retry(&request);
         }
         if process.suspects.end(request.digest, end, now_ms) {
-            process.tell_of(request.digest, now_ms);
+            process.schedule_reports(request.digest, now_ms);
         }
         let verdict = process.suspects.verdict(request.digest);
         let told = process.suspects.told(request.digest, now_ms);
-        let is_away = self.story.store_away.is_some_and(|(from, to)| (from..to).contains(&now_ms));
-        if let Some(told) =
-            told.filter(|_| verdict == Verdict::Refused && !is_away && self.cut_ms[vm] <= now_ms)
+        let is_away =
+            self.scenario.store_outage.is_some_and(|(from, to)| (from..to).contains(&now_ms));
+        if let Some(told) = told
+            .filter(|_| verdict == Verdict::Refused && !is_away && self.cut_until_ms[vm] <= now_ms)
         {
-            self.after(WRITE_MS, Due::Kept(told));
+            self.after(STORE_WRITE_MS, Event::Kept(told));
         }
         if request.attempts > 0 && verdict < Verdict::LastTry {
             self.send(request);
         } else {
-            self.come_again(&request);
+            self.retry(&request);
         }
     }
 
-    /// A caller comes again after a failure.
-    fn come_again(&mut self, request: &Request) {
-        if request.again > 0 {
+    /// A caller retries a failed request.
+    fn retry(&mut self, request: &Request) {
+        if request.retries > 0 {
             let wait_ms = self.rng.random_range(50..300);
             let attempts = 1 + u32::from(self.rng.random_bool(0.5));
-            let request = Request { again: request.again - 1, attempts, at: None, ..*request };
-            self.after(wait_ms, Due::Arrive(request));
+            let request =
+                Request { retries: request.retries - 1, attempts, vm_process: None, ..*request };
+            self.after(wait_ms, Event::Arrive(request));
         }
     }
 
@@ -412,27 +425,27 @@
         let server = self.rng.random_range(0..self.servers.len());
         let start = self.servers[server].start;
         self.server_ends(server, start, false);
-        let gap_ms = self.story.crash_gap_ms.unwrap_or(1);
+        let gap_ms = self.scenario.crash_gap_ms.unwrap_or(1);
         let gap_ms = self.rng.random_range(1..2 * gap_ms);
-        self.after(gap_ms, Due::Crash);
+        self.after(gap_ms, Event::Crash);
     }
 
-    /// The process of a VM in a life, if that goes on.
-    fn process(&mut self, at: Option<(usize, u64)>) -> Option<&mut Vm> {
-        let (vm, life) = at?;
-        if self.lives[vm] == life { self.vms[vm].as_mut() } else { None }
+    /// The process of a VM, unless it has been replaced.
+    fn process(&mut self, vm_process: Option<(usize, u64)>) -> Option<&mut Vm> {
+        let (vm, process_number) = vm_process?;
+        if self.process_numbers[vm] == process_number { self.vms[vm].as_mut() } else { None }
     }
 
-    /// A VM does what is due, and tells others.
-    fn tick(&mut self, vm: usize, life: u64) {
-        if self.lives[vm] != life {
+    /// A VM ticks and sends its messages.
+    fn tick(&mut self, vm: usize, process_number: u64) {
+        if self.process_numbers[vm] != process_number {
             return;
         }
-        self.after(vm::TICK_MS, Due::Tick(vm, life));
-        if self.frozen_ms[vm] > self.now_ms {
+        self.after(vm::TICK_MS, Event::Tick(vm, process_number));
+        if self.frozen_until_ms[vm] > self.now_ms {
             return;
         }
-        let (others, now_ms) = (self.story.vms, self.now_ms);
+        let (others, now_ms) = (self.scenario.vms, self.now_ms);
         let Some(process) = &mut self.vms[vm] else { return };
         let out = process.tick(vm, others, &mut self.rng, now_ms);
         out.into_iter().for_each(|(to, message)| self.tell(vm, to, &message));
@@ -441,49 +454,49 @@
     /// Sends a datagram.
     fn tell(&mut self, from: usize, to: usize, message: &Message) {
         self.seen.datagrams += 1;
-        if self.cut_ms[from] > self.now_ms || self.rng.random_bool(self.story.lost) {
+        if self.cut_until_ms[from] > self.now_ms || self.rng.random_bool(self.scenario.lost) {
             return;
         }
-        for _ in 0..1 + usize::from(self.rng.random_bool(self.story.doubled)) {
-            let late_ms = self.rng.random_range(1..=self.story.late_ms);
-            self.after(late_ms, Due::Deliver(to, from, message.clone()));
+        for _ in 0..1 + usize::from(self.rng.random_bool(self.scenario.duplicated)) {
+            let delay_ms = self.rng.random_range(1..=self.scenario.max_delay_ms);
+            self.after(delay_ms, Event::Deliver(to, from, message.clone()));
         }
     }
 
-    /// A datagram reaches a VM.
+    /// A datagram arrives at a VM.
     fn deliver(&mut self, to: usize, from: usize, message: &Message) {
         let now_ms = self.now_ms;
-        if self.cut_ms[to] > now_ms {
+        if self.cut_until_ms[to] > now_ms {
             return;
         }
-        if self.frozen_ms[to] > now_ms {
-            let wait_ms = self.frozen_ms[to] - now_ms;
-            return self.after(wait_ms, Due::Deliver(to, from, message.clone()));
+        if self.frozen_until_ms[to] > now_ms {
+            let wait_ms = self.frozen_until_ms[to] - now_ms;
+            return self.after(wait_ms, Event::Deliver(to, from, message.clone()));
         }
         let Some(process) = &mut self.vms[to] else { return };
         let out = process.hear(message, now_ms);
         out.into_iter().for_each(|message| self.tell(to, from, &message));
     }
 
-    /// Something befalls a VM.
-    fn befall(&mut self, vm: usize, event: Event) {
-        let until_ms = match event {
-            Event::Kill(for_ms) => {
+    /// A fault hits a VM.
+    fn apply_fault(&mut self, vm: usize, fault: Fault) {
+        let until_ms = match fault {
+            Fault::Kill(for_ms) => {
                 self.vms[vm] = None;
-                self.lives[vm] += 1;
-                self.after(for_ms, Due::Start(vm));
+                self.process_numbers[vm] += 1;
+                self.after(for_ms, Event::Start(vm));
                 self.now_ms + for_ms
             }
-            Event::Freeze(for_ms) => {
-                self.frozen_ms[vm] = self.frozen_ms[vm].max(self.now_ms + for_ms);
-                self.frozen_ms[vm]
+            Fault::Freeze(for_ms) => {
+                self.frozen_until_ms[vm] = self.frozen_until_ms[vm].max(self.now_ms + for_ms);
+                self.frozen_until_ms[vm]
             }
-            Event::Cut(for_ms) => {
-                self.cut_ms[vm] = self.cut_ms[vm].max(self.now_ms + for_ms);
-                self.cut_ms[vm]
+            Fault::Cut(for_ms) => {
+                self.cut_until_ms[vm] = self.cut_until_ms[vm].max(self.now_ms + for_ms);
+                self.cut_until_ms[vm]
             }
         };
-        self.calm_ms[vm] = self.calm_ms[vm].max(until_ms);
+        self.fault_free_since_ms[vm] = self.fault_free_since_ms[vm].max(until_ms);
     }
 
     /// A VM's process starts.
@@ -491,25 +504,26 @@
         if self.vms[vm].is_some() {
             return;
         }
-        self.lives[vm] += 1;
-        self.vms[vm] = Some(Vm::start(self.story.ends_to_refuse));
-        self.calm_ms[vm] = self.calm_ms[vm].max(self.now_ms);
-        let life = self.lives[vm];
+        self.process_numbers[vm] += 1;
+        self.vms[vm] = Some(Vm::start(self.scenario.ends_to_refuse));
+        self.fault_free_since_ms[vm] = self.fault_free_since_ms[vm].max(self.now_ms);
+        let process_number = self.process_numbers[vm];
         let first_ms = self.rng.random_range(1..=vm::TICK_MS);
-        self.after(first_ms, Due::Tick(vm, life));
-        self.after(READ_MS, Due::Read(vm, life));
-        self.knows_ms[vm] = self.now_ms + READ_MS + 1;
+        self.after(first_ms, Event::Tick(vm, process_number));
+        self.after(STORE_READ_MS, Event::Read(vm, process_number));
+        self.ready_ms[vm] = self.now_ms + STORE_READ_MS + 1;
     }
 
-    /// A VM that has just started reads the store.
-    fn read(&mut self, vm: usize, life: u64) {
+    /// A started VM reads the store.
+    fn read(&mut self, vm: usize, process_number: u64) {
         let now_ms = self.now_ms;
-        let is_away = self.story.store_away.is_some_and(|(from, to)| (from..to).contains(&now_ms));
-        if is_away || self.cut_ms[vm] > now_ms {
-            return self.after(READ_MS, Due::Read(vm, life));
+        let is_away =
+            self.scenario.store_outage.is_some_and(|(from, to)| (from..to).contains(&now_ms));
+        if is_away || self.cut_until_ms[vm] > now_ms {
+            return self.after(STORE_READ_MS, Event::Read(vm, process_number));
         }
         let store = self.store.clone();
-        if let Some(process) = self.process(Some((vm, life))) {
+        if let Some(process) = self.process(Some((vm, process_number))) {
             store.iter().for_each(|told| {
                 process.suspects.hear(told, now_ms);
             });
--- a/crates/leverstream-suspect/tests/suspects.rs
+++ b/crates/leverstream-suspect/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! What is known of requests, whatever the order in which it is told.
+//! The recorded ends of requests, in whatever order reports arrive.
 
 use std::collections::BTreeSet;
 
@@ -9,14 +9,14 @@
 use proptest::prelude::*;
 use yare::parameterized;
 
-/// The request of these tests.
+/// The request under test.
 const ONE: RequestDigest = RequestDigest(1);
 
-/// A request as the digest sees it.
+/// The identity of a request.
 const ASKED: Asked<'_> =
     Asked { method: "GET", host: "shop.example", target: "/a?b=1", workspace: "w", body: b"x" };
 
-/// Nothing known.
+/// An empty set.
 fn open() -> Suspects {
     Suspects::open(ENDS_TO_REFUSE)
 }
@@ -28,7 +28,7 @@
     three = { 3, Verdict::Refused },
     five = { 5, Verdict::Refused },
 )]
-fn what_may_be_done_hangs_on_how_many_ended(ends: u64, verdict: Verdict) {
+fn the_verdict_depends_on_the_number_of_ends(ends: u64, verdict: Verdict) {
     let mut suspects = open();
     for end in 0..ends {
         suspects.end(ONE, EndDigest(end), 0);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_sound_answer_takes_back_what_was_known_and_what_others_still_tell() {
+fn a_healthy_answer_clears_ends_and_outdates_older_reports() {
     let mut suspects = open();
     (0..3).for_each(|end| {
         suspects.end(ONE, EndDigest(end), 0);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn it_is_forgotten_when_it_has_not_come_for_long_and_kept_while_it_comes() {
+fn a_request_expires_unless_it_keeps_arriving() {
     let mut suspects = open();
     (0..3).for_each(|end| {
         suspects.end(ONE, EndDigest(end), 0);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn what_is_told_with_its_age_is_forgotten_at_the_same_time() {
+fn a_reported_request_expires_by_its_reported_age() {
     let mut suspects = open();
     let told = Told { digest: ONE, cleared: 0, ends: vec![EndDigest(1)], age_ms: KEPT_MS - 1_000 };
     assert!(suspects.hear(&told, 5_000_000));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_flood_of_requests_of_one_end_leaves_those_of_two_alone() {
+fn a_flood_of_requests_with_one_end_does_not_displace_one_with_two() {
     let mut suspects = open();
     suspects.end(ONE, EndDigest(1), 0);
     suspects.end(ONE, EndDigest(2), 0);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_two_vms_drop_in_a_flood_is_the_same_once_they_have_told_each_other() {
+fn two_vms_drop_the_same_requests_in_a_flood_after_exchanging_reports() {
     let (mut one, mut other) = (open(), open());
     for number in 0..2 * LIMIT as u128 {
         let end = |suspects: &mut Suspects, digest| {
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_request_that_was_left_counts_if_its_backend_server_ends_soon() {
+fn an_abandoned_request_counts_if_its_backend_ends_soon_after() {
     let mut left = LeftRuns::default();
     assert!(!left.leave(ONE, EndDigest(1), 0, 100));
     assert!(!left.leave(RequestDigest(2), EndDigest(2), 0, 100));
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_request_that_is_given_up_counts_if_its_backend_server_ended_since_it_was_sent() {
+fn an_abandoned_request_counts_if_its_backend_ended_after_it_was_sent() {
     let mut left = LeftRuns::default();
     left.end(EndDigest(1), 1_000);
     assert!(left.leave(ONE, EndDigest(1), 900, 3_900), "the word of its end was lost");
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn digests_hang_on_what_stays_the_same_and_on_the_secret() {
+fn digests_depend_on_the_request_identity_and_the_secret() {
     let hasher = RequestHasher::derive("secret");
     let digest = hasher.request(&ASKED);
     assert_eq!(digest, RequestHasher::derive("secret").request(&ASKED));
@@ -152,7 +152,7 @@
     assert_ne!(hasher.end("i-1", 5), hasher.end("i-1", 6));
 }
 
-/// What VMs tell of two requests.
+/// Random reports about two requests.
 fn tolds() -> impl Strategy<Value = Vec<Told>> {
     let told = (0..2u128, 0..3u32, prop::collection::vec(0..6u64, 0..5), 0..1_000u64).prop_map(
         |(digest, cleared, ends, age_ms)| Told {
@@ -167,7 +167,7 @@
 
 proptest! {
     #[test]
-    fn order_and_repetition_of_what_is_told_change_nothing(
+    fn order_and_repetition_of_reports_change_nothing(
         tolds in tolds(), order in prop::collection::vec(any::<prop::sample::Index>(), 0..24)
     ) {
         let (mut one, mut other) = (open(), open());
@@ -183,7 +183,7 @@
     }
 
     #[test]
-    fn vms_that_tell_each_other_know_the_same(tolds in tolds(), split in 0..12usize) {
+    fn vms_that_exchange_reports_agree(tolds in tolds(), split in 0..12usize) {
         let (mut one, mut other) = (open(), open());
         for (number, told) in tolds.iter().enumerate() {
             if number < split { one.hear(told, 10_000) } else { other.hear(told, 10_000) };
@@ -194,7 +194,7 @@
         from_other.iter().for_each(|told| { one.hear(told, 10_000); });
         let digests = |all: &Suspects| all.compared(10_000).map(|told| told.digest).collect::<BTreeSet<_>>();
         prop_assert!(digests(&one).is_superset(&from_other.iter().map(|told| told.digest).collect()));
-        // Those that only one has ended under at each are compared once both ends are known to one of them.
+        // A request with one end at each VM is compared only after one VM knows both ends.
         let again: Vec<Told> = one.compared(10_000).collect();
         again.iter().for_each(|told| { other.hear(told, 10_000); });
         let again: Vec<Told> = other.compared(10_000).collect();
--- a/crates/leverstream-suspect/tests/suspects_model.rs
+++ b/crates/leverstream-suspect/tests/suspects_model.rs
@@ -1,66 +1,67 @@
-//! All orders of events at three VMs that tell each other of two requests.
+//! Explores all orders of events at three VMs that exchange reports about two requests.
 //!
-//! Ends, a sound answer, word that is lost (another takes its place), late or doubled, one process that ends and starts again, a store that takes
-//! what is refused or does not. In every state: nobody refuses a request under which fewer than three backend servers have
-//! ended since it was answered soundly, and once all have heard each other they agree.
+//! The events are ends, a healthy answer, reports that are lost (another takes their place),
+//! delayed or duplicated, one process restart, and a store that accepts or rejects a refused
+//! request. In every state, no VM refuses a request under which fewer than three backend servers
+//! have ended since its healthy answer, and all VMs agree once they have exchanged reports.
 
 use std::collections::{HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use leverstream_suspect::{ENDS_TO_REFUSE, EndDigest, RequestDigest, Suspects, Told, Verdict};
 
-/// The VMs.
+/// The number of VMs.
 const VMS: usize = 3;
 
-/// How many backend servers end at the most under each request.
+/// The largest number of backend servers that end under each request.
 const ENDS: [u64; 2] = [3, 1];
 
-/// A state of the world.
+/// A state of the system.
 #[derive(Clone)]
 struct State {
-    /// What each VM knows.
+    /// The set of each VM.
     vms: Vec<Suspects>,
-    /// How many have ended under each request.
+    /// The number of ends under each request.
     ended: [u64; 2],
-    /// Whether a sound answer has come.
+    /// Whether a healthy answer has arrived.
     has_cleared: bool,
-    /// Whether a process has ended.
-    has_killed: bool,
-    /// A datagram on its way.
-    flight: Option<Vec<Told>>,
-    /// What the store holds.
+    /// Whether a process has restarted.
+    has_restarted: bool,
+    /// The datagram in in_flight, if there is one.
+    in_flight: Option<Vec<Told>>,
+    /// The reports in the store.
     store: Vec<Told>,
 }
 
-/// What tells states apart.
+/// The identity of a state.
 type Key = (Vec<Vec<Told>>, [u64; 2], bool, bool, Option<Vec<Told>>, Vec<Told>);
 
 impl State {
-    /// Nothing has happened.
-    fn first() -> State {
+    /// The initial state.
+    fn initial() -> State {
         State {
             vms: (0..VMS).map(|_| Suspects::open(ENDS_TO_REFUSE)).collect(),
             ended: [0, 0],
             has_cleared: false,
-            has_killed: false,
-            flight: None,
+            has_restarted: false,
+            in_flight: None,
             store: Vec::new(),
         }
     }
 
-    /// What tells it apart.
+    /// The identity of this state.
     fn key(&self) -> Key {
         (
             self.vms.iter().map(known).collect(),
             self.ended,
             self.has_cleared,
-            self.has_killed,
-            self.flight.clone(),
+            self.has_restarted,
+            self.in_flight.clone(),
             self.store.clone(),
         )
     }
 
-    /// All states that one event leads to.
+    /// All successor states.
     fn next(&self) -> Vec<State> {
         let mut out = Vec::new();
         for vm in 0..VMS {
@@ -68,14 +69,15 @@
                 out.extend(self.end(vm, request));
                 out.extend(self.clear(vm, request));
             }
-            out.push(State { flight: Some(known(&self.vms[vm])), ..self.clone() });
-            out.extend(self.kill(vm));
+            out.push(State { in_flight: Some(known(&self.vms[vm])), ..self.clone() });
+            out.extend(self.restart(vm));
             out.extend(self.deliver(vm));
         }
         out
     }
 
-    /// A backend server ends under a request that a VM has sent; the store takes it or not.
+    /// A backend server ends under a request that a VM sent; the store accepts the refused request
+    /// or not.
     fn end(&self, vm: usize, request: usize) -> Vec<State> {
         let digest = RequestDigest(request as u128);
         let is_over = self.ended[request] == ENDS[request];
@@ -93,7 +95,7 @@
         out
     }
 
-    /// A VM sees a sound answer, once.
+    /// A VM sees a healthy answer, at most once.
     fn clear(&self, vm: usize, request: usize) -> Option<State> {
         let mut after = self.clone();
         after.has_cleared = true;
@@ -101,27 +103,27 @@
         (!self.has_cleared && after.vms[vm].clear(digest, 0)).then_some(after)
     }
 
-    /// A VM's process ends, and starts with what the store holds, once.
-    fn kill(&self, vm: usize) -> Option<State> {
+    /// A VM's process restarts and reads the store, at most once.
+    fn restart(&self, vm: usize) -> Option<State> {
         let mut after = self.clone();
-        after.has_killed = true;
+        after.has_restarted = true;
         after.vms[vm] = Suspects::open(ENDS_TO_REFUSE);
         self.store.iter().for_each(|told| {
             after.vms[vm].hear(told, 0);
         });
-        (!self.has_killed).then_some(after)
+        (!self.has_restarted).then_some(after)
     }
 
-    /// The datagram reaches a VM; it may come once more.
+    /// The datagram reaches a VM and stays in in_flight, as it may be duplicated.
     fn deliver(&self, vm: usize) -> Option<State> {
         let mut after = self.clone();
-        self.flight.as_ref()?.iter().for_each(|told| {
+        self.in_flight.as_ref()?.iter().for_each(|told| {
             after.vms[vm].hear(told, 0);
         });
         Some(after)
     }
 
-    /// Checks what must hold.
+    /// Asserts the invariants.
     fn check(&self) {
         for suspects in &self.vms {
             for request in 0..2 {
@@ -144,15 +146,15 @@
     }
 }
 
-/// All that a VM knows.
+/// All reports of a VM.
 fn known(suspects: &Suspects) -> Vec<Told> {
     (0..2).filter_map(|request| suspects.told(RequestDigest(request), 0)).collect()
 }
 
 #[test]
-fn whatever_the_order_nobody_is_refused_for_fewer_ends_and_all_agree() {
+fn no_order_of_events_refuses_a_request_for_too_few_ends_and_all_vms_agree() {
     let mut seen: HashSet<u64> = HashSet::new();
-    let mut open = VecDeque::from([State::first()]);
+    let mut open = VecDeque::from([State::initial()]);
     while let Some(state) = open.pop_front() {
         let mut hasher = DefaultHasher::new();
         state.key().hash(&mut hasher);
