--- a/crates/leverstream-bench/src/capacity/suspects.rs
+++ b/crates/leverstream-bench/src/capacity/suspects.rs
@@ -3,7 +3,8 @@
 use leverstream_peer::packet::Body;
 use leverstream_peer::{FleetKey, Packet, SuspectRequest, Suspects as Message};
 use leverstream_suspect::{
-    Asked, ENDS_TO_REFUSE, EndDigest, LIMIT, RequestDigest, RequestHasher, Suspects,
+    ENDS_TO_REFUSE, IncarnationDigest, MAX_SUSPECTS, RequestDigest, RequestHasher, RequestIdentity,
+    Suspects,
 };
 
 use super::{Allocated, growth, line, time_us};
@@ -13,7 +14,13 @@
     let hasher = RequestHasher::derive("a fleet's secret");
     let digest = |body: &[u8]| {
         let (host, target) = ("shop.example", "/stock/4711?size=17&page=3");
-        hasher.request(&Asked { method: "POST", host, target, workspace: "", body })
+        hasher.request_digest(&RequestIdentity {
+            method: "POST",
+            host,
+            target,
+            workspace: "",
+            body,
+        })
     };
     let (small, large) = (vec![7; 1 << 10], vec![7; 64 << 10]);
     let small_us = time_us(20_000, || {
@@ -29,18 +36,18 @@
     );
     let (known, bytes) = growth(allocated, || {
         let mut known = Suspects::open(ENDS_TO_REFUSE);
-        for number in 0..LIMIT as u128 {
+        for number in 0..MAX_SUSPECTS as u128 {
             (0..3).for_each(|end| {
-                known.end(RequestDigest(number), EndDigest(end), 0);
+                known.record_end(RequestDigest(number), IncarnationDigest(end), 0);
             });
         }
         known
     });
-    let each = bytes / LIMIT as f64;
+    let each = bytes / MAX_SUSPECTS as f64;
     line(
         "state a request",
         &format!("{each:.0} B"),
-        &format!("{LIMIT} at the most: {:.1} MB", bytes / 1e6),
+        &format!("{MAX_SUSPECTS} at the most: {:.1} MB", bytes / 1e6),
     );
     let look_us = time_us(200_000, || {
         std::hint::black_box(known.verdict(RequestDigest(77)));
--- a/crates/leverstream-gateway/src/inbound.rs
+++ b/crates/leverstream-gateway/src/inbound.rs
@@ -7,7 +7,7 @@
 use leverstream_catalog::request_host;
 use leverstream_error::Kind;
 use leverstream_platform::headers;
-use leverstream_suspect::{Asked, RequestDigest, RequestHasher};
+use leverstream_suspect::{RequestDigest, RequestHasher, RequestIdentity};
 use leverstream_wire::Head;
 use leverstream_workspace::{Credentials, KeyHasher};
 
@@ -103,7 +103,7 @@
     /// What the request is known again by; its body and workspace must be known.
     pub fn digest(&self, hasher: &RequestHasher) -> RequestDigest {
         *self.digest.get_or_init(|| {
-            hasher.request(&Asked {
+            hasher.request_digest(&RequestIdentity {
                 method: self.method.as_str(),
                 host: &self.host,
                 target: &self.target,
--- a/crates/leverstream-gateway/src/outlast.rs
+++ b/crates/leverstream-gateway/src/outlast.rs
@@ -12,7 +12,7 @@
 
 use leverstream_pace::{Backoff, Bucket};
 use leverstream_platform::{Store, StoreError, StoreItem};
-use leverstream_suspect::{EndDigest, RequestDigest, Told};
+use leverstream_suspect::{IncarnationDigest, RequestDigest, SuspectReport};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use tracing::{info, warn};
@@ -76,7 +76,7 @@
             return false;
         }
     };
-    let kept: Vec<Told> = listing.items.iter().filter_map(decode).collect();
+    let kept: Vec<SuspectReport> = listing.items.iter().filter_map(decode).collect();
     info!(count = kept.len(), "refused requests read from the store");
     inner.suspicions.take_kept(&kept, inner.now_ms());
     if !kept.is_empty() {
@@ -109,8 +109,8 @@
 }
 
 /// Has the store hold a request; if it does not yet, waits until it should be tried again.
-async fn is_held(store: &Store, told: &Told, backoff: &mut Backoff) -> bool {
-    let Told { digest, cleared, ends, .. } = told;
+async fn is_held(store: &Store, told: &SuspectReport, backoff: &mut Backoff) -> bool {
+    let SuspectReport { digest, cleared, ends, .. } = told;
     let ends: Vec<String> = ends.iter().map(|end| format!("{:016x}", end.0)).collect();
     let spec = json!({ "cleared": cleared, "ends": ends });
     match store.create(KIND, &digest.to_string(), spec).await {
@@ -147,17 +147,18 @@
 }
 
 /// Reads an object; none if it is no refused request.
-fn decode(item: &StoreItem<Value>) -> Option<Told> {
+fn decode(item: &StoreItem<Value>) -> Option<SuspectReport> {
     let digest = u128::from_str_radix(&item.name, 16).ok().map(RequestDigest);
     let spec = item.content.as_ref().ok().cloned();
     let record: Option<Record> = spec.and_then(|spec| serde_json::from_value(spec).ok());
     let ends = record.as_ref().and_then(|record| {
-        let ends = record.ends.iter().map(|end| u64::from_str_radix(end, 16).map(EndDigest));
+        let ends =
+            record.ends.iter().map(|end| u64::from_str_radix(end, 16).map(IncarnationDigest));
         ends.collect::<Result<Vec<_>, _>>().ok()
     });
     let (Some(digest), Some(Record { cleared, .. }), Some(ends)) = (digest, record, ends) else {
         warn!(name = item.name, "a refused request in the store cannot be read");
         return None;
     };
-    Some(Told { digest, cleared, ends, age_ms: 0 })
+    Some(SuspectReport { digest, cleared, ends, age_ms: 0 })
 }
--- a/crates/leverstream-gateway/src/suspects.rs
+++ b/crates/leverstream-gateway/src/suspects.rs
@@ -13,7 +13,8 @@
 use leverstream_peer::packet::Body;
 use leverstream_peer::{self as peer, Packet, SuspectRequest};
 use leverstream_suspect::{
-    ENDS_TO_REFUSE, EndDigest, LeftRuns, RequestDigest, RequestHasher, Suspects, Told, Verdict,
+    AbandonedRequests, ENDS_TO_REFUSE, IncarnationDigest, RequestDigest, RequestHasher,
+    SuspectReport, Suspects, Verdict,
 };
 use tokio::sync::Notify;
 use tracing::info;
@@ -42,7 +43,7 @@
     /// What is held against which request.
     suspects: RefCell<Suspects>,
     /// Requests whose answers are no longer waited for.
-    left: RefCell<LeftRuns>,
+    left: RefCell<AbandonedRequests>,
     /// Makes the digests.
     hasher: RequestHasher,
     /// What others are to be told, and when.
@@ -93,7 +94,7 @@
             return Ok(());
         }
         let digest = self.digest(request);
-        if self.suspects.borrow_mut().come(digest, now_ms) {
+        if self.suspects.borrow_mut().record_arrival(digest, now_ms) {
             self.tell_of(digest, now_ms);
         }
         let id = request.id.as_deref().unwrap_or("-");
@@ -110,14 +111,14 @@
     /// Notes that the answer to a request that was sent at `sent_ms` is no longer waited for.
     pub fn note_left(&self, request: &Inbound, of: &Incarnation, sent_ms: u64, now_ms: u64) {
         let at = self.end_digest(of);
-        if self.left.borrow_mut().leave(self.digest(request), at, sent_ms, now_ms) {
+        if self.left.borrow_mut().record_abandoned(self.digest(request), at, sent_ms, now_ms) {
             self.note_end(request, of, now_ms);
         }
     }
 
     /// Notes that nothing listens any more at the address of a backend server.
     pub fn note_refused(&self, of: &Incarnation, now_ms: u64) {
-        let left = self.left.borrow_mut().end(self.end_digest(of), now_ms);
+        let left = self.left.borrow_mut().record_end(self.end_digest(of), now_ms);
         left.into_iter().for_each(|digest| self.end(digest, "-", of, now_ms));
     }
 
@@ -134,7 +135,7 @@
         }
         let digest = self.digest(request);
         let was_refused = verdict == Verdict::Refused;
-        if self.suspects.borrow_mut().clear(digest, now_ms) {
+        if self.suspects.borrow_mut().record_healthy_answer(digest, now_ms) {
             let id = request.id.as_deref().unwrap_or("-");
             info!(id, %digest, was_refused, "cleared by a sound answer");
             self.tell_of(digest, now_ms);
@@ -145,17 +146,17 @@
     }
 
     /// Takes in what the store holds.
-    pub fn take_kept(&self, kept: &[Told], now_ms: u64) {
+    pub fn take_kept(&self, kept: &[SuspectReport], now_ms: u64) {
         kept.iter().for_each(|told| {
-            self.suspects.borrow_mut().hear(told, now_ms);
+            self.suspects.borrow_mut().merge(told, now_ms);
         });
     }
 
     /// What is known of a request, for the store; none if it is refused no longer.
-    pub fn refused(&self, digest: RequestDigest, now_ms: u64) -> Option<Told> {
+    pub fn refused(&self, digest: RequestDigest, now_ms: u64) -> Option<SuspectReport> {
         let suspects = self.suspects.borrow();
         let is_refused = suspects.verdict(digest) == Verdict::Refused;
-        suspects.told(digest, now_ms).filter(|_| is_refused)
+        suspects.report(digest, now_ms).filter(|_| is_refused)
     }
 
     /// A digest of what VMs compare.
@@ -177,7 +178,7 @@
             return;
         }
         self.asked_ms.set(Some(now_ms));
-        let known: Vec<Told> = self.suspects.borrow().compared(now_ms).collect();
+        let known: Vec<SuspectReport> = self.suspects.borrow().compared(now_ms).collect();
         say(&known, theirs != 0, mesh, meters, &[from]);
     }
 
@@ -193,14 +194,14 @@
         for request in &said.requests {
             let told = decode(request);
             let before = self.suspects.borrow().verdict(told.digest);
-            if self.suspects.borrow_mut().hear(&told, now_ms) {
+            if self.suspects.borrow_mut().merge(&told, now_ms) {
                 let verdict = self.suspects.borrow().verdict(told.digest);
                 let (digest, ends) = (told.digest, told.ends.len());
                 info!(%digest, %from, ends, ?before, ?verdict, "told of ends under a request");
             }
         }
         if said.asks {
-            let known: Vec<Told> = self.suspects.borrow().compared(now_ms).collect();
+            let known: Vec<SuspectReport> = self.suspects.borrow().compared(now_ms).collect();
             say(&known, false, mesh, meters, &[from]);
         }
         self.count(meters);
@@ -221,7 +222,7 @@
             let now_ms = now_ms();
             let due = self.take_due(now_ms);
             say(&due, false, mesh, meters, &mesh.told_at_once());
-            let forgotten = self.suspects.borrow_mut().sweep(now_ms);
+            let forgotten = self.suspects.borrow_mut().expire(now_ms);
             forgotten.into_iter().for_each(|digest| self.keep(digest, Keep::Drop));
             self.count(meters);
         }
@@ -241,7 +242,7 @@
     /// Takes an end in and has it told.
     fn end(&self, digest: RequestDigest, id: &str, of: &Incarnation, now_ms: u64) {
         let Incarnation { instance, born_ms } = of;
-        let is_news = self.suspects.borrow_mut().end(digest, self.end_digest(of), now_ms);
+        let is_news = self.suspects.borrow_mut().record_end(digest, self.end_digest(of), now_ms);
         let verdict = self.suspects.borrow().verdict(digest);
         info!(id, %digest, backend = instance, born_ms, is_news, ?verdict, "backend ended under a request");
         if is_news {
@@ -268,12 +269,12 @@
     }
 
     /// Takes what others are to be told by now.
-    fn take_due(&self, now_ms: u64) -> Vec<Told> {
+    fn take_due(&self, now_ms: u64) -> Vec<SuspectReport> {
         let mut untold = self.untold.borrow_mut();
         let due = untold.extract_if(.., |(due_ms, _)| *due_ms <= now_ms);
         let digests: Vec<RequestDigest> = due.map(|(_, digest)| digest).collect();
         let suspects = self.suspects.borrow();
-        digests.into_iter().filter_map(|digest| suspects.told(digest, now_ms)).collect()
+        digests.into_iter().filter_map(|digest| suspects.report(digest, now_ms)).collect()
     }
 
     /// Shows how many requests something is held against.
@@ -289,13 +290,13 @@
     }
 
     /// The digest of a start of a backend server.
-    fn end_digest(&self, of: &Incarnation) -> EndDigest {
-        self.hasher.end(&of.instance, of.born_ms)
+    fn end_digest(&self, of: &Incarnation) -> IncarnationDigest {
+        self.hasher.incarnation_digest(&of.instance, of.born_ms)
     }
 }
 
 /// Tells some VMs of requests, and asks them for theirs.
-fn say(known: &[Told], asks: bool, mesh: &Mesh, meters: &Meters, to: &[SocketAddr]) {
+fn say(known: &[SuspectReport], asks: bool, mesh: &Mesh, meters: &Meters, to: &[SocketAddr]) {
     for (part, asks) in parts(known, asks, REQUESTS_A_DATAGRAM) {
         let requests = part.iter().map(encode).collect();
         let body = Some(Body::Suspects(peer::Suspects { requests, asks }));
@@ -304,7 +305,7 @@
 }
 
 /// What another VM is told of a request.
-fn encode(told: &Told) -> SuspectRequest {
+fn encode(told: &SuspectReport) -> SuspectRequest {
     SuspectRequest {
         high: (told.digest.0 >> 64) as u64,
         low: told.digest.0 as u64,
@@ -315,11 +316,11 @@
 }
 
 /// What another VM has told of a request.
-fn decode(request: &SuspectRequest) -> Told {
-    Told {
+fn decode(request: &SuspectRequest) -> SuspectReport {
+    SuspectReport {
         digest: RequestDigest(u128::from(request.high) << 64 | u128::from(request.low)),
         cleared: request.cleared,
-        ends: request.ends.iter().map(|end| EndDigest(*end)).collect(),
+        ends: request.ends.iter().map(|end| IncarnationDigest(*end)).collect(),
         age_ms: u64::from(request.age_s) * 1_000,
     }
 }
--- a/crates/leverstream-suspect/src/runs.rs
+++ b/crates/leverstream-suspect/src/abandoned.rs
@@ -1,6 +1,6 @@
 use std::collections::VecDeque;
 
-use crate::{EndDigest, RequestDigest};
+use crate::{IncarnationDigest, RequestDigest};
 
 /// The time after a VM stopped awaiting an answer in which an end of the backend server still
 /// counts against the request, in milliseconds. A backend server that ends because of a request
@@ -21,11 +21,11 @@
 /// A request is abandoned when its caller disconnects or its deadline passes. Whether the backend
 /// server ended because of it may show only later, so both are remembered for a while.
 #[derive(Debug, Default)]
-pub struct LeftRuns {
+pub struct AbandonedRequests {
     /// The abandoned requests, the oldest first.
     abandoned: VecDeque<Abandoned>,
     /// The ended incarnations and when each end was noticed, the oldest first.
-    ended: VecDeque<(EndDigest, u64)>,
+    ended: VecDeque<(IncarnationDigest, u64)>,
 }
 
 /// A request whose answer is no longer awaited.
@@ -34,23 +34,24 @@
     /// The request.
     digest: RequestDigest,
     /// The incarnation of the backend server that it was sent to.
-    incarnation: EndDigest,
+    incarnation: IncarnationDigest,
     /// The time when it was abandoned.
     abandoned_ms: u64,
 }
 
-impl LeftRuns {
+impl AbandonedRequests {
     /// Records that a request's answer is no longer awaited; returns true if an end of its backend
     /// server was noticed since the request was sent.
-    pub fn leave(
+    pub fn record_abandoned(
         &mut self,
         digest: RequestDigest,
-        incarnation: EndDigest,
+        incarnation: IncarnationDigest,
         sent_ms: u64,
         now_ms: u64,
     ) -> bool {
-        let ended_since_sent =
-            |(ended, ended_ms): &(EndDigest, u64)| *ended == incarnation && *ended_ms >= sent_ms;
+        let ended_since_sent = |(ended, ended_ms): &(IncarnationDigest, u64)| {
+            *ended == incarnation && *ended_ms >= sent_ms
+        };
         if self.ended.iter().any(ended_since_sent) {
             return true;
         }
@@ -59,13 +60,13 @@
     }
 
     /// Tells whether an end of the incarnation was noticed.
-    pub fn has_ended(&self, incarnation: EndDigest) -> bool {
+    pub fn has_ended(&self, incarnation: IncarnationDigest) -> bool {
         self.ended.iter().any(|(ended, _)| *ended == incarnation)
     }
 
     /// Records that an incarnation has ended; removes and returns the requests that were abandoned
     /// there shortly before.
-    pub fn end(&mut self, ended: EndDigest, now_ms: u64) -> Vec<RequestDigest> {
+    pub fn record_end(&mut self, ended: IncarnationDigest, now_ms: u64) -> Vec<RequestDigest> {
         self.abandoned.retain(|abandoned| now_ms < abandoned.abandoned_ms + ABANDONED_RETENTION_MS);
         self.ended.retain(|(_, ended_ms)| now_ms < ended_ms + ENDED_RETENTION_MS);
         if !self.ended.iter().any(|(other, _)| *other == ended) {
--- a/crates/leverstream-suspect/src/digest.rs
+++ b/crates/leverstream-suspect/src/digest.rs
@@ -14,7 +14,7 @@
 /// requests that differ only in these share their recorded incarnations. Requests of different workspaces
 /// never do.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct RequestIdentity<'a> {
     /// The method.
     pub method: &'a str,
     /// The host.
@@ -48,8 +48,8 @@
     }
 
     /// The digest of a request; takes a microsecond for each kilobyte of the body.
-    pub fn request(&self, asked: &Asked<'_>) -> RequestDigest {
-        let Asked { method, host, target, workspace, body } = *asked;
+    pub fn request_digest(&self, identity: &RequestIdentity<'_>) -> RequestDigest {
+        let RequestIdentity { method, host, target, workspace, body } = *identity;
         let mut hasher = blake3::Hasher::new_keyed(&self.requests);
         for part in [method.as_bytes(), host.as_bytes(), target.as_bytes(), workspace.as_bytes()] {
             // The length prefix distinguishes "ab", "c" from "a", "bc".
@@ -62,12 +62,12 @@
     }
 
     /// The digest of one incarnation of a backend server.
-    pub fn end(&self, instance: &str, born_ms: u64) -> EndDigest {
+    pub fn incarnation_digest(&self, instance: &str, born_ms: u64) -> IncarnationDigest {
         let mut hasher = blake3::Hasher::new_keyed(&self.incarnations);
         let hash = hasher.update(&born_ms.to_le_bytes()).update(instance.as_bytes()).finalize();
         let mut digest = [0; 8];
         digest.copy_from_slice(&hash.as_bytes()[..8]);
-        EndDigest(u64::from_be_bytes(digest))
+        IncarnationDigest(u64::from_be_bytes(digest))
     }
 }
 
@@ -90,4 +90,4 @@
 
 /// The digest that identifies one incarnation of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct EndDigest(pub u64);
+pub struct IncarnationDigest(pub u64);
--- a/crates/leverstream-suspect/src/lib.rs
+++ b/crates/leverstream-suspect/src/lib.rs
@@ -1,15 +1,15 @@
 //! Detects requests that crash backend servers and refuses them, on whichever VM they arrive.
 //!
 //! An end is the end of one incarnation of a backend server while it runs a request. [`Suspects`]
-//! counts the ends of each request and merges what other VMs report. [`LeftRuns`] attributes ends
+//! counts the ends of each request and merges what other VMs report. [`AbandonedRequests`] attributes ends
 //! to requests whose answers are no longer awaited. [`RequestHasher`] makes the digests by which
 //! requests and incarnations are recognized. This crate reads no clock and does no I/O: the present
 //! time is an argument.
 
+mod abandoned;
 mod digest;
-mod runs;
 mod suspects;
 
-pub use digest::{Asked, EndDigest, RequestDigest, RequestHasher};
-pub use runs::LeftRuns;
-pub use suspects::{ENDS_TO_REFUSE, KEPT_MS, LIMIT, Suspects, Told, Verdict};
+pub use abandoned::AbandonedRequests;
+pub use digest::{IncarnationDigest, RequestDigest, RequestHasher, RequestIdentity};
+pub use suspects::{ENDS_TO_REFUSE, MAX_SUSPECTS, RETENTION_MS, SuspectReport, Suspects, Verdict};
--- a/crates/leverstream-suspect/src/suspects.rs
+++ b/crates/leverstream-suspect/src/suspects.rs
@@ -2,7 +2,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{EndDigest, RequestDigest};
+use crate::{IncarnationDigest, RequestDigest};
 
 /// The number of ends from which a request is refused.
 ///
@@ -18,11 +18,11 @@
 ///
 /// A refused request that arrives again within this time stays refused. One that arrives later can
 /// end up to three backend servers again.
-pub const KEPT_MS: u64 = 600_000;
+pub const RETENTION_MS: u64 = 600_000;
 
 /// The largest number of requests that are remembered, which take 0.6 MB. A whole service of 300
 /// backend servers that ends at once has fewer requests in flight.
-pub const LIMIT: usize = 4_096;
+pub const MAX_SUSPECTS: usize = 4_096;
 
 /// The number of ends from which VMs repeatedly compare what they know of a request. A request with
 /// one end is reported only when the end happens, because the end of a whole service leaves
@@ -52,20 +52,20 @@
     /// The number of times that a healthy answer cleared it; the version of the set.
     cleared: u32,
     /// The incarnations that ended under it since then, sorted.
-    ends: Vec<EndDigest>,
+    ends: Vec<IncarnationDigest>,
     /// The time when it last arrived or ended a backend server.
     seen_ms: u64,
 }
 
 /// One VM's report to another about a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Told {
+pub struct SuspectReport {
     /// The request.
     pub digest: RequestDigest,
     /// The number of times that a healthy answer cleared it; the version of the set.
     pub cleared: u32,
     /// The incarnations that ended under it since then.
-    pub ends: Vec<EndDigest>,
+    pub ends: Vec<IncarnationDigest>,
     /// The time since it last arrived or ended a backend server, in milliseconds.
     pub age_ms: u64,
 }
@@ -118,46 +118,51 @@
 
     /// Records that a backend server ended while it ran a request; returns true if this changes the
     /// entry.
-    pub fn end(&mut self, digest: RequestDigest, end: EndDigest, now_ms: u64) -> bool {
+    pub fn record_end(
+        &mut self,
+        digest: RequestDigest,
+        end: IncarnationDigest,
+        now_ms: u64,
+    ) -> bool {
         let cleared = self.entries.get(&digest).map_or(0, |entry| entry.cleared);
         let ends = vec![end];
-        self.hear(&Told { digest, cleared, ends, age_ms: 0 }, now_ms)
+        self.merge(&SuspectReport { digest, cleared, ends, age_ms: 0 }, now_ms)
     }
 
     /// Records that a request got a healthy answer; returns true if this clears recorded ends.
-    pub fn clear(&mut self, digest: RequestDigest, now_ms: u64) -> bool {
+    pub fn record_healthy_answer(&mut self, digest: RequestDigest, now_ms: u64) -> bool {
         let Some(entry) = self.entries.get(&digest).filter(|entry| !entry.ends.is_empty()) else {
             return false;
         };
         let cleared = entry.cleared.saturating_add(1);
-        self.hear(&Told { digest, cleared, ends: Vec::new(), age_ms: 0 }, now_ms)
+        self.merge(&SuspectReport { digest, cleared, ends: Vec::new(), age_ms: 0 }, now_ms)
     }
 
     /// Records that a request has arrived again; returns true if this should be reported, because
     /// other VMs would soon forget the request.
-    pub fn come(&mut self, digest: RequestDigest, now_ms: u64) -> bool {
+    pub fn record_arrival(&mut self, digest: RequestDigest, now_ms: u64) -> bool {
         let Some(entry) = self.entries.get_mut(&digest) else { return false };
-        let is_old = now_ms.saturating_sub(entry.seen_ms) > KEPT_MS / 4;
+        let is_old = now_ms.saturating_sub(entry.seen_ms) > RETENTION_MS / 4;
         entry.seen_ms = entry.seen_ms.max(now_ms);
         is_old
     }
 
     /// Merges another VM's report; returns true if this changes the entry.
-    pub fn hear(&mut self, told: &Told, now_ms: u64) -> bool {
-        if told.age_ms >= KEPT_MS {
+    pub fn merge(&mut self, report: &SuspectReport, now_ms: u64) -> bool {
+        if report.age_ms >= RETENTION_MS {
             return false;
         }
-        let seen_ms = now_ms.saturating_sub(told.age_ms);
-        let before = self.entries.get(&told.digest).cloned();
+        let seen_ms = now_ms.saturating_sub(report.age_ms);
+        let before = self.entries.get(&report.digest).cloned();
         let mut entry =
-            before.clone().unwrap_or(Entry { cleared: told.cleared, ends: Vec::new(), seen_ms });
+            before.clone().unwrap_or(Entry { cleared: report.cleared, ends: Vec::new(), seen_ms });
         entry.seen_ms = entry.seen_ms.max(seen_ms);
-        if told.cleared > entry.cleared {
-            entry.cleared = told.cleared;
+        if report.cleared > entry.cleared {
+            entry.cleared = report.cleared;
             entry.ends.clear();
         }
-        if told.cleared == entry.cleared {
-            entry.ends.extend(&told.ends);
+        if report.cleared == entry.cleared {
+            entry.ends.extend(&report.ends);
             entry.ends.sort_unstable();
             entry.ends.dedup();
             entry.ends.truncate(self.ends_to_refuse);
@@ -165,24 +170,24 @@
         let is_news = before
             .as_ref()
             .is_none_or(|before| (before.cleared, &before.ends) != (entry.cleared, &entry.ends));
-        self.fingerprint ^= before.map_or(0, |before| entry_hash(told.digest, &before));
-        self.fingerprint ^= entry_hash(told.digest, &entry);
-        self.entries.insert(told.digest, entry);
+        self.fingerprint ^= before.map_or(0, |before| entry_hash(report.digest, &before));
+        self.fingerprint ^= entry_hash(report.digest, &entry);
+        self.entries.insert(report.digest, entry);
         self.enforce_limit();
-        is_news && self.entries.contains_key(&told.digest)
+        is_news && self.entries.contains_key(&report.digest)
     }
 
     /// The report about a request for other VMs.
-    pub fn told(&self, digest: RequestDigest, now_ms: u64) -> Option<Told> {
+    pub fn report(&self, digest: RequestDigest, now_ms: u64) -> Option<SuspectReport> {
         let entry = self.entries.get(&digest)?;
         let age_ms = now_ms.saturating_sub(entry.seen_ms);
-        Some(Told { digest, cleared: entry.cleared, ends: entry.ends.clone(), age_ms })
+        Some(SuspectReport { digest, cleared: entry.cleared, ends: entry.ends.clone(), age_ms })
     }
 
     /// The reports that VMs compare with each other.
-    pub fn compared(&self, now_ms: u64) -> impl Iterator<Item = Told> + '_ {
+    pub fn compared(&self, now_ms: u64) -> impl Iterator<Item = SuspectReport> + '_ {
         let compared = self.entries.iter().filter(|(_, entry)| is_compared(entry));
-        compared.filter_map(move |(digest, _)| self.told(*digest, now_ms))
+        compared.filter_map(move |(digest, _)| self.report(*digest, now_ms))
     }
 
     /// The combined hash of the entries that VMs compare: VMs with the same hash have the same
@@ -193,8 +198,8 @@
 
     /// Forgets the requests that have not arrived for long; returns those of them that were
     /// refused.
-    pub fn sweep(&mut self, now_ms: u64) -> Vec<RequestDigest> {
-        let is_old = |entry: &Entry| now_ms.saturating_sub(entry.seen_ms) >= KEPT_MS;
+    pub fn expire(&mut self, now_ms: u64) -> Vec<RequestDigest> {
+        let is_old = |entry: &Entry| now_ms.saturating_sub(entry.seen_ms) >= RETENTION_MS;
         let old = self.entries.iter().filter(|(_, entry)| is_old(entry));
         let old: Vec<RequestDigest> = old.map(|(digest, _)| *digest).collect();
         let refused =
@@ -213,10 +218,10 @@
     /// with the smallest digests, so that VMs that exchange reports drop the same ones.
     ///
     /// A flood of requests with one end each therefore never displaces a request with two ends. A
-    /// flood of [`LIMIT`] requests with two ends each leaves no room for others; with backend
-    /// servers of three slots and a queue of seven, it takes 800 ends within [`KEPT_MS`].
+    /// flood of [`MAX_SUSPECTS`] requests with two ends each leaves no room for others; with backend
+    /// servers of three slots and a queue of seven, it takes 800 ends within [`RETENTION_MS`].
     fn enforce_limit(&mut self) {
-        while self.entries.len() > LIMIT {
+        while self.entries.len() > MAX_SUSPECTS {
             let smallest =
                 self.entries.iter().min_by_key(|(digest, entry)| (entry.ends.len(), **digest));
             let Some(smallest) = smallest.map(|(digest, _)| *digest) else { return };
--- a/crates/leverstream-suspect/tests/fleet/mod.rs
+++ b/crates/leverstream-suspect/tests/fleet/mod.rs
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use leverstream_suspect::{EndDigest, RequestDigest, Told, Verdict};
+use leverstream_suspect::{IncarnationDigest, RequestDigest, SuspectReport, Verdict};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -135,7 +135,7 @@
     /// A VM's process reads the store.
     Read(usize, u64),
     /// The store has written a refused request.
-    Kept(Told),
+    Kept(SuspectReport),
 }
 
 /// A request that has not succeeded yet.
@@ -191,7 +191,7 @@
     /// The backend servers.
     servers: Vec<Server>,
     /// The reports in the store.
-    store: Vec<Told>,
+    store: Vec<SuspectReport>,
     /// The observations.
     seen: Observed,
 }
@@ -273,7 +273,7 @@
             Event::FaultHits(vm, fault) => self.apply_fault(vm, fault),
             Event::Start(vm) => self.start(vm),
             Event::Read(vm, process_number) => self.read(vm, process_number),
-            Event::Kept(told) => self.store.push(told),
+            Event::Kept(report) => self.store.push(report),
         }
     }
 
@@ -320,7 +320,7 @@
             return self.retry(&request);
         };
         if process.suspects.verdict(request.digest) == Verdict::Refused {
-            process.suspects.come(request.digest, self.now_ms);
+            process.suspects.record_arrival(request.digest, self.now_ms);
             self.seen.wrongly_refused += usize::from(request.digest != ENDING);
             return;
         }
@@ -357,7 +357,7 @@
         self.seen.served += 1;
         let now_ms = self.now_ms;
         if let Some(vm) = self.process(request.vm_process)
-            && vm.suspects.clear(request.digest, now_ms)
+            && vm.suspects.record_healthy_answer(request.digest, now_ms)
         {
             vm.schedule_reports(request.digest, now_ms);
         }
@@ -374,14 +374,14 @@
         if is_under_request {
             self.seen.ends.push(self.now_ms);
         }
-        let end = EndDigest((server as u64) << 32 | start);
+        let end = IncarnationDigest((server as u64) << 32 | start);
         for request in std::mem::take(&mut self.servers[server].runs).into_values() {
             self.cut(request, end);
         }
     }
 
     /// A VM sees that a request's connection broke and that its backend server has ended.
-    fn cut(&mut self, request: Request, end: EndDigest) {
+    fn cut(&mut self, request: Request, end: IncarnationDigest) {
         let now_ms = self.now_ms;
         let Some((vm, _)) = request.vm_process else { return };
         let is_frozen = self.frozen_until_ms[vm] > now_ms;
@@ -390,17 +390,17 @@
             // By the time it resumes, the next incarnation listens there, so it notices no end.
             return self.retry(&request);
         }
-        if process.suspects.end(request.digest, end, now_ms) {
+        if process.suspects.record_end(request.digest, end, now_ms) {
             process.schedule_reports(request.digest, now_ms);
         }
         let verdict = process.suspects.verdict(request.digest);
-        let told = process.suspects.told(request.digest, now_ms);
+        let report = process.suspects.report(request.digest, now_ms);
         let is_away =
             self.scenario.store_outage.is_some_and(|(from, to)| (from..to).contains(&now_ms));
-        if let Some(told) = told
+        if let Some(report) = report
             .filter(|_| verdict == Verdict::Refused && !is_away && self.cut_until_ms[vm] <= now_ms)
         {
-            self.after(STORE_WRITE_MS, Event::Kept(told));
+            self.after(STORE_WRITE_MS, Event::Kept(report));
         }
         if request.attempts > 0 && verdict < Verdict::LastTry {
             self.send(request);
@@ -474,7 +474,7 @@
             return self.after(wait_ms, Event::Deliver(to, from, message.clone()));
         }
         let Some(process) = &mut self.vms[to] else { return };
-        let out = process.hear(message, now_ms);
+        let out = process.receive(message, now_ms);
         out.into_iter().for_each(|message| self.tell(to, from, &message));
     }
 
@@ -524,8 +524,8 @@
         }
         let store = self.store.clone();
         if let Some(process) = self.process(Some((vm, process_number))) {
-            store.iter().for_each(|told| {
-                process.suspects.hear(told, now_ms);
+            store.iter().for_each(|report| {
+                process.suspects.merge(report, now_ms);
             });
         }
     }
--- a/crates/leverstream-suspect/tests/fleet/vm.rs
+++ b/crates/leverstream-suspect/tests/fleet/vm.rs
@@ -1,6 +1,6 @@
 //! The exchange of reports by one VM of the simulated fleet, as the gateway does it.
 
-use leverstream_suspect::{RequestDigest, Suspects, Told};
+use leverstream_suspect::{RequestDigest, SuspectReport, Suspects};
 use rand::Rng;
 use rand::rngs::StdRng;
 
@@ -22,7 +22,7 @@
     /// A packet of the membership protocol, with the fingerprint and whether it asks for an answer.
     Member(u64, bool),
     /// The compared reports, and whether the sender asks for the receiver's.
-    Suspects(Vec<Told>, bool),
+    Suspects(Vec<SuspectReport>, bool),
 }
 
 /// A VM's process.
@@ -62,11 +62,11 @@
         let mut out = Vec::new();
         let due = self.pending.extract_if(.., |(due_ms, _)| *due_ms <= now_ms);
         let due: Vec<RequestDigest> = due.map(|(_, digest)| digest).collect();
-        let told: Vec<Told> =
-            due.into_iter().filter_map(|digest| self.suspects.told(digest, now_ms)).collect();
-        if !told.is_empty() {
+        let report: Vec<SuspectReport> =
+            due.into_iter().filter_map(|digest| self.suspects.report(digest, now_ms)).collect();
+        if !report.is_empty() {
             let others = (0..vms).filter(|vm| *vm != me);
-            out.extend(others.map(|vm| (vm, Message::Suspects(told.clone(), false))));
+            out.extend(others.map(|vm| (vm, Message::Suspects(report.clone(), false))));
         }
         if now_ms >= self.ping_ms && vms > 1 {
             self.ping_ms = now_ms + PING_INTERVAL_MS;
@@ -77,7 +77,7 @@
     }
 
     /// Handles a message; returns the answers.
-    pub fn hear(&mut self, message: &Message, now_ms: u64) -> Vec<Message> {
+    pub fn receive(&mut self, message: &Message, now_ms: u64) -> Vec<Message> {
         let mut out = Vec::new();
         match message {
             Message::Member(theirs, is_ping) => {
@@ -92,9 +92,9 @@
                     out.push(Message::Suspects(known, *theirs != 0));
                 }
             }
-            Message::Suspects(told, asks) => {
-                told.iter().for_each(|told| {
-                    self.suspects.hear(told, now_ms);
+            Message::Suspects(report, asks) => {
+                report.iter().for_each(|report| {
+                    self.suspects.merge(report, now_ms);
                 });
                 if *asks {
                     out.push(Message::Suspects(self.suspects.compared(now_ms).collect(), false));
--- a/crates/leverstream-suspect/tests/suspects_model.rs
+++ b/crates/leverstream-suspect/tests/suspects_model.rs
@@ -8,7 +8,9 @@
 use std::collections::{HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use leverstream_suspect::{ENDS_TO_REFUSE, EndDigest, RequestDigest, Suspects, Told, Verdict};
+use leverstream_suspect::{
+    ENDS_TO_REFUSE, IncarnationDigest, RequestDigest, SuspectReport, Suspects, Verdict,
+};
 
 /// The number of VMs.
 const VMS: usize = 3;
@@ -28,13 +30,14 @@
     /// Whether a process has restarted.
     has_restarted: bool,
     /// The datagram in in_flight, if there is one.
-    in_flight: Option<Vec<Told>>,
+    in_flight: Option<Vec<SuspectReport>>,
     /// The reports in the store.
-    store: Vec<Told>,
+    store: Vec<SuspectReport>,
 }
 
 /// The identity of a state.
-type Key = (Vec<Vec<Told>>, [u64; 2], bool, bool, Option<Vec<Told>>, Vec<Told>);
+type Key =
+    (Vec<Vec<SuspectReport>>, [u64; 2], bool, bool, Option<Vec<SuspectReport>>, Vec<SuspectReport>);
 
 impl State {
     /// The initial state.
@@ -85,11 +88,11 @@
             return Vec::new();
         }
         let mut after = self.clone();
-        after.vms[vm].end(digest, EndDigest(self.ended[request]), 0);
+        after.vms[vm].record_end(digest, IncarnationDigest(self.ended[request]), 0);
         after.ended[request] += 1;
         let mut out = vec![after.clone()];
         if after.vms[vm].verdict(digest) == Verdict::Refused {
-            after.store.extend(after.vms[vm].told(digest, 0));
+            after.store.extend(after.vms[vm].report(digest, 0));
             out.push(after);
         }
         out
@@ -100,7 +103,7 @@
         let mut after = self.clone();
         after.has_cleared = true;
         let digest = RequestDigest(request as u128);
-        (!self.has_cleared && after.vms[vm].clear(digest, 0)).then_some(after)
+        (!self.has_cleared && after.vms[vm].record_healthy_answer(digest, 0)).then_some(after)
     }
 
     /// A VM's process restarts and reads the store, at most once.
@@ -108,8 +111,8 @@
         let mut after = self.clone();
         after.has_restarted = true;
         after.vms[vm] = Suspects::open(ENDS_TO_REFUSE);
-        self.store.iter().for_each(|told| {
-            after.vms[vm].hear(told, 0);
+        self.store.iter().for_each(|report| {
+            after.vms[vm].merge(report, 0);
         });
         (!self.has_restarted).then_some(after)
     }
@@ -117,8 +120,8 @@
     /// The datagram reaches a VM and stays in in_flight, as it may be duplicated.
     fn deliver(&self, vm: usize) -> Option<State> {
         let mut after = self.clone();
-        self.in_flight.as_ref()?.iter().for_each(|told| {
-            after.vms[vm].hear(told, 0);
+        self.in_flight.as_ref()?.iter().for_each(|report| {
+            after.vms[vm].merge(report, 0);
         });
         Some(after)
     }
@@ -135,10 +138,10 @@
         }
         let mut agreed = self.vms.clone();
         for _ in 0..VMS {
-            let all: Vec<Told> = agreed.iter().flat_map(known).collect();
+            let all: Vec<SuspectReport> = agreed.iter().flat_map(known).collect();
             for suspects in &mut agreed {
-                all.iter().for_each(|told| {
-                    suspects.hear(told, 0);
+                all.iter().for_each(|report| {
+                    suspects.merge(report, 0);
                 });
             }
         }
@@ -147,8 +150,8 @@
 }
 
 /// All reports of a VM.
-fn known(suspects: &Suspects) -> Vec<Told> {
-    (0..2).filter_map(|request| suspects.told(RequestDigest(request), 0)).collect()
+fn known(suspects: &Suspects) -> Vec<SuspectReport> {
+    (0..2).filter_map(|request| suspects.report(RequestDigest(request), 0)).collect()
 }
 
 #[test]
