--- a/crates/leverstream-bench/src/capacity.rs
+++ b/crates/leverstream-bench/src/capacity.rs
@@ -8,7 +8,9 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use leverstream_health::{BackendKey, Count, Health, HealthSettings, Work, eject_rule};
+use leverstream_health::{
+    BackendKey, EvidenceCounts, Health, HealthSettings, RequestOutcome, eject_rule,
+};
 use leverstream_member::{Identity, Member, Swim, SwimSettings};
 use leverstream_node::Book;
 use leverstream_peer::{BackendDigest, Digest, FleetKey, Packet, ServiceDigest};
@@ -391,7 +393,7 @@
         }
         for reporter in 1..=10 {
             for key in health.keys() {
-                health.report(key, reporter, Count { good: 1, bad: 0 }, 1, 0);
+                health.report(key, reporter, EvidenceCounts { good: 1, bad: 0 }, 1, 0);
             }
         }
         health
@@ -416,7 +418,7 @@
         now_ms += 50;
         health.tick(now_ms);
     });
-    let finish_us = time_us(20_000, || health.finish(BackendKey(3), Work::Good, 20.0, 0));
+    let finish_us = time_us(20_000, || health.finish(BackendKey(3), RequestOutcome::Good, 20.0, 0));
     let requests = TARGET.requests_per_s / TARGET.nodes as f64;
     line(
         "a health tick of one service; an observation",
--- a/crates/leverstream-bench/src/gray/driver.rs
+++ b/crates/leverstream-bench/src/gray/driver.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-use leverstream_health::{BackendKey, Health, HealthSettings, Probe, Work, eject_rule};
+use leverstream_health::{BackendKey, Health, HealthSettings, Probe, RequestOutcome, eject_rule};
 use leverstream_route::{Candidate, Pick, Request, RetryBudget, Turn, choose, picker};
 use leverstream_table::ServiceRow;
 use rand::rngs::StdRng;
@@ -202,7 +202,8 @@
             Event::Arrive => self.arrive(),
             Event::Done { attempt } => self.done(attempt),
             Event::Broken { attempt, refused } => {
-                let work = if refused { Work::ConnectFailed } else { Work::Failed };
+                let work =
+                    if refused { RequestOutcome::ConnectFailed } else { RequestOutcome::Failed };
                 self.end(attempt, work);
             }
             Event::Hedge { request } => self.hedge(request),
@@ -361,11 +362,11 @@
         let backend = self.attempts[attempt].backend;
         self.servers[backend].busy -= 1;
         self.start_work(backend);
-        self.end(attempt, Work::Good);
+        self.end(attempt, RequestOutcome::Good);
     }
 
     /// Ends an attempt at its VM.
-    fn end(&mut self, attempt: usize, work: Work) {
+    fn end(&mut self, attempt: usize, work: RequestOutcome) {
         let now_ms = self.now_ms;
         let ended = &mut self.attempts[attempt];
         if std::mem::replace(&mut ended.is_over, true) {
@@ -382,9 +383,9 @@
             vm.health.finish_trial(key, work, time_ms, now_ms);
         }
         self.requests[request].running -= 1;
-        if work == Work::Good {
+        if work == RequestOutcome::Good {
             self.settle(request, true);
-        } else if work != Work::Nothing {
+        } else if work != RequestOutcome::NoEvidence {
             self.retry(request);
         }
         self.wake(vm_index);
@@ -405,7 +406,10 @@
         for attempt in running {
             let is_its_own = self.attempts[attempt].request == request;
             if is_its_own && !(is_good && self.becomes_witness(attempt)) {
-                self.end(attempt, if is_good { Work::Nothing } else { Work::Failed });
+                self.end(
+                    attempt,
+                    if is_good { RequestOutcome::NoEvidence } else { RequestOutcome::Failed },
+                );
             }
         }
     }
@@ -451,7 +455,7 @@
         let running: Vec<usize> = self.vms[vm].flights.iter().flatten().copied().collect();
         for attempt in running {
             if self.attempts[attempt].request == request {
-                self.end(attempt, Work::Failed);
+                self.end(attempt, RequestOutcome::Failed);
             }
         }
     }
--- a/crates/leverstream-bench/src/gray/driver/health.rs
+++ b/crates/leverstream-bench/src/gray/driver/health.rs
@@ -1,6 +1,6 @@
 //! What VMs do for the health of backend servers: look, tell each other, check.
 
-use leverstream_health::{BackendKey, Standing, units_of};
+use leverstream_health::{BackendKey, Standing, evidence_units};
 
 use super::{TICK_MS, VMS, World};
 use crate::gray::cell::Effect;
@@ -30,7 +30,7 @@
                 let slow_ms = vm.health.slow_ms(key);
                 for attempt in flights {
                     let attempt = &mut self.attempts[*attempt];
-                    let due = units_of((now_ms - attempt.sent_ms) as f64, slow_ms);
+                    let due = evidence_units((now_ms - attempt.sent_ms) as f64, slow_ms);
                     let fresh = due.saturating_sub(attempt.charged);
                     if fresh > 0 {
                         attempt.charged += fresh;
--- a/crates/leverstream-core/src/fleet.rs
+++ b/crates/leverstream-core/src/fleet.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 use leverstream_catalog::{Backend, Incarnation};
-use leverstream_health::{BackendKey, Episodes};
+use leverstream_health::{BackendKey, EpisodeModel};
 use leverstream_route::Choice;
 use serde::{Deserialize, Serialize};
 use slab::Slab;
@@ -65,9 +65,9 @@
     /// Those where requests of this VM are under way.
     busy: BTreeSet<BackendKey>,
     /// How often backend servers fail for a while, by service.
-    episodes: HashMap<String, Episodes>,
+    episodes: HashMap<String, EpisodeModel>,
     /// What is assumed of a service of which nothing was seen.
-    assumed: Episodes,
+    assumed: EpisodeModel,
     /// What requests have shown, by route.
     routes: Slab<RouteProfile>,
     /// The keys of those, by the route's name.
@@ -485,7 +485,7 @@
     }
 
     /// What is known of episodes at the service of a backend server.
-    fn episodes_at(&self, member: &BackendState) -> &Episodes {
+    fn episodes_at(&self, member: &BackendState) -> &EpisodeModel {
         self.episodes.get(&member.backend.service).unwrap_or(&self.assumed)
     }
 
--- a/crates/leverstream-core/src/fleet/backend_state.rs
+++ b/crates/leverstream-core/src/fleet/backend_state.rs
@@ -1,7 +1,7 @@
 use std::collections::HashMap;
 
 use leverstream_catalog::{Backend, Incarnation};
-use leverstream_health::{BackendKey, Episodes, Suspicion};
+use leverstream_health::{BackendKey, EpisodeModel, FailureEstimate};
 use leverstream_route::{Choice, Claim, FloorStanding};
 use slab::Slab;
 
@@ -83,7 +83,7 @@
     /// The VMs whose requests are under way there, or were late, by their last reports.
     busy_vms: Vec<u64>,
     /// Whether it is in an episode of failures, by the last outcomes.
-    suspicion: Suspicion,
+    suspicion: FailureEstimate,
     /// How many times the usual time its answers take.
     slowness: f64,
     /// When that was last brought up to date.
@@ -189,7 +189,7 @@
             told_overdue_odds: 1.0,
             reports: HashMap::new(),
             busy_vms: Vec::new(),
-            suspicion: Suspicion::open(now_ms),
+            suspicion: FailureEstimate::open(now_ms),
             slowness: 1.0,
             slowness_at_ms: now_ms,
             good: 0,
@@ -206,7 +206,7 @@
         key: BackendKey,
         asker: &Asker<'_>,
         routes: &Slab<RouteProfile>,
-        episodes: &Episodes,
+        episodes: &EpisodeModel,
         now_ms: u64,
     ) -> Choice {
         let failure_chance =
@@ -270,7 +270,7 @@
         route: RouteKey,
         outcome: Outcome,
         routes: &Slab<RouteProfile>,
-        episodes: &mut Episodes,
+        episodes: &mut EpisodeModel,
         now_ms: u64,
     ) -> bool {
         let flight = Flight { since_ms, route };
@@ -302,7 +302,7 @@
     }
 
     /// Notes a failure, which speaks against it.
-    fn note_bad(&mut self, episodes: &mut Episodes, now_ms: u64) -> bool {
+    fn note_bad(&mut self, episodes: &mut EpisodeModel, now_ms: u64) -> bool {
         self.bad += 1;
         self.suspicion.bad(1, episodes, now_ms);
         true
@@ -310,14 +310,14 @@
 
     /// Notes a request without an answer after a time that a share of the sound answers exceed; true if that
     /// speaks against it.
-    fn note_unanswered(&mut self, slower_share: f64, episodes: &Episodes, now_ms: u64) -> bool {
+    fn note_unanswered(&mut self, slower_share: f64, episodes: &EpisodeModel, now_ms: u64) -> bool {
         let is_bad = self.suspicion.unanswered(slower_share, episodes, now_ms);
         self.bad += u64::from(is_bad);
         is_bad
     }
 
     /// Tells whether it was taken to be sound by its last outcomes.
-    pub fn was_sound(&self, episodes: &Episodes, now_ms: u64) -> bool {
+    pub fn was_sound(&self, episodes: &EpisodeModel, now_ms: u64) -> bool {
         self.suspicion.failure_chance(1.0, episodes, now_ms) < SOUND_BELOW
     }
 
@@ -331,7 +331,7 @@
     /// How many times likelier this VM's requests under way make an episode of failures.
     fn own_overdue_odds(&self, routes: &Slab<RouteProfile>, now_ms: u64) -> f64 {
         let shares = self.flights.iter().map(|flight| self.slower_share(flight, routes, now_ms));
-        shares.map(Suspicion::overdue_odds).product()
+        shares.map(FailureEstimate::overdue_odds).product()
     }
 
     /// The same with those of other VMs.
@@ -347,14 +347,14 @@
         route: RouteKey,
         until_ms: u64,
         routes: &Slab<RouteProfile>,
-        episodes: &Episodes,
+        episodes: &EpisodeModel,
         now_ms: u64,
     ) -> f64 {
         let flight = Flight { since_ms, route };
         let by_now = self.slower_share(&flight, routes, now_ms);
         let by_then = self.slower_share(&flight, routes, until_ms);
         let odds = self.overdue_odds(routes, now_ms);
-        let silent = self.suspicion.silence_chance(odds, by_now, episodes, now_ms);
+        let silent = self.suspicion.no_answer_chance(odds, by_now, episodes, now_ms);
         silent + (1.0 - silent) * (by_then / by_now).min(1.0)
     }
 
@@ -367,7 +367,7 @@
     ///
     /// The first report of a VM is the baseline for its next, as it may tell of what happened long ago;
     /// but one that tells of a single outcome was sent because of it.
-    pub fn report(&mut self, vm: u64, report: Report, episodes: &mut Episodes) -> bool {
+    pub fn report(&mut self, vm: u64, report: Report, episodes: &mut EpisodeModel) -> bool {
         if self.reports.len() >= REPORTS_LIMIT {
             let now_ms = report.heard_ms;
             self.reports.retain(|_, old| now_ms.saturating_sub(old.heard_ms) < SILENT_AFTER_MS);
--- a/crates/leverstream-health/src/episodes.rs
+++ b/crates/leverstream-health/src/episodes.rs
@@ -70,7 +70,7 @@
 /// are observed: an avoided backend server yields few outcomes, and that alone is no evidence about
 /// it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Episodes {
+pub struct EpisodeModel {
     /// The log likelihood of the observed outcomes under each hypothesis.
     log_likelihoods: [f64; HYPOTHESES],
     /// The weights of the hypotheses; they sum to 1.
@@ -96,13 +96,13 @@
     healthy_failure_share: f64,
 }
 
-impl Default for Episodes {
-    fn default() -> Episodes {
+impl Default for EpisodeModel {
+    fn default() -> EpisodeModel {
         let (weights, failure_share) = ([0.0; HYPOTHESES], MIN_HEALTHY_FAILURE_CHANCE);
         let (share, decay_ms, healthy_failure_share) =
             (PRIOR_SHARE, PRIOR_DECAY_MS, HEALTHY_FAILURE_SHARES[0]);
         let log_likelihoods = [0.0; HYPOTHESES];
-        let mut episodes = Episodes {
+        let mut model = EpisodeModel {
             log_likelihoods,
             weights,
             share,
@@ -110,12 +110,12 @@
             healthy_failure_share,
             failure_share,
         };
-        episodes.update_weights();
-        episodes
+        model.update_weights();
+        model
     }
 }
 
-impl Episodes {
+impl EpisodeModel {
     /// The share of the time that a backend server spends in episodes. It is also the chance that a
     /// backend server without recent outcomes is in one.
     pub fn share(&self) -> f64 {
--- a/crates/leverstream-health/src/health.rs
+++ b/crates/leverstream-health/src/health.rs
@@ -1,10 +1,10 @@
 mod eject;
 
 use crate::checks::Checks;
-use crate::observation::{Probe, Work};
-use crate::peer_reports::{Count, PeerReports};
+use crate::observation::{Probe, RequestOutcome};
+use crate::peer_reports::{EvidenceCounts, PeerReports};
 use crate::rule::EjectRule;
-use crate::score::{Baseline, Score, units_of};
+use crate::score::{Baseline, Score, evidence_units};
 use crate::settings::HealthSettings;
 use crate::sketch::QuantileSketch;
 use crate::standing::Standing;
@@ -86,7 +86,7 @@
     /// Recent good answers and bad evidence, with the shorter half-life.
     short_term: Recent,
     /// The counts since the start that other VMs are sent.
-    count: Count,
+    count: EvidenceCounts,
     /// The time from which a request counts as slow.
     slow_ms: f64,
     /// The number of consecutive failures.
@@ -119,7 +119,7 @@
 
 /// The health of a backend server as operators see it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View {
+pub struct BackendHealth {
     /// Its name.
     pub name: String,
     /// The ejection state.
@@ -135,7 +135,7 @@
     /// Whether its notice that it drains counts.
     pub is_draining: bool,
     /// The counts since the start.
-    pub count: Count,
+    pub count: EvidenceCounts,
 }
 
 impl Health {
@@ -165,7 +165,7 @@
             times: QuantileSketch::default(),
             recent: Recent::default(),
             short_term: Recent::default(),
-            count: Count::default(),
+            count: EvidenceCounts::default(),
             slow_ms: self.settings.deadline_ms as f64 / 4.0,
             failures_in_a_row: 0,
             draining_until_ms: 0,
@@ -187,21 +187,23 @@
     ///
     /// `charged` is the number of units of bad evidence that the request's age already gave while
     /// it ran.
-    pub fn finish(&mut self, key: BackendKey, work: Work, time_ms: f64, charged: u8) {
+    pub fn finish(&mut self, key: BackendKey, outcome: RequestOutcome, time_ms: f64, charged: u8) {
         let backend = self.backend_mut(key);
-        let units = match work {
-            Work::Nothing => return,
-            Work::Good => units_of(time_ms, backend.slow_ms).saturating_sub(charged),
-            Work::Failed => FAILED_UNITS,
-            Work::ConnectFailed => REFUSED_UNITS,
+        let units = match outcome {
+            RequestOutcome::NoEvidence => return,
+            RequestOutcome::Good => {
+                evidence_units(time_ms, backend.slow_ms).saturating_sub(charged)
+            }
+            RequestOutcome::Failed => FAILED_UNITS,
+            RequestOutcome::ConnectFailed => REFUSED_UNITS,
         };
-        if work == Work::Good {
+        if outcome == RequestOutcome::Good {
             backend.times.add(time_ms);
             backend.failures_in_a_row = 0;
         } else {
             backend.failures_in_a_row += 1;
         }
-        let is_good = work == Work::Good && units == 0 && charged == 0;
+        let is_good = outcome == RequestOutcome::Good && units == 0 && charged == 0;
         if is_good {
             backend.checks.clear_score();
         }
@@ -247,7 +249,7 @@
         &mut self,
         key: BackendKey,
         reporter: u64,
-        count: Count,
+        count: EvidenceCounts,
         in_flight: u32,
         now_ms: u64,
     ) {
@@ -256,14 +258,14 @@
     }
 
     /// Records that another VM is alive, whether or not it had something new to report.
-    pub fn hear(&mut self, reporter: u64, now_ms: u64) {
+    pub fn record_contact(&mut self, reporter: u64, now_ms: u64) {
         for backend in &mut self.backends {
-            backend.peer_reports.hear(reporter, now_ms);
+            backend.peer_reports.record_contact(reporter, now_ms);
         }
     }
 
     /// The counts that other VMs are sent.
-    pub fn count(&self, key: BackendKey) -> Count {
+    pub fn count(&self, key: BackendKey) -> EvidenceCounts {
         self.backend(key).count
     }
 
@@ -297,9 +299,9 @@
     }
 
     /// The health of a backend server as operators see it.
-    pub fn view(&self, key: BackendKey, now_ms: u64) -> View {
+    pub fn view(&self, key: BackendKey, now_ms: u64) -> BackendHealth {
         let backend = self.backend(key);
-        View {
+        BackendHealth {
             name: backend.name.clone(),
             standing: backend.standing,
             own_score: self.own_score(backend),
--- a/crates/leverstream-health/src/health/eject.rs
+++ b/crates/leverstream-health/src/health/eject.rs
@@ -1,8 +1,8 @@
 //! Ejection, trials, and the return to service.
 
 use super::{BackendKey, Health};
-use crate::observation::Work;
-use crate::score::units_of;
+use crate::observation::RequestOutcome;
+use crate::score::evidence_units;
 use crate::standing::{Reason, Standing};
 
 /// The number of successful trial requests that a return requires.
@@ -42,16 +42,22 @@
     ///
     /// A slightly slow answer decides nothing: the quantile of a few fast answers is a strict
     /// limit, and each failed trial doubles the hold-off.
-    pub fn finish_trial(&mut self, key: BackendKey, work: Work, time_ms: f64, now_ms: u64) {
+    pub fn finish_trial(
+        &mut self,
+        key: BackendKey,
+        outcome: RequestOutcome,
+        time_ms: f64,
+        now_ms: u64,
+    ) {
         let backend = self.backend(key);
         let Standing::Trial { since_ms, good } = backend.standing else { return };
-        let units = units_of(time_ms, backend.slow_ms);
-        match work {
-            Work::Good if units == 0 => {
+        let units = evidence_units(time_ms, backend.slow_ms);
+        match outcome {
+            RequestOutcome::Good if units == 0 => {
                 self.backend_mut(key).standing = Standing::Trial { since_ms, good: good + 1 };
             }
-            Work::Good if units < TRIAL_FAILURE_UNITS => {}
-            Work::Nothing => {}
+            RequestOutcome::Good if units < TRIAL_FAILURE_UNITS => {}
+            RequestOutcome::NoEvidence => {}
             _ => self.eject_one(key, Reason::Trial, now_ms),
         }
     }
--- a/crates/leverstream-health/src/observation.rs
+++ b/crates/leverstream-health/src/observation.rs
@@ -1,6 +1,6 @@
 /// The outcome of a request to a backend server, as evidence of the backend server's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Work {
+pub enum RequestOutcome {
     /// A complete answer that shows no fault.
     Good,
     /// An answer that shows a fault of the backend server, or an incomplete answer.
@@ -8,7 +8,7 @@
     /// The connection was refused or could not be opened.
     ConnectFailed,
     /// No evidence: the caller disconnected, or the backend server shed the request.
-    Nothing,
+    NoEvidence,
 }
 
 /// The result of a health check.
--- a/crates/leverstream-health/src/peer_reports.rs
+++ b/crates/leverstream-health/src/peer_reports.rs
@@ -23,7 +23,7 @@
 
 /// Cumulative evidence since a reporter's process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Count {
+pub struct EvidenceCounts {
     /// The number of good answers.
     pub good: u64,
     /// The number of units of bad evidence.
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Reporter {
     /// The last reported counts.
-    last: Count,
+    last: EvidenceCounts,
     /// The score from its reports.
     score: Score,
     /// The number of recent observations, decaying over time.
@@ -60,7 +60,7 @@
     pub fn report(
         &mut self,
         reporter: u64,
-        count: Count,
+        count: EvidenceCounts,
         in_flight: u32,
         baseline: Baseline,
         now_ms: u64,
@@ -83,7 +83,7 @@
     }
 
     /// Records that a reporter is alive although it has nothing new to report.
-    pub fn hear(&mut self, reporter: u64, now_ms: u64) {
+    pub fn record_contact(&mut self, reporter: u64, now_ms: u64) {
         if let Some(entry) = self.reporters.get_mut(&reporter) {
             entry.last_heard_ms = now_ms;
         }
--- a/crates/leverstream-health/src/score.rs
+++ b/crates/leverstream-health/src/score.rs
@@ -8,7 +8,7 @@
 const PRIOR_OBSERVATIONS: f64 = 20.0;
 
 /// The largest number of units of bad evidence that one request can give.
-pub const MAX_UNITS: u8 = 5;
+pub const MAX_EVIDENCE_UNITS: u8 = 5;
 
 /// The half-life of a score without new evidence, in milliseconds.
 const HALF_LIFE_MS: f64 = 300_000.0;
@@ -82,10 +82,10 @@
 ///
 /// A slow request gives one unit and one more for each further doubling of the time, so that a
 /// stalled request weighs more the longer it lasts.
-pub fn units_of(time_ms: f64, slow_ms: f64) -> u8 {
+pub fn evidence_units(time_ms: f64, slow_ms: f64) -> u8 {
     if time_ms < slow_ms {
         return 0;
     }
     let doublings = (time_ms / slow_ms).log2().floor() as u8;
-    doublings.saturating_add(1).min(MAX_UNITS)
+    doublings.saturating_add(1).min(MAX_EVIDENCE_UNITS)
 }
--- a/crates/leverstream-health/src/suspicion.rs
+++ b/crates/leverstream-health/src/suspicion.rs
@@ -1,4 +1,4 @@
-use crate::Episodes;
+use crate::EpisodeModel;
 use crate::episodes::{EPISODE_FAILURE_CHANCE, HYPOTHESES, decay_factors, hypotheses};
 
 /// The lower bound of the chance of an episode; further good answers don't lower it.
@@ -16,12 +16,12 @@
 /// A backend server is either healthy or in an episode. Each outcome updates the chance of an
 /// episode by Bayes' rule. Over time the chance returns to the share of the time that backend
 /// servers of its service spend in episodes, at the rate at which episodes begin and end there
-/// ([`Episodes`]).
+/// ([`EpisodeModel`]).
 ///
 /// [`Health`](crate::Health) judges over minutes; this estimate reacts to a single failure and
 /// forgets it within seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Suspicion {
+pub struct FailureEstimate {
     /// The chance of an episode under each hypothesis, as of the last outcome.
     by_hypothesis: [f32; HYPOTHESES],
     /// The mean chance of an episode over the weighted hypotheses, as of the last outcome.
@@ -32,11 +32,11 @@
     last_bad_ms: Option<u64>,
 }
 
-impl Suspicion {
+impl FailureEstimate {
     /// Creates the estimate for a backend server without outcomes. It has just appeared, so it is
     /// assumed to be healthy.
-    pub fn open(now_ms: u64) -> Suspicion {
-        Suspicion {
+    pub fn open(now_ms: u64) -> FailureEstimate {
+        FailureEstimate {
             by_hypothesis: [MIN_EPISODE_CHANCE as f32; HYPOTHESES],
             chance: MIN_EPISODE_CHANCE,
             updated_ms: now_ms,
@@ -45,27 +45,27 @@
     }
 
     /// Records good outcomes.
-    pub fn good(&mut self, count: u64, episodes: &mut Episodes, now_ms: u64) {
+    pub fn good(&mut self, count: u64, model: &mut EpisodeModel, now_ms: u64) {
         for _ in 0..count.min(MAX_OUTCOMES_PER_REPORT) {
-            self.record(false, episodes, now_ms);
+            self.record(false, model, now_ms);
         }
     }
 
     /// Records bad outcomes.
-    pub fn bad(&mut self, count: u64, episodes: &mut Episodes, now_ms: u64) {
+    pub fn bad(&mut self, count: u64, model: &mut EpisodeModel, now_ms: u64) {
         for _ in 0..count.min(MAX_OUTCOMES_PER_REPORT) {
-            self.record(true, episodes, now_ms);
+            self.record(true, model, now_ms);
             self.last_bad_ms = Some(now_ms);
         }
     }
 
     /// Records that a request was abandoned without an answer, after a time that the given share of
     /// healthy answers exceeds. Returns true if an episode is now likely.
-    pub fn unanswered(&mut self, slower_share: f64, episodes: &Episodes, now_ms: u64) -> bool {
+    pub fn unanswered(&mut self, slower_share: f64, model: &EpisodeModel, now_ms: u64) -> bool {
         let episode_likelihood =
             EPISODE_FAILURE_CHANCE + (1.0 - EPISODE_FAILURE_CHANCE) * slower_share;
         self.update(episode_likelihood, &[slower_share; HYPOTHESES], now_ms);
-        self.update_chance(episodes);
+        self.update_chance(model);
         let is_likely = self.chance >= 0.5;
         if is_likely {
             self.last_bad_ms = Some(now_ms);
@@ -81,22 +81,22 @@
 
     /// The chance that the next request fails, from 0 to 1; `overdue_odds` is the odds ratio that
     /// the requests in flight give.
-    pub fn failure_chance(&self, overdue_odds: f64, episodes: &Episodes, now_ms: u64) -> f64 {
-        episodes.failure_chance(self.chance_with(overdue_odds, episodes, now_ms))
+    pub fn failure_chance(&self, overdue_odds: f64, model: &EpisodeModel, now_ms: u64) -> f64 {
+        model.failure_chance(self.chance_with(overdue_odds, model, now_ms))
     }
 
     /// The chance that a request in flight gets no answer, after a time that the given share of
     /// healthy answers exceeds; `overdue_odds` is the odds ratio that all requests in flight give.
-    pub fn silence_chance(
+    pub fn no_answer_chance(
         &self,
         overdue_odds: f64,
         slower_share: f64,
-        episodes: &Episodes,
+        model: &EpisodeModel,
         now_ms: u64,
     ) -> f64 {
         let unanswered_share = EPISODE_FAILURE_CHANCE
             / (EPISODE_FAILURE_CHANCE + (1.0 - EPISODE_FAILURE_CHANCE) * slower_share);
-        self.chance_with(overdue_odds, episodes, now_ms) * unanswered_share
+        self.chance_with(overdue_odds, model, now_ms) * unanswered_share
     }
 
     /// The age of the last bad outcome, if there was one, in milliseconds.
@@ -105,17 +105,17 @@
     }
 
     /// Records one outcome.
-    fn record(&mut self, has_failed: bool, episodes: &mut Episodes, now_ms: u64) {
+    fn record(&mut self, has_failed: bool, model: &mut EpisodeModel, now_ms: u64) {
         let likelihood_of =
             |failure_chance: f64| if has_failed { failure_chance } else { 1.0 - failure_chance };
         let mut healthy_likelihoods = [0.0; HYPOTHESES];
         for (likelihood, hypothesis) in healthy_likelihoods.iter_mut().zip(hypotheses()) {
-            *likelihood = likelihood_of(episodes.healthy_failure_chance_under(hypothesis));
+            *likelihood = likelihood_of(model.healthy_failure_chance_under(hypothesis));
         }
         let likelihoods =
             self.update(likelihood_of(EPISODE_FAILURE_CHANCE), &healthy_likelihoods, now_ms);
-        episodes.record(has_failed, &likelihoods);
-        self.update_chance(episodes);
+        model.record(has_failed, &likelihoods);
+        self.update_chance(model);
     }
 
     /// Applies Bayes' rule to the chance under each hypothesis, with the likelihood of the outcome
@@ -143,22 +143,22 @@
     }
 
     /// Updates the mean chance over the weighted hypotheses.
-    fn update_chance(&mut self, episodes: &Episodes) {
-        let weighed = self.by_hypothesis.iter().zip(episodes.weights());
+    fn update_chance(&mut self, model: &EpisodeModel) {
+        let weighed = self.by_hypothesis.iter().zip(model.weights());
         self.chance = weighed.map(|(chance, weight)| f64::from(*chance) * weight).sum();
     }
 
     /// The present chance of an episode, including the evidence of the requests in flight.
-    fn chance_with(&self, overdue_odds: f64, episodes: &Episodes, now_ms: u64) -> f64 {
-        let chance = self.chance(episodes, now_ms);
+    fn chance_with(&self, overdue_odds: f64, model: &EpisodeModel, now_ms: u64) -> f64 {
+        let chance = self.chance(model, now_ms);
         let (episode, healthy) = (chance * overdue_odds, 1.0 - chance);
         episode / (episode + healthy)
     }
 
     /// The present chance of an episode.
-    fn chance(&self, episodes: &Episodes, now_ms: u64) -> f64 {
+    fn chance(&self, model: &EpisodeModel, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.updated_ms) as f64;
-        let share = episodes.share();
-        share + (self.chance - share) * (-age_ms / episodes.decay_ms()).exp()
+        let share = model.share();
+        share + (self.chance - share) * (-age_ms / model.decay_ms()).exp()
     }
 }
--- a/crates/leverstream-health/tests/health.rs
+++ b/crates/leverstream-health/tests/health.rs
@@ -1,7 +1,8 @@
 //! Ejection, the floor of weight in service, misreporting health checks, and the return to service.
 
 use leverstream_health::{
-    BackendKey, Count, Health, HealthSettings, Probe, Reason, Standing, Work, eject_rule,
+    BackendKey, EvidenceCounts, Health, HealthSettings, Probe, Reason, RequestOutcome, Standing,
+    eject_rule,
 };
 use leverstream_table::ServiceRow;
 use proptest::prelude::*;
@@ -17,7 +18,7 @@
     for index in 0..backends {
         let key = health.add(&format!("b{index}"), 100, false, 0);
         for _ in 0..100 {
-            health.finish(key, Work::Good, 10.0, 0);
+            health.finish(key, RequestOutcome::Good, 10.0, 0);
         }
     }
     health.tick(50);
@@ -38,7 +39,7 @@
 fn failures_eject_one_backend_but_failures_everywhere_eject_none() {
     let mut health = warm(4, 50);
     for _ in 0..10 {
-        health.finish(FIRST, Work::Failed, 10.0, 0);
+        health.finish(FIRST, RequestOutcome::Failed, 10.0, 0);
     }
     health.tick(100);
     assert!(is_ejected(&health, FIRST));
@@ -46,7 +47,7 @@
     let mut health = warm(4, 0);
     for _ in 0..50 {
         for key in health.keys() {
-            health.finish(key, Work::Failed, 10.0, 0);
+            health.finish(key, RequestOutcome::Failed, 10.0, 0);
         }
         health.tick(100);
     }
@@ -63,7 +64,7 @@
     let mut health = warm(4, 50);
     for _ in 0..500 {
         for key in health.keys() {
-            health.finish(key, Work::Good, 200.0, 0);
+            health.finish(key, RequestOutcome::Good, 200.0, 0);
         }
         health.tick(100);
     }
@@ -81,7 +82,7 @@
     assert!(!is_ejected(&health, FIRST));
     let mut health = warm(4, 50);
     for _ in 0..10 {
-        health.finish(FIRST, Work::Failed, 10.0, 0);
+        health.finish(FIRST, RequestOutcome::Failed, 10.0, 0);
         health.probe(FIRST, Probe::Good);
     }
     health.tick(100);
@@ -92,8 +93,8 @@
 fn one_reporter_does_not_eject_and_several_do() {
     let report = |health: &mut Health, reporters: u64| {
         for reporter in 1..=reporters {
-            health.report(FIRST, reporter, Count::default(), 0, 100);
-            health.report(FIRST, reporter, Count { good: 0, bad: 50 }, 0, 100);
+            health.report(FIRST, reporter, EvidenceCounts::default(), 0, 100);
+            health.report(FIRST, reporter, EvidenceCounts { good: 0, bad: 50 }, 0, 100);
         }
         health.tick(150);
     };
@@ -125,7 +126,7 @@
     let mut last_ms = 0;
     for round in 0..3 {
         for _ in 0..10 {
-            health.finish(FIRST, Work::Failed, 10.0, 0);
+            health.finish(FIRST, RequestOutcome::Failed, 10.0, 0);
         }
         health.tick(now_ms);
         let Standing::Ejected { until_ms, .. } = standing(&health, FIRST) else {
@@ -138,7 +139,7 @@
         health.tick(until_ms);
         assert!(health.fitness(FIRST, until_ms).is_trial);
         for _ in 0..3 {
-            health.finish_trial(FIRST, Work::Good, 10.0, until_ms);
+            health.finish_trial(FIRST, RequestOutcome::Good, 10.0, until_ms);
         }
         health.tick(until_ms + 50);
         let share = health.fitness(FIRST, until_ms + 50).share;
@@ -146,21 +147,21 @@
         now_ms = until_ms + 100;
     }
     let mut health = warm(4, 50);
-    (0..10).for_each(|_| health.finish(FIRST, Work::Failed, 10.0, 0));
+    (0..10).for_each(|_| health.finish(FIRST, RequestOutcome::Failed, 10.0, 0));
     health.tick(100);
     health.tick(100 + 5_000);
-    health.finish_trial(FIRST, Work::Failed, 10.0, 5_200);
+    health.finish_trial(FIRST, RequestOutcome::Failed, 10.0, 5_200);
     assert!(matches!(standing(&health, FIRST), Standing::Ejected { reason: Reason::Trial, .. }));
 }
 
 #[test]
 fn requests_in_flight_of_a_silent_vm_expire() {
     let mut health = warm(2, 50);
-    health.report(FIRST, 7, Count::default(), 3, 100);
+    health.report(FIRST, 7, EvidenceCounts::default(), 3, 100);
     health.tick(150);
     assert_eq!(health.fitness(FIRST, 150).others_in_flight, 3);
     // A sign of life keeps the count; after silence it soon expires.
-    health.hear(7, 1_000);
+    health.record_contact(7, 1_000);
     health.tick(2_000);
     assert_eq!(health.fitness(FIRST, 2_000).others_in_flight, 3);
     for now_ms in (2_500..5_000).step_by(50) {
@@ -182,7 +183,7 @@
     let mut health = warm(3, 50);
     health.drain(BackendKey(1), 100);
     health.drain(BackendKey(2), 100);
-    (0..20).for_each(|_| health.finish(FIRST, Work::Failed, 10.0, 0));
+    (0..20).for_each(|_| health.finish(FIRST, RequestOutcome::Failed, 10.0, 0));
     health.tick(100);
     assert!(!is_ejected(&health, FIRST));
     assert!(health.fitness(FIRST, 200).share > 0.0);
@@ -191,7 +192,7 @@
 #[test]
 fn an_ejected_backend_returns_when_the_others_drain() {
     let mut health = warm(3, 50);
-    (0..20).for_each(|_| health.finish(FIRST, Work::Failed, 10.0, 0));
+    (0..20).for_each(|_| health.finish(FIRST, RequestOutcome::Failed, 10.0, 0));
     health.tick(100);
     assert!(is_ejected(&health, FIRST));
     health.drain(BackendKey(1), 150);
@@ -216,12 +217,12 @@
             let key = BackendKey(backend);
             now_ms += pause_ms / 10;
             match what {
-                0 => health.finish(key, Work::Good, 10.0, 0),
-                1 => (0..20).for_each(|_| health.finish(key, Work::Failed, 10.0, 0)),
+                0 => health.finish(key, RequestOutcome::Good, 10.0, 0),
+                1 => (0..20).for_each(|_| health.finish(key, RequestOutcome::Failed, 10.0, 0)),
                 2 => health.charge(key, 5),
                 3 => health.probe(key, Probe::Refused),
-                4 => (1..4).for_each(|reporter| health.report(key, reporter, Count { good: 0, bad: now_ms }, 1, now_ms)),
-                _ => health.finish_trial(key, Work::Failed, 10.0, now_ms),
+                4 => (1..4).for_each(|reporter| health.report(key, reporter, EvidenceCounts { good: 0, bad: now_ms }, 1, now_ms)),
+                _ => health.finish_trial(key, RequestOutcome::Failed, 10.0, now_ms),
             }
             let before = health.capacity(now_ms);
             health.tick(now_ms);
@@ -241,7 +242,7 @@
     for time_ms in [25.0, 60.0] {
         let mut health = warm(4, 50);
         (0..40).for_each(|_| health.probe(FIRST, Probe::Bad));
-        health.finish(FIRST, Work::Good, time_ms, 0);
+        health.finish(FIRST, RequestOutcome::Good, time_ms, 0);
         health.tick(100);
         assert!(!is_ejected(&health, FIRST), "{:?}", health.view(FIRST, 100));
     }
@@ -250,7 +251,7 @@
         let mut health = warm(4, 50);
         let fails = |count: &usize| {
             (0..checks).for_each(|_| health.probe(FIRST, Probe::Bad));
-            health.finish(FIRST, Work::Failed, 10.0, 0);
+            health.finish(FIRST, RequestOutcome::Failed, 10.0, 0);
             health.tick(100 * *count as u64);
             is_ejected(&health, FIRST)
         };
--- a/crates/leverstream-node/src/service.rs
+++ b/crates/leverstream-node/src/service.rs
@@ -2,7 +2,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use leverstream_health::{BackendKey, Count, EjectRule, Health, HealthSettings, units_of};
+use leverstream_health::{
+    BackendKey, EjectRule, EvidenceCounts, Health, HealthSettings, evidence_units,
+};
 use leverstream_peer::{BackendDigest, ServiceDigest};
 use leverstream_proxy::{
     BackendLive, BackendView, ServiceKey, ServiceLive, ServiceView, Serving, VmView,
@@ -118,7 +120,7 @@
         for (index, backend) in self.backends.iter().enumerate() {
             let key = BackendKey(index as u32);
             let slow_ms = self.health.slow_ms(key);
-            for units in backend.live.charge(now_ms, |age_ms| units_of(age_ms, slow_ms)) {
+            for units in backend.live.charge(now_ms, |age_ms| evidence_units(age_ms, slow_ms)) {
                 self.health.charge(key, units);
             }
         }
@@ -196,10 +198,10 @@
 
     /// Takes in what another VM tells.
     pub fn report(&mut self, reporter: u64, digest: &ServiceDigest, now_ms: u64) {
-        self.health.hear(reporter, now_ms);
+        self.health.record_contact(reporter, now_ms);
         for told in &digest.backends {
             let Some(key) = self.backend(&told.backend) else { continue };
-            let count = Count { good: told.good, bad: told.bad };
+            let count = EvidenceCounts { good: told.good, bad: told.bad };
             self.health.report(key, reporter, count, told.in_flight, now_ms);
             if told.draining && !self.health.is_draining(key, now_ms) {
                 self.health.drain(key, now_ms);
--- a/crates/leverstream-node/src/survey.rs
+++ b/crates/leverstream-node/src/survey.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use futures_util::StreamExt;
-use leverstream_health::{Standing, View};
+use leverstream_health::{BackendHealth, Standing};
 use leverstream_member::{Member, MemberState};
 
 use crate::control::Control;
@@ -121,7 +121,7 @@
 }
 
 /// Describes a backend server's health.
-fn backend_report(health: &View, now_ms: u64) -> BackendReport {
+fn backend_report(health: &BackendHealth, now_ms: u64) -> BackendReport {
     let (reason, trial_in_ms) = match health.standing {
         Standing::Ejected { until_ms, reason, .. } => {
             (reason.name().to_owned(), Some(until_ms.saturating_sub(now_ms)))
--- a/crates/leverstream-proxy/src/attempt.rs
+++ b/crates/leverstream-proxy/src/attempt.rs
@@ -7,7 +7,7 @@
 use bytes::{Bytes, BytesMut};
 use leverstream_ask::DEADLINE_HEADER;
 use leverstream_error::Kind;
-use leverstream_health::{BackendKey, Work};
+use leverstream_health::{BackendKey, RequestOutcome};
 use tracing::Instrument;
 
 use crate::acquire::Slot;
@@ -67,14 +67,14 @@
         let part = part.unwrap_or(Err(Broken { kind: Kind::AnswerTimeout }));
         match &part {
             Ok(Some(_)) => {}
-            Ok(None) => self.end(Work::Good),
-            Err(_) => self.end(Work::Failed),
+            Ok(None) => self.end(RequestOutcome::Good),
+            Err(_) => self.end(RequestOutcome::Failed),
         }
         part
     }
 
     /// Tells how the work ended and keeps the connection if it is fit.
-    fn end(&mut self, work: Work) {
+    fn end(&mut self, work: RequestOutcome) {
         if let Some(conn) = self.incoming.take_reusable() {
             pool::put(self.address, conn, self.clock.now_ms());
         }
@@ -117,7 +117,7 @@
         flight.drain();
     }
     if view.doc.row.shed_statuses.contains(&head_status.as_u16()) {
-        flight.end(Work::Nothing);
+        flight.end(RequestOutcome::NoEvidence);
         return Tried { backend: key, result: Err(Kind::Shed) };
     }
     let mut tail = Tail {
@@ -129,7 +129,7 @@
     };
     let is_fault = is_server_fault(head_status);
     if is_fault && let Some((flight, _)) = tail.held.take() {
-        flight.end(Work::Failed);
+        flight.end(RequestOutcome::Failed);
     }
     let span = tracing::trace_span!("last-byte");
     let read = read_body(tail, &headers, reading).instrument(span).await;
@@ -223,13 +223,13 @@
 }
 
 /// What a failure tells of the backend server's health.
-fn work_of(kind: Kind) -> Work {
+fn work_of(kind: Kind) -> RequestOutcome {
     match kind {
-        Kind::ConnectFailed => Work::ConnectFailed,
+        Kind::ConnectFailed => RequestOutcome::ConnectFailed,
         Kind::SendFailed | Kind::AnswerTimeout | Kind::AnswerCut | Kind::AnswerInvalid => {
-            Work::Failed
+            RequestOutcome::Failed
         }
-        _ => Work::Nothing,
+        _ => RequestOutcome::NoEvidence,
     }
 }
 
--- a/crates/leverstream-proxy/src/flight.rs
+++ b/crates/leverstream-proxy/src/flight.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use leverstream_health::{BackendKey, Work};
+use leverstream_health::{BackendKey, RequestOutcome};
 use leverstream_pace::Bucket;
 use leverstream_route::{Place, Queue, RetryBudget};
 use parking_lot::Mutex;
@@ -23,7 +23,7 @@
         /// The backend server.
         backend: BackendKey,
         /// How it ended.
-        work: Work,
+        work: RequestOutcome,
         /// How long it took.
         time_ms: f64,
         /// The units of bad evidence that its age has given already.
@@ -109,7 +109,7 @@
     /// Where the end is told.
     observations: mpsc::Sender<Observation>,
     /// How it ended, unless it was dropped.
-    ended: Option<(Work, f64)>,
+    ended: Option<(RequestOutcome, f64)>,
 }
 
 impl ServiceLive {
@@ -207,7 +207,7 @@
     }
 
     /// Tells how the work ended; the slot is free once this returns.
-    pub fn end(mut self, work: Work) {
+    pub fn end(mut self, work: RequestOutcome) {
         self.ended = Some((work, self.started.elapsed().as_secs_f64() * 1000.0));
     }
 
@@ -221,7 +221,7 @@
 impl Drop for Flight {
     fn drop(&mut self) {
         let mark = self.live.flights.lock().try_remove(self.mark);
-        let (work, time_ms) = self.ended.unwrap_or((Work::Nothing, 0.0));
+        let (work, time_ms) = self.ended.unwrap_or((RequestOutcome::NoEvidence, 0.0));
         let _ = self.observations.try_send(Observation::Finished {
             service: self.service.key,
             backend: self.backend,
--- a/crates/leverstream-suspect/src/lib.rs
+++ b/crates/leverstream-suspect/src/lib.rs
@@ -6,10 +6,10 @@
 //! requests and incarnations are recognized. This crate reads no clock and does no I/O: the present
 //! time is an argument.
 
-mod abandoned;
 mod digest;
+mod runs;
 mod suspects;
 
-pub use abandoned::AbandonedRequests;
 pub use digest::{IncarnationDigest, RequestDigest, RequestHasher, RequestIdentity};
+pub use runs::AbandonedRequests;
 pub use suspects::{ENDS_TO_REFUSE, MAX_SUSPECTS, RETENTION_MS, SuspectReport, Suspects, Verdict};
