--- a/crates/leverstream-health/src/checks.rs
+++ b/crates/leverstream-health/src/checks.rs
@@ -1,3 +1,5 @@
+//! Evidence from health checks, kept apart from that of real requests.
+
 use crate::score::{Baseline, Score};
 
 /// The largest share of the ejection score that health checks alone can reach.
--- a/crates/leverstream-health/src/episodes.rs
+++ b/crates/leverstream-health/src/episodes.rs
@@ -1,3 +1,5 @@
+//! A model of how often and how long the backend servers of a service fail.
+
 use std::sync::LazyLock;
 
 /// The candidate shares of the time that a backend server spends in episodes. A share above two
--- a/crates/leverstream-health/src/health.rs
+++ b/crates/leverstream-health/src/health.rs
@@ -1,3 +1,5 @@
+//! The evidence and the state of all backend servers of one service.
+
 mod eject;
 
 use crate::checks::Checks;
@@ -257,7 +259,7 @@
         self.backend_mut(key).peer_reports.report(reporter, count, in_flight, baseline, now_ms);
     }
 
-    /// Records that another VM is alive, whether or not it had something new to report.
+    /// Records that another VM is alive, whether or not it has something new to report.
     pub fn record_contact(&mut self, reporter: u64, now_ms: u64) {
         for backend in &mut self.backends {
             backend.peer_reports.record_contact(reporter, now_ms);
--- a/crates/leverstream-health/src/observation.rs
+++ b/crates/leverstream-health/src/observation.rs
@@ -1,3 +1,5 @@
+//! The outcomes of requests and health checks.
+
 /// The outcome of a request to a backend server, as evidence of the backend server's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
--- a/crates/leverstream-health/src/peer_reports.rs
+++ b/crates/leverstream-health/src/peer_reports.rs
@@ -1,3 +1,5 @@
+//! Evidence about a backend server that other VMs report.
+
 use std::collections::HashMap;
 
 use crate::score::{Baseline, Score};
@@ -33,8 +35,8 @@
 /// The evidence that other VMs report about one backend server.
 #[derive(Clone, Debug, Default)]
 pub struct PeerReports {
-    /// The state of each reporter. Scores are decay_factor apart so that the broken network path of one VM
-    /// isn't mistaken for a faulty backend server.
+    /// The state of each reporter. Scores are kept separately so that the broken network path of
+    /// one VM isn't mistaken for a faulty backend server.
     reporters: HashMap<u64, Reporter>,
 }
 
@@ -47,7 +49,7 @@
     score: Score,
     /// The number of recent observations, decaying over time.
     recent: f64,
-    /// The time of its last report or sign of life.
+    /// The time of its last report or other message.
     last_heard_ms: u64,
     /// Its requests in flight at the backend server, as last reported.
     in_flight: u32,
--- a/crates/leverstream-health/src/rule.rs
+++ b/crates/leverstream-health/src/rule.rs
@@ -1,3 +1,5 @@
+//! The registry of ejection rules.
+
 use crate::health::{BackendKey, Health};
 use crate::standing::Reason;
 
--- a/crates/leverstream-health/src/score.rs
+++ b/crates/leverstream-health/src/score.rs
@@ -1,3 +1,5 @@
+//! The score that accumulates bad evidence about a backend server.
+
 /// The share of bad evidence that is expected of a faulty backend server.
 const FAULTY_SHARE: f64 = 0.3;
 
--- a/crates/leverstream-health/src/settings.rs
+++ b/crates/leverstream-health/src/settings.rs
@@ -1,3 +1,5 @@
+//! The settings of a service that govern ejection and return.
+
 use leverstream_table::ServiceRow;
 
 /// A service's settings for ejection and return.
--- a/crates/leverstream-health/src/sketch.rs
+++ b/crates/leverstream-health/src/sketch.rs
@@ -1,3 +1,5 @@
+//! Quantiles of request times.
+
 /// The number of buckets in each doubling of the time.
 const BUCKETS_PER_DOUBLING: f64 = 4.0;
 
--- a/crates/leverstream-health/src/standing.rs
+++ b/crates/leverstream-health/src/standing.rs
@@ -1,3 +1,5 @@
+//! The states between service and ejection.
+
 /// The ejection state of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Standing {
--- a/crates/leverstream-health/src/suspicion.rs
+++ b/crates/leverstream-health/src/suspicion.rs
@@ -1,3 +1,5 @@
+//! The chance that the next request to a backend server fails.
+
 use crate::EpisodeModel;
 use crate::episodes::{EPISODE_FAILURE_CHANCE, HYPOTHESES, decay_factors, hypotheses};
 
--- a/crates/leverstream-health/tests/suspicion.rs
+++ b/crates/leverstream-health/tests/suspicion.rs
@@ -55,7 +55,7 @@
         // The same answers of the others in all cases give the same model.
         (0..40).for_each(|_| others_answer(&mut model, 4_000 + failures));
         let end_ms = 4_000 + failures;
-        (0..60_000).find(|ms| !is_avoided(&estimate, &model, end_ms + ms)).expect("it ends")
+        (0..60_000).find(|ms| !is_avoided(&estimate, &model, end_ms + ms)).expect("avoidance ends")
     };
     assert!(avoided_ms(1) < avoided_ms(2));
     assert!(avoided_ms(2) <= avoided_ms(4));
@@ -113,7 +113,7 @@
     let mut model = EpisodeModel::default();
     let mut estimate = FailureEstimate::open(0);
     (0..100).for_each(|at| estimate.bad(1, &mut model, 10_000 + at * 100));
-    assert!(is_avoided(&estimate, &model, 24_000), "an episode of ten seconds may go on");
+    assert!(is_avoided(&estimate, &model, 24_000), "an episode of ten seconds may continue");
     // The others of the service have answered in the meantime.
     others_answer(&mut model, 26_000);
     for now_ms in (26_000..27_000).step_by(250) {
@@ -124,7 +124,7 @@
     assert!(chance <= 0.07, "{chance}");
     estimate.good(20, &mut model, now_ms);
     estimate.bad(1, &mut model, now_ms);
-    assert!(!is_avoided(&estimate, &model, now_ms), "the next failure begins anew");
+    assert!(!is_avoided(&estimate, &model, now_ms), "earlier failures no longer count");
 }
 
 /// The model learned in five minutes from ten backend servers, each failing for `episode_ms` of
--- a/crates/leverstream-suspect/src/digest.rs
+++ b/crates/leverstream-suspect/src/digest.rs
@@ -1,3 +1,5 @@
+//! Keyed digests of requests and of backend server incarnations.
+
 use std::fmt;
 
 /// The key derivation context of request digests, so that no other use of the secret yields the
@@ -11,7 +13,7 @@
 ///
 /// A retried request has another id and remaining time, and may come from another address or
 /// through another VM, so none of these counts. Other header fields don't count either: two
-/// requests that differ only in these share their recorded incarnations. Requests of different workspaces
+/// requests that differ only in these share their recorded ends. Requests of different workspaces
 /// never do.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestIdentity<'a> {
--- a/crates/leverstream-suspect/src/lib.rs
+++ b/crates/leverstream-suspect/src/lib.rs
@@ -1,10 +1,10 @@
-//! Detects requests that crash backend servers and refuses them, on whichever VM they arrive.
+//! Detects requests under which backend servers end and refuses them, on whichever VM they arrive.
 //!
-//! An end is the end of one incarnation of a backend server while it runs a request. [`Suspects`]
-//! counts the ends of each request and merges what other VMs report. [`AbandonedRequests`] attributes ends
-//! to requests whose answers are no longer awaited. [`RequestHasher`] makes the digests by which
-//! requests and incarnations are recognized. This crate reads no clock and does no I/O: the present
-//! time is an argument.
+//! An end is recorded when an incarnation of a backend server ends while it runs a request,
+//! whatever the cause. [`Suspects`] counts the ends of each request and merges what other VMs
+//! report. [`AbandonedRequests`] attributes ends to requests whose answers are no longer awaited.
+//! [`RequestHasher`] computes the digests that identify requests and incarnations. This crate reads
+//! no clock and does no I/O: the present time is an argument.
 
 mod digest;
 mod runs;
--- a/crates/leverstream-suspect/src/runs.rs
+++ b/crates/leverstream-suspect/src/runs.rs
@@ -1,3 +1,5 @@
+//! Requests that are abandoned before their backend server is seen to end.
+
 use std::collections::VecDeque;
 
 use crate::{IncarnationDigest, RequestDigest};
--- a/crates/leverstream-suspect/src/suspects.rs
+++ b/crates/leverstream-suspect/src/suspects.rs
@@ -1,3 +1,5 @@
+//! The recorded ends of each request, merged over all VMs.
+
 use std::collections::BTreeMap;
 
 use xxhash_rust::xxh3::xxh3_64;
@@ -196,8 +198,8 @@
         self.fingerprint
     }
 
-    /// Forgets the requests that have not arrived for long; returns those of them that were
-    /// refused.
+    /// Removes the requests that have neither arrived nor ended a backend server for
+    /// [`RETENTION_MS`]; returns those of them that were refused.
     pub fn expire(&mut self, now_ms: u64) -> Vec<RequestDigest> {
         let is_old = |entry: &Entry| now_ms.saturating_sub(entry.seen_ms) >= RETENTION_MS;
         let old = self.entries.iter().filter(|(_, entry)| is_old(entry));
@@ -218,8 +220,9 @@
     /// with the smallest digests, so that VMs that exchange reports drop the same ones.
     ///
     /// A flood of requests with one end each therefore never displaces a request with two ends. A
-    /// flood of [`MAX_SUSPECTS`] requests with two ends each leaves no room for others; with backend
-    /// servers of three slots and a queue of seven, it takes 800 ends within [`RETENTION_MS`].
+    /// flood of [`MAX_SUSPECTS`] requests with two ends each leaves no room for others; with
+    /// backend servers of three slots and a queue of seven, it takes 800 ends within
+    /// [`RETENTION_MS`].
     fn enforce_limit(&mut self) {
         while self.entries.len() > MAX_SUSPECTS {
             let smallest =
--- a/crates/leverstream-suspect/tests/ends_fleet.rs
+++ b/crates/leverstream-suspect/tests/ends_fleet.rs
@@ -48,7 +48,7 @@
     for vms in [3, 36, 44] {
         for seed in 0..40 {
             let seen = simulate(scenario(vms, seed));
-            assert_few_late_sends("calm", seed, &seen);
+            assert_few_late_sends("no faults", seed, &seen);
             assert_eq!(seen.late(), 0, "{vms} VMs, seed {seed}");
             assert!(seen.ends.len() <= 6, "{vms} VMs, seed {seed}: {:?}", seen.ends);
         }
@@ -75,7 +75,7 @@
         let kill = |vms, at_ms| (0..vms).map(move |vm| (at_ms, vm, Fault::Kill(500)));
         scenario.faults = kill(36, 9_000).chain(kill(3, 20_000)).collect();
         let seen = simulate(scenario);
-        assert_few_late_sends("store away", seed, &seen);
+        assert_few_late_sends("store outage", seed, &seen);
     }
 }
 
@@ -84,7 +84,7 @@
     for seed in 0..300 {
         let scenario = random_scenario(seed);
         let vms = scenario.vms;
-        assert_few_late_sends(&format!("anything, {vms} VMs"), seed, &simulate(scenario));
+        assert_few_late_sends(&format!("random faults, {vms} VMs"), seed, &simulate(scenario));
     }
 }
 
@@ -111,7 +111,7 @@
 
 /// Prints the results with two and with three ends to refuse; run with `--ignored --nocapture`.
 #[test]
-#[ignore = "a comparison of two ways, not a check"]
+#[ignore = "prints a comparison and asserts nothing"]
 fn compare_two_and_three_ends() {
     for ends_to_refuse in [2, 3] {
         for (name, with_ending) in [("with the request", true), ("ends by themselves", false)] {
--- a/crates/leverstream-suspect/tests/fleet/mod.rs
+++ b/crates/leverstream-suspect/tests/fleet/mod.rs
@@ -448,11 +448,11 @@
         let (others, now_ms) = (self.scenario.vms, self.now_ms);
         let Some(process) = &mut self.vms[vm] else { return };
         let out = process.tick(vm, others, &mut self.rng, now_ms);
-        out.into_iter().for_each(|(to, message)| self.tell(vm, to, &message));
+        out.into_iter().for_each(|(to, message)| self.send_datagram(vm, to, &message));
     }
 
     /// Sends a datagram.
-    fn tell(&mut self, from: usize, to: usize, message: &Message) {
+    fn send_datagram(&mut self, from: usize, to: usize, message: &Message) {
         self.seen.datagrams += 1;
         if self.cut_until_ms[from] > self.now_ms || self.rng.random_bool(self.scenario.lost) {
             return;
@@ -475,7 +475,7 @@
         }
         let Some(process) = &mut self.vms[to] else { return };
         let out = process.receive(message, now_ms);
-        out.into_iter().for_each(|message| self.tell(to, from, &message));
+        out.into_iter().for_each(|message| self.send_datagram(to, from, &message));
     }
 
     /// A fault hits a VM.
--- a/crates/leverstream-suspect/tests/suspects.rs
+++ b/crates/leverstream-suspect/tests/suspects.rs
@@ -51,13 +51,13 @@
     });
     let report = suspects.report(ONE, 0).expect("it is known");
     assert!(suspects.record_healthy_answer(ONE, 10));
-    assert!(!suspects.record_healthy_answer(ONE, 10), "nothing is left to take back");
+    assert!(!suspects.record_healthy_answer(ONE, 10), "no ends are left to clear");
     suspects.merge(&report, 20);
     assert_eq!(suspects.verdict(ONE), Verdict::Free);
     (3..6).for_each(|end| {
         suspects.record_end(ONE, IncarnationDigest(end), 30);
     });
-    assert_eq!(suspects.verdict(ONE), Verdict::Refused, "ends after it count");
+    assert_eq!(suspects.verdict(ONE), Verdict::Refused, "later ends count");
 }
 
 #[test]
@@ -139,11 +139,11 @@
     abandoned.record_end(IncarnationDigest(1), 1_000);
     assert!(
         abandoned.record_abandoned(ONE, IncarnationDigest(1), 900, 3_900),
-        "the word of its end was lost"
+        "the notice of its end was lost"
     );
     assert!(
         !abandoned.record_abandoned(ONE, IncarnationDigest(1), 1_100, 3_900),
-        "it was sent to another at that place"
+        "it was sent to the next incarnation there"
     );
     assert!(!abandoned.record_abandoned(ONE, IncarnationDigest(2), 900, 3_900));
 }
