--- a/crates/leverstream-limit/src/arbiter.rs
+++ b/crates/leverstream-limit/src/arbiter.rs
@@ -1,77 +1,84 @@
+//! Arbiters: a token bucket of consents per incarnation of a limited backend server.
+
 use std::collections::HashMap;
 
 use leverstream_catalog::Incarnation;
 
-use crate::round::PERMIT_HOLDS_MS;
+use crate::round::PERMIT_TTL_MS;
 
-/// How many consents an arbiter saves up: with one, a token that came between two questions would be lost.
-pub const DEPTH: f64 = 2.0;
+/// The number of consents that an arbiter accumulates. With one, a token gained between two
+/// questions would be lost.
+pub const ARBITER_BURST: f64 = 2.0;
 
-/// How many a stand-in saves up.
-pub const STAND_IN_DEPTH: f64 = 1.0;
+/// The number of consents that a stand-in accumulates.
+pub const STAND_IN_BURST: f64 = 1.0;
 
-/// What a stand-in consents to at the most, in requests a second: with what three arbiters consent to, that is just what the
-/// users allow in four seconds. Small limits are partly used by it while members are looked for.
+/// The largest rate of consents of a stand-in, per second. Together with the consents of three
+/// arbiters this is exactly the tolerance in four seconds. A small limit is only partly used
+/// through a stand-in while membership is unsettled.
 pub const STAND_IN_PER_S: f64 = 0.5;
 
-/// Over how long the users count requests to a backend server that names a limit, in milliseconds.
+/// The window in which requests to a limited backend server are counted, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
 
-/// The least that is sent to one that takes less, in requests a second: its answers tell when it takes more again. Four seconds
-/// of it with what is saved up are three requests, and five are allowed.
-const LEAST_PER_S: f64 = 0.25;
+/// The lowest rate for a backend server that announces a smaller limit, in requests per second,
+/// because its responses tell when the limit rises again. In four seconds this rate and the burst
+/// are three requests, and five are acceptable.
+const MIN_RATE_PER_S: f64 = 0.25;
 
-/// For how long whoever has asked counts among those that share a limit, in milliseconds.
-const ASKER_COUNTS_MS: u64 = 1_000;
+/// How long a VM counts as sharing a limit after its last question, in milliseconds.
+const ASKER_ACTIVE_MS: u64 = 1_000;
 
-/// After how long without a question what is held for a start is dropped, in milliseconds.
-const FORGET_MS: u64 = 60_000;
+/// How long an incarnation's bucket is kept without questions, in milliseconds.
+const IDLE_BUCKET_TTL_MS: u64 = 60_000;
 
-/// What one VM has consented to, as an arbiter of some limited backend servers.
+/// The consents that one VM has granted as an arbiter of limited backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct Arbiter {
-    /// What is left, by start.
-    consents: HashMap<Incarnation, Consents>,
+    /// The bucket of each incarnation.
+    buckets: HashMap<Incarnation, ConsentBucket>,
 }
 
-/// What a VM is for a limited backend server.
+/// The role of a VM for a limited backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It is one of those that are asked first.
+    /// One of the VMs that are asked first.
     Arbiter,
-    /// It is asked while two of those are silent and still count as there.
+    /// Asked while two arbiters don't respond but still count as members.
     StandIn,
 }
 
-/// What an arbiter says to a question for a permit.
+/// An arbiter's answer to a request for a permit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It consents.
+    /// The arbiter buckets.
     Granted,
-    /// There is no consent left.
+    /// No consent is left.
     Denied {
-        /// When there is one again, in milliseconds.
+        /// The time until the next consent, in milliseconds.
         wait_ms: u64,
-        /// How many requests a second the asker can count on, shared by all that ask.
+        /// The rate that the asking VM can expect, in requests per second: an equal share among all
+        /// VMs that ask.
         share_per_s: f64,
     },
-    /// It sees too few of the VMs to say.
+    /// The arbiter sees too few VMs to decide.
     Unable,
 }
 
-/// The consents of one arbiter for one start.
+/// The token bucket of one arbiter for one incarnation.
 #[derive(Clone, Debug)]
-struct Consents {
-    /// How many are left.
+struct ConsentBucket {
+    /// The consents left.
     left: f64,
-    /// When that was last brought up to date.
-    at_ms: u64,
-    /// Who asked of late, and when.
+    /// When `left` was last updated.
+    updated_ms: u64,
+    /// The VMs that asked recently, and when.
     askers: HashMap<u64, u64>,
 }
 
 impl Arbiter {
-    /// Answers the question of a VM that wants to send a request to a start that takes `per_s` requests a second.
+    /// Answers a VM that wants to send a request to an incarnation whose limit is `per_s` requests
+    /// per second.
     pub fn ask(
         &mut self,
         of: &Incarnation,
@@ -80,27 +87,29 @@
         asker: u64,
         now_ms: u64,
     ) -> Verdict {
-        if !self.consents.contains_key(of) {
-            self.consents.retain(|_, consents| now_ms.saturating_sub(consents.at_ms) < FORGET_MS);
+        if !self.buckets.contains_key(of) {
+            self.buckets
+                .retain(|_, bucket| now_ms.saturating_sub(bucket.updated_ms) < IDLE_BUCKET_TTL_MS);
         }
-        // Nothing is saved up at first: the process before this one, or another arbiter, may have consented just now.
-        let consents = self.consents.entry(of.clone()).or_insert_with(|| Consents {
+        // A new bucket is empty, because the previous process or another arbiter may just have
+        // granted consents.
+        let bucket = self.buckets.entry(of.clone()).or_insert_with(|| ConsentBucket {
             left: 0.0,
-            at_ms: now_ms,
+            updated_ms: now_ms,
             askers: HashMap::new(),
         });
-        consents.ask(Allowance::of(role, per_s), asker, now_ms)
+        bucket.ask(Allowance::of(role, per_s), asker, now_ms)
     }
 }
 
-impl Consents {
-    /// Consents, if one is left.
+impl ConsentBucket {
+    /// Grants a consent if one is left.
     fn ask(&mut self, allowance: Allowance, asker: u64, now_ms: u64) -> Verdict {
-        let Allowance { rate_per_s, depth } = allowance;
-        let gained = now_ms.saturating_sub(self.at_ms) as f64 / 1_000.0 * rate_per_s;
-        self.left = (self.left + gained).min(depth);
-        self.at_ms = self.at_ms.max(now_ms);
-        self.askers.retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < ASKER_COUNTS_MS);
+        let Allowance { rate_per_s, burst } = allowance;
+        let gained = now_ms.saturating_sub(self.updated_ms) as f64 / 1_000.0 * rate_per_s;
+        self.left = (self.left + gained).min(burst);
+        self.updated_ms = self.updated_ms.max(now_ms);
+        self.askers.retain(|_, asked_ms| now_ms.saturating_sub(*asked_ms) < ASKER_ACTIVE_MS);
         self.askers.insert(asker, now_ms);
         if self.left >= 1.0 {
             self.left -= 1.0;
@@ -111,26 +120,27 @@
     }
 }
 
-/// What a VM may consent to.
+/// The rate and the burst of a bucket.
 #[derive(Clone, Copy, Debug)]
 struct Allowance {
-    /// How often a second.
+    /// ConsentBucket gained per second.
     rate_per_s: f64,
-    /// How often at once.
-    depth: f64,
+    /// The largest number of consents that accumulate.
+    burst: f64,
 }
 
 impl Allowance {
-    /// What a limit allows a VM.
+    /// Returns the allowance of a VM in a role under a limit.
     ///
-    /// A permit may be used for a while: sends of a window may rest on consents of as much before it.
+    /// The rate is below the limit because a permit stays valid for [`PERMIT_TTL_MS`], so the
+    /// requests of a window may depend on consents from up to that long before it.
     fn of(role: Role, limit_per_s: f64) -> Allowance {
-        let window = WINDOW_MS as f64 / (WINDOW_MS + PERMIT_HOLDS_MS) as f64;
-        let limit_per_s = limit_per_s.max(LEAST_PER_S);
-        let (per_s, depth) = match role {
-            Role::Arbiter => (limit_per_s, DEPTH),
-            Role::StandIn => (limit_per_s.min(STAND_IN_PER_S), STAND_IN_DEPTH),
+        let window = WINDOW_MS as f64 / (WINDOW_MS + PERMIT_TTL_MS) as f64;
+        let limit_per_s = limit_per_s.max(MIN_RATE_PER_S);
+        let (per_s, burst) = match role {
+            Role::Arbiter => (limit_per_s, ARBITER_BURST),
+            Role::StandIn => (limit_per_s.min(STAND_IN_PER_S), STAND_IN_BURST),
         };
-        Allowance { rate_per_s: per_s * window, depth }
+        Allowance { rate_per_s: per_s * window, burst }
     }
 }
--- a/crates/leverstream-limit/src/lib.rs
+++ b/crates/leverstream-limit/src/lib.rs
@@ -1,24 +1,32 @@
-//! Keeps all VMs together to the limit that a backend server names, without I/O.
+//! Enforces the request limit that a backend server announces across all VMs. The crate does no
+//! I/O.
 //!
-//! A VM sends a limited backend server nothing without a permit for that one send, which takes the consent of two of its three
-//! arbiters, the same VMs in the eyes of all that know the same members, or of a stand-in while two of them are silent. What holds
-//! whoever starts, ends, stands still, is cut off, or hears late, twice or in another order:
+//! A VM needs a permit for each request to a limited backend server. A permit takes the consent of
+//! two of the server's three arbiters, or of one arbiter and a stand-in while two arbiters don't
+//! respond. All VMs that know the same members choose the same arbiters. The limit holds while VMs
+//! start, stop, freeze or are partitioned, and while messages are late, duplicated or reordered,
+//! for these reasons:
 //!
-//! * A VM sends nothing on its own: what it may send without a word from others is zero.
-//! * An arbiter consents at most [`DEPTH`] times at once and then at the limit, a little reduced, so that no window rests on more
-//!   than `limit * window + DEPTH` consents of it; a stand-in at [`STAND_IN_PER_S`] at the most. A process that starts has saved
-//!   up nothing, and so adds nothing to what the one before it gave.
-//! * Each send uses up two consents. However they are asked, all four let through at most half the sum of what they consent to: in
-//!   four seconds one and a half times the limit and four and a half requests. The users allow five. In the usual order the first
-//!   arbiter is asked for every send, which makes it the limit and two requests.
-//! * Who does not see most of the VMs that there are consents to nothing, so of two parts of a fleet that are cut off from each
-//!   other only one goes on. VMs that are gone count as long as members are remembered.
+//! * A VM sends nothing without consent, so its limit without messages from other VMs is zero.
+//! * An arbiter is a token bucket: it grants at most [`ARBITER_BURST`] consents at once and then
+//!   slightly fewer than the limit, so no window depends on more than `limit * window +
+//!   ARBITER_BURST` of its buckets. A stand-in grants at most [`STAND_IN_PER_S`] consents per
+//!   second. A process starts with an empty bucket, so it adds nothing to what the previous process
+//!   granted.
+//! * Each request uses two buckets. In whatever order they are asked, the three arbiters and the
+//!   stand-in permit at most half the sum of their buckets: in four seconds, one and a half times
+//!   the limit and four and a half requests. Five are acceptable. In the usual order every request
+//!   needs the first arbiter, which bounds this to the limit and two requests.
+//! * A VM that doesn't see a majority of the VMs grants nothing, so of two partitions of a fleet at
+//!   most one continues. VMs that have gone count as long as they are remembered as members.
 //!
-//! What was under way when the word came has arrived by the time that the limit counts. While members come and go some VMs may go
-//! by other arbiters than the rest: two pairs that have nobody in common take two changes at once, and last until members are known.
+//! Requests that are in flight when a limit is announced have arrived by the time that it counts.
+//! While members join and leave, some VMs may use other arbiters than the rest. Two disjoint pairs
+//! of arbiters require two membership changes at once, and last only until all VMs know the
+//! members.
 
 mod arbiter;
 mod round;
 
-pub use arbiter::{Arbiter, DEPTH, Role, STAND_IN_DEPTH, STAND_IN_PER_S, Verdict};
+pub use arbiter::{ARBITER_BURST, Arbiter, Role, STAND_IN_BURST, STAND_IN_PER_S, Verdict};
 pub use round::{ARBITERS, Round, STAND_INS, Silences, Step, consents_needed};
--- a/crates/leverstream-limit/src/round.rs
+++ b/crates/leverstream-limit/src/round.rs
@@ -1,121 +1,135 @@
+//! Requests for permits: a VM asks one arbiter after another until enough have consented.
+
 use std::collections::HashMap;
 use std::hash::Hash;
 
 use crate::Verdict;
 
-/// How many VMs are arbiters of one limited backend server.
+/// The number of arbiters of a limited backend server.
 pub const ARBITERS: usize = 3;
 
-/// How many more are asked while some of those are silent.
+/// The number of further VMs that are asked while arbiters don't respond.
 pub const STAND_INS: usize = 1;
 
-/// For how long a permit may be used, from when it was first asked for, in milliseconds: two questions, one of them in vain,
-/// and a new connection.
-pub const PERMIT_HOLDS_MS: u64 = 250;
+/// How long a permit is valid, in milliseconds, counted from the start of the request for it:
+/// enough for two questions, one of them unanswered, and a new connection.
+pub const PERMIT_TTL_MS: u64 = 250;
 
-/// How long an answer is waited for, in milliseconds: some times what it takes between data halls. A VM that has used up its
-/// part of a core answers later, and another is asked.
-const ANSWER_MS: u64 = 60;
+/// How long to wait for an answer, in milliseconds: a multiple of the round-trip time between data
+/// halls. A VM that has used up its CPU quota answers later, and the next one is asked.
+const ANSWER_TIMEOUT_MS: u64 = 60;
 
-/// For how long an arbiter that did not answer is asked last, in milliseconds.
-const SILENT_MS: u64 = 1_000;
+/// How long an arbiter that didn't answer in time is asked after all others, in milliseconds.
+const UNRESPONSIVE_MS: u64 = 1_000;
 
-/// After how long those are asked again that could say nothing or were not reached, in milliseconds.
-const UNABLE_PAUSE_MS: u64 = 200;
+/// The time until the next request for a permit when too few arbiters could decide or were reached,
+/// in milliseconds.
+const RETRY_DELAY_MS: u64 = 200;
 
-/// How many must consent, given how many VMs there are: two, which share one with any two others of three.
+/// Returns how many arbiters must consent in a fleet of `vms` VMs.
 ///
-/// Where there is one VM only it decides alone. Whoever has yet to hear of the others that there must be decides nothing.
+/// Two of three arbiters are a quorum: any two quorums have a member in common. The only VM of a fleet
+/// decides alone. A VM that has not yet heard from the other VMs of its fleet decides nothing.
 pub fn consents_needed(vms: usize) -> usize {
     vms.clamp(1, 2)
 }
 
-/// The questions of one VM for one permit, to one arbiter after the other.
+/// A VM's request for one permit, which asks one arbiter after another.
 #[derive(Clone, Debug)]
 pub struct Round<A> {
-    /// Those that are to be asked yet, the next one last.
-    left: Vec<A>,
-    /// How many must consent yet.
+    /// The VMs still to be asked, the next one last.
+    remaining: Vec<A>,
+    /// The number of consents still needed.
     needed: usize,
-    /// Whether anybody has consented.
+    /// Whether any arbiter has consented.
     has_consent: bool,
-    /// When it began.
+    /// When the request began.
     began_ms: u64,
-    /// Who was asked last, and when.
-    asked: Option<(A, u64)>,
-    /// Why there is no permit.
+    /// The VM whose answer is awaited, and when it was asked.
+    awaited: Option<(A, u64)>,
+    /// When and at what rate to ask again, if the permit was denied.
     denied: Option<(u64, Option<f64>)>,
 }
 
-/// What is to be done next.
+/// The next step of a request for a permit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step<A> {
     /// Ask this VM.
     Ask(A),
-    /// Wait for an answer until then.
+    /// Wait for an answer until this time.
     Listen(u64),
-    /// Send, until then.
+    /// Send the request before this time.
     Granted(u64),
-    /// Send nothing there until then.
+    /// Send nothing before `until_ms`.
     Denied {
-        /// Until when.
+        /// When to ask again.
         until_ms: u64,
-        /// How many requests a second can be counted on, if that was told.
+        /// The rate that the VM can expect, in requests per second, if an arbiter told it.
         share_per_s: Option<f64>,
     },
 }
 
 impl<A: Copy + Eq + Hash> Round<A> {
-    /// Begins to ask for a permit; the first of the arbiters and stand-ins is asked first.
+    /// Begins a request for a permit. The VMs are asked in the order of `arbiters`, unresponsive
+    /// ones last.
     pub fn open(arbiters: &[A], needed: usize, silences: &Silences<A>, now_ms: u64) -> Round<A> {
-        let (silent, heard): (Vec<A>, Vec<A>) =
-            arbiters.iter().partition(|arbiter| silences.is_silent(**arbiter, now_ms));
-        let left = silent.into_iter().rev().chain(heard.into_iter().rev()).collect();
-        Round { left, needed, has_consent: false, began_ms: now_ms, asked: None, denied: None }
+        let (unresponsive, responsive): (Vec<A>, Vec<A>) =
+            arbiters.iter().partition(|arbiter| silences.is_unresponsive(**arbiter, now_ms));
+        let remaining =
+            unresponsive.into_iter().rev().chain(responsive.into_iter().rev()).collect();
+        Round {
+            remaining,
+            needed,
+            has_consent: false,
+            began_ms: now_ms,
+            awaited: None,
+            denied: None,
+        }
     }
 
-    /// Tells what is to be done next; notes who did not answer in time.
+    /// Returns the next step; records an arbiter that didn't answer in time.
     pub fn step(&mut self, silences: &mut Silences<A>, now_ms: u64) -> Step<A> {
-        let ends_ms = self.began_ms + PERMIT_HOLDS_MS;
+        let ends_ms = self.began_ms + PERMIT_TTL_MS;
         if self.needed == 0 && now_ms < ends_ms {
             return Step::Granted(ends_ms);
         }
         if let Some((until_ms, share_per_s)) = self.denied {
             return Step::Denied { until_ms, share_per_s };
         }
-        if let Some((arbiter, asked_ms)) = self.asked {
-            let until_ms = asked_ms + ANSWER_MS;
+        if let Some((arbiter, asked_ms)) = self.awaited {
+            let until_ms = asked_ms + ANSWER_TIMEOUT_MS;
             if now_ms < until_ms {
                 return Step::Listen(until_ms);
             }
-            silences.note(arbiter, now_ms);
-            self.asked = None;
+            silences.record(arbiter, now_ms);
+            self.awaited = None;
         }
-        if self.left.len() < self.needed || now_ms >= ends_ms {
-            return Step::Denied { until_ms: now_ms + UNABLE_PAUSE_MS, share_per_s: None };
+        if self.remaining.len() < self.needed || now_ms >= ends_ms {
+            return Step::Denied { until_ms: now_ms + RETRY_DELAY_MS, share_per_s: None };
         }
-        let Some(arbiter) = self.left.pop() else {
-            return Step::Denied { until_ms: now_ms + UNABLE_PAUSE_MS, share_per_s: None };
+        let Some(arbiter) = self.remaining.pop() else {
+            return Step::Denied { until_ms: now_ms + RETRY_DELAY_MS, share_per_s: None };
         };
-        self.asked = Some((arbiter, now_ms));
+        self.awaited = Some((arbiter, now_ms));
         Step::Ask(arbiter)
     }
 
-    /// Takes in what an arbiter says; what one says that is no longer waited for counts for nothing.
+    /// Records an arbiter's answer; an answer that is no longer awaited is ignored.
     ///
-    /// The first one's denial ends it: whoever then went on to the others would let more through than the limit.
+    /// A denial by the first arbiter ends the request. If VMs then asked the others, the permits
+    /// would exceed the limit.
     pub fn hear(&mut self, from: A, verdict: Verdict, now_ms: u64) {
-        if self.asked.is_none_or(|(asked, _)| asked != from) {
+        if self.awaited.is_none_or(|(asked, _)| asked != from) {
             return;
         }
-        self.asked = None;
+        self.awaited = None;
         match verdict {
             Verdict::Granted => {
                 self.needed = self.needed.saturating_sub(1);
                 self.has_consent = true;
             }
             Verdict::Denied { wait_ms, share_per_s }
-                if !self.has_consent || self.left.len() < self.needed =>
+                if !self.has_consent || self.remaining.len() < self.needed =>
             {
                 self.denied = Some((now_ms + wait_ms, Some(share_per_s)));
             }
@@ -124,10 +138,10 @@
     }
 }
 
-/// Which arbiters have not answered of late.
+/// The arbiters that recently didn't answer in time.
 #[derive(Clone, Debug)]
 pub struct Silences<A> {
-    /// Until when they are asked last.
+    /// When each arbiter is asked in the usual order again.
     until_ms: HashMap<A, u64>,
 }
 
@@ -138,14 +152,14 @@
 }
 
 impl<A: Copy + Eq + Hash> Silences<A> {
-    /// Notes that one did not answer.
-    fn note(&mut self, arbiter: A, now_ms: u64) {
+    /// Records that an arbiter didn't answer in time.
+    fn record(&mut self, arbiter: A, now_ms: u64) {
         self.until_ms.retain(|_, until_ms| now_ms < *until_ms);
-        self.until_ms.insert(arbiter, now_ms + SILENT_MS);
+        self.until_ms.insert(arbiter, now_ms + UNRESPONSIVE_MS);
     }
 
-    /// Tells whether one is asked last.
-    fn is_silent(&self, arbiter: A, now_ms: u64) -> bool {
+    /// Returns whether an arbiter is asked after all others.
+    fn is_unresponsive(&self, arbiter: A, now_ms: u64) -> bool {
         self.until_ms.get(&arbiter).is_some_and(|until_ms| now_ms < *until_ms)
     }
 }
--- a/crates/leverstream-route/src/asking.rs
+++ b/crates/leverstream-route/src/asking.rs
@@ -1,73 +1,78 @@
+//! Decides when to request loans of repeats from other VMs and which answers to accept.
+
 use std::collections::HashMap;
 
-use crate::{LOAN_HOLDS_MS, Room};
+use crate::{LOAN_TTL_MS, Room};
 
-/// The least time between two questions, in milliseconds: some ten times the way there and back.
-const LEAST_MS: u64 = 50;
+/// The shortest interval between two rounds of loan requests, in milliseconds: some ten round-trip
+/// times.
+const MIN_INTERVAL_MS: u64 = 50;
 
-/// The longest, after questions that brought nothing.
-const MOST_MS: u64 = 800;
+/// The longest interval between two rounds, after rounds without a loan, in milliseconds.
+const MAX_INTERVAL_MS: u64 = 800;
 
-/// For how long an answer to a question may be waited for, in milliseconds: some ways there and back in a data hall.
-const ANSWER_MS: u64 = 20;
+/// How long an answer is expected after a loan request, in milliseconds: a few round-trip times
+/// within a data hall.
+const ANSWER_WAIT_MS: u64 = 20;
 
-/// When other VMs are asked for repeats, and which answers count.
+/// The loan requests of a VM to other VMs, with exponential backoff.
 ///
-/// Each question goes to one VM and counts one answer of that VM, in time: a loan that comes twice, late or from a
-/// process that was never asked is left aside.
+/// Each request goes to one VM and accepts one answer from that VM, within [`LOAN_TTL_MS`]. A loan
+/// that is duplicated, late or from a VM that was not asked is ignored.
 #[derive(Clone, Debug)]
 pub struct Asking<V> {
-    /// When others may be asked again.
-    next_ms: u64,
-    /// How long to wait after the next question.
-    pause_ms: u64,
-    /// Whom each question went to and when, by its number.
-    questions: HashMap<u64, (V, u64)>,
+    /// The earliest time of the next round.
+    next_round_ms: u64,
+    /// The interval after the next round.
+    interval_ms: u64,
+    /// The VM that each pending request went to and when, by request number.
+    pending: HashMap<u64, (V, u64)>,
 }
 
 impl<V> Default for Asking<V> {
-    /// Nobody was asked yet.
     fn default() -> Asking<V> {
-        Asking { next_ms: 0, pause_ms: LEAST_MS, questions: HashMap::new() }
+        Asking { next_round_ms: 0, interval_ms: MIN_INTERVAL_MS, pending: HashMap::new() }
     }
 }
 
 impl<V: Copy + Eq> Asking<V> {
-    /// Tells whether others should be asked now; if so, not again for a while.
+    /// Returns whether to send loan requests now. If so, starts the interval until the next round
+    /// and doubles the one after it.
     pub fn is_due(&mut self, room: Room, now_ms: u64) -> bool {
-        let is_due = room.is_low() && now_ms >= self.next_ms;
+        let is_due = room.is_low() && now_ms >= self.next_round_ms;
         if is_due {
-            self.next_ms = now_ms + self.pause_ms;
-            self.pause_ms = (2 * self.pause_ms).min(MOST_MS);
+            self.next_round_ms = now_ms + self.interval_ms;
+            self.interval_ms = (2 * self.interval_ms).min(MAX_INTERVAL_MS);
         }
         is_due
     }
 
-    /// Notes a question to a VM, with a number that no process used before.
+    /// Records a request to a VM; no process may have used its number before.
     pub fn ask(&mut self, number: u64, to: V, now_ms: u64) {
-        self.questions.retain(|_, (_, asked_ms)| now_ms < *asked_ms + LOAN_HOLDS_MS);
-        self.questions.insert(number, (to, now_ms));
+        self.pending.retain(|_, (_, asked_ms)| now_ms < *asked_ms + LOAN_TTL_MS);
+        self.pending.insert(number, (to, now_ms));
     }
 
-    /// Takes an answer in; returns when it was asked for, if it counts.
+    /// Accepts an answer and resets the backoff; returns when the loan was requested, or `None` if
+    /// the answer doesn't count.
     pub fn answer(&mut self, number: u64, from: V, now_ms: u64) -> Option<u64> {
-        let (to, asked_ms) = *self.questions.get(&number)?;
-        if to != from || now_ms >= asked_ms + LOAN_HOLDS_MS {
+        let (to, asked_ms) = *self.pending.get(&number)?;
+        if to != from || now_ms >= asked_ms + LOAN_TTL_MS {
             return None;
         }
-        self.questions.remove(&number);
-        self.pause_ms = LEAST_MS;
-        self.next_ms = self.next_ms.min(now_ms + LEAST_MS);
+        self.pending.remove(&number);
+        self.interval_ms = MIN_INTERVAL_MS;
+        self.next_round_ms = self.next_round_ms.min(now_ms + MIN_INTERVAL_MS);
         Some(asked_ms)
     }
 
-    /// Tells whether the answer to a question may come any moment.
+    /// Returns whether an answer to a recent request is still expected.
     pub fn is_awaited(&self, now_ms: u64) -> bool {
-        self.questions.values().any(|(_, asked_ms)| now_ms < asked_ms + ANSWER_MS)
+        self.pending.values().any(|(_, asked_ms)| now_ms < asked_ms + ANSWER_WAIT_MS)
     }
 
-    /// Tells whether the last questions brought something, if any were asked.
+    /// Returns whether the last rounds brought a loan, or none were needed yet.
     pub fn is_lent(&self) -> bool {
-        self.pause_ms <= 2 * LEAST_MS
+        self.interval_ms <= 2 * MIN_INTERVAL_MS
     }
 }
--- a/crates/leverstream-route/src/budget.rs
+++ b/crates/leverstream-route/src/budget.rs
@@ -1,30 +1,33 @@
+//! The retry budget of a single VM.
+
 use leverstream_pace::Bucket;
 
-/// The retries that can be saved up.
-const BURST: f64 = 20.0;
+/// The largest number of retries that can accumulate.
+const BURST_RETRIES: f64 = 20.0;
 
-/// The retries gained a second without any request, so that a quiet service can still retry.
+/// The retries gained per second without any request, so that a service with few requests can still
+/// retry.
 const IDLE_RATE_PER_S: f64 = 0.5;
 
-/// Bounds retries and hedges to a share of a service's requests.
+/// Limits retries and hedges to a percentage of a service's requests, with a token bucket.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    /// The retries left.
+    /// The bucket of retries left.
     bucket: Bucket,
 }
 
 impl RetryBudget {
-    /// Opens a full budget.
+    /// Creates a full budget.
     pub fn open(now_ms: u64) -> RetryBudget {
-        RetryBudget { bucket: Bucket::open(IDLE_RATE_PER_S, BURST, now_ms) }
+        RetryBudget { bucket: Bucket::open(IDLE_RATE_PER_S, BURST_RETRIES, now_ms) }
     }
 
-    /// Notes a first attempt, which earns a share of a retry.
+    /// Records a first attempt, which earns `percent` hundredths of a retry.
     pub fn earn(&mut self, percent: u8) {
         self.bucket.give(f64::from(percent) / 100.0);
     }
 
-    /// Takes one retry or hedge if there is one left.
+    /// Spends one retry or hedge if one is left.
     pub fn take(&mut self, percent: u8, now_ms: u64) -> bool {
         percent > 0 && self.bucket.take(now_ms)
     }
--- a/crates/leverstream-route/src/fleet_budget.rs
+++ b/crates/leverstream-route/src/fleet_budget.rs
@@ -1,143 +1,166 @@
+//! Bounds the repeats (retries and hedges) that all VMs together make for a service in any window
+//! of time.
+//!
+//! Each VM enforces a bound that depends only on its own requests and on its share of a fixed
+//! slack. These bounds add up to the bound of the fleet, so no VM has to consult another before it
+//! repeats. VMs that need more borrow unused slack from others.
+
 use std::collections::VecDeque;
 
-/// The longest window, in milliseconds.
+/// The longest window that can be configured, in milliseconds.
 pub const LONGEST_WINDOW_MS: u64 = 600_000;
 
-/// For how long after the question what another VM lends may be spent, in milliseconds: at a service with 11
-/// requests a second a shorter time lets loans lapse before the next request wants them (0.80, 0.75 and 0.78 of what is
-/// allowed were spent in three windows with 1 s, 0.87, 0.84 and 0.76 with 1.5 s, in simulated time), and a longer one
-/// keeps them from the lender's next window.
-pub const LOAN_HOLDS_MS: u64 = 1_500;
+/// How long a loan can be spent, in milliseconds, counted from when it was requested.
+///
+/// At a service with 11 requests a second a shorter time lets loans expire before the next request
+/// needs them: in three simulated windows, 0.80, 0.75 and 0.78 of the allowance was spent with 1 s,
+/// and 0.87, 0.84 and 0.76 with 1.5 s. A longer time counts the loan against more of the lender's
+/// later windows.
+pub const LOAN_TTL_MS: u64 = 1_500;
 
-/// The width of one count, in milliseconds. Windows begin anywhere within a step, so a step's requests count only
-/// where all of it lies in the window: a fortieth of a window of 10 s is not used.
+/// The width of one counting step, in milliseconds.
+///
+/// Windows begin anywhere within a step, so the requests of a step count only if the whole step
+/// lies within the window. This leaves a fortieth of a 10 s window unused.
 const STEP_MS: u64 = 250;
 
-/// How much of the allowance is used. The rest covers that a repeat arrives later than it was counted (a
-/// connection and the way there, some 10 ms) and a request is counted later than it was sent (up to a second where
-/// its connection was tried again): 0.3 s of a window of 10 s.
-const SAFETY: f64 = 0.97;
+/// The fraction of the allowance that is used.
+///
+/// The rest covers repeats that arrive later than they were counted (connecting and transit take
+/// some 10 ms) and requests that are counted later than they were sent (up to a second if the
+/// connection was retried): 0.3 s of a 10 s window.
+const USABLE_FRACTION: f64 = 0.97;
 
-/// The part of what a request earns that counts in the windows that begin after it, so that a service which begins
-/// to fail can be repeated at once. The rest counts in the windows in which the request lies, so that a
-/// process which has just started may repeat too. With 0.3 it may repeat 0.7 of its share in its first window.
-const LATER_PART: f64 = 0.3;
+/// The fraction of the repeats earned by a request that counts in the windows beginning after it,
+/// so that a VM can repeat at once when a service begins to fail.
+///
+/// The rest counts in the windows that contain the request, so that a process that has just started
+/// can repeat too. With 0.3 such a process can use 0.7 of its share in its first window.
+const PRECEDING_WINDOW_WEIGHT: f64 = 0.3;
 
-/// Below how many repeats left a VM asks others for more.
-const LOW: f64 = 2.0;
+/// The number of remaining repeats below which a VM requests loans.
+const LOW_REPEATS: f64 = 2.0;
 
-/// From how many requests in a window a VM asks others: one that hardly gets any would let what is lent lapse, as the
-/// next request that wants it comes too late.
-const ASKS_FROM: u32 = 10;
+/// The number of requests in a window from which a VM requests loans. With fewer requests a loan
+/// expires before the next request can use it.
+const MIN_REQUESTS_TO_BORROW: u32 = 10;
 
-/// How many repeats a VM that repeats itself keeps when others ask: they would only take turns asking.
-const KEPT: f64 = 2.0 * LOW;
+/// The number of repeats that a lender keeps if it repeats requests itself. Without this reserve,
+/// two such VMs would keep borrowing from each other.
+const LENDER_RESERVE_REPEATS: f64 = 2.0 * LOW_REPEATS;
 
-/// The smallest loan: a part of a repeat that nothing comes to for as long as loans hold is lost.
-const LEAST_LOAN: f64 = 0.5;
+/// The smallest loan, in repeats. A fraction of a repeat is lost if nothing adds to it before the
+/// loan expires.
+const MIN_LOAN_REPEATS: f64 = 0.5;
 
-/// The part of a VM's own slack that it lends at least, where all of it is less than twice the smallest loan: of many VMs
-/// each has little, and whoever asks adds up what several lend.
-const LEAST_LOAN_PART: f64 = 0.5;
+/// The fraction of its own slack that a VM lends at least, if that is less than
+/// [`MIN_LOAN_REPEATS`].
+///
+/// With many VMs the share of each is small, and a borrower adds up the loans of several.
+const MIN_LOAN_FRACTION: f64 = 0.5;
 
-/// The fewest and the most VMs that are asked at once.
-const ASKED_AT_ONCE: (f64, f64) = (2.0, 16.0);
+/// The smallest and the largest number of VMs that are asked for a loan at once.
+const LENDERS_ASKED_RANGE: (f64, f64) = (2.0, 16.0);
 
-/// What may be repeated in a sliding window.
+/// The number of repeats allowed in a sliding window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryAllowance {
-    /// Repeats allowed for each request.
+    /// Repeats allowed per request.
     pub ratio: f64,
-    /// Repeats allowed besides, however few requests there are.
+    /// Repeats allowed in addition, regardless of the number of requests.
     pub slack: f64,
     /// The length of the window, in milliseconds.
     pub window_ms: u64,
 }
 
 impl RetryAllowance {
-    /// How many VMs with such a part are asked at once by one that wants so many repeats.
+    /// Returns how many VMs to ask for a loan to get `wanted` repeats, if each of them has this
+    /// allowance.
     pub fn asked_at_once(self, wanted: f64) -> usize {
-        let (least, most) = ASKED_AT_ONCE;
+        let (least, most) = LENDERS_ASKED_RANGE;
         (wanted / self.slack.max(f64::MIN_POSITIVE)).ceil().clamp(least, most) as usize
     }
 
-    /// The same with a part of the slack, from 0 to 1.
+    /// Returns the same allowance with a fraction of the slack, from 0 to 1.
     pub fn with_part(self, part: f64) -> RetryAllowance {
         RetryAllowance { slack: self.slack * part, ..self }
     }
 }
 
-/// One VM's part of the repeats that all VMs together may make for a service.
+/// One VM's share of the repeats that all VMs together may make for a service.
 ///
-/// No VM needs a word of another to stay within the bound. In every window that begins at some time, this VM
-/// repeats at most
+/// The bound of the fleet holds without communication between VMs. In every window of the
+/// configured length, wherever it begins, this VM makes at most
 ///
 /// ```text
-/// ratio × (LATER_PART × its requests in the window before + (1 - LATER_PART) × its requests in the window)
-///   + its part of the slack
+/// ratio × (PRECEDING_WINDOW_WEIGHT × its requests in the preceding window
+///          + (1 - PRECEDING_WINDOW_WEIGHT) × its requests in the window)
+///   + its share of the slack
 /// ```
 ///
-/// Each term is a sum over VMs and over their lives, so all of them together repeat at most `ratio` times the
-/// requests of one of the two windows, and the slack, if the parts of the slack add up to no more than 1. The
-/// requests pay for the first term: a process counts only those that it received, and its count ends with it.
-/// The part of the slack is the VM's, not the process's: whoever calls gives a process none until a window and
-/// [`LOAN_HOLDS_MS`] after its start, since the process before it may have spent that part until it ended.
+/// repeats. Summed over all VMs and their processes, the first term is at most `ratio` times the
+/// requests in the larger of the two windows, because each process counts only the requests that it
+/// received itself and its count ends with it. The second term is at most the slack as long as the
+/// shares add up to no more than 1. The share belongs to the VM and not to the process: a process
+/// gets no share until a window and [`LOAN_TTL_MS`] after its start, because the previous process
+/// may have spent that share until it ended. The caller of this type ensures that.
 ///
-/// What one VM lends is spent there, until the last moment at which the other may spend it. A loan that is
-/// lost, late, doubled or not used makes the bound only tighter.
+/// A loan counts as spent by the lender until the last moment at which the borrower can spend it. A
+/// loan that is lost, late, duplicated or unused therefore only tightens the bound.
 #[derive(Clone, Debug, Default)]
 pub struct FleetBudget {
-    /// What was counted in each step, without gaps.
+    /// The counts of consecutive steps, without gaps.
     steps: VecDeque<Step>,
-    /// The number of the first step since the process started.
-    first: u64,
-    /// What other VMs have lent.
+    /// The number of the first step in `steps`, counted from the start of the process.
+    first_step: u64,
+    /// The loans from other VMs.
     loans: Vec<Loan>,
 }
 
-/// What was counted in one step.
+/// The counts of one step.
 #[derive(Clone, Copy, Debug, Default)]
 struct Step {
-    /// Requests.
+    /// Requests received.
     requests: u32,
-    /// Repeats made, and lent to others.
+    /// Repeats made or lent to other VMs.
     spent: f64,
 }
 
-/// Repeats that another VM has lent.
+/// A loan of repeats from another VM.
 #[derive(Clone, Copy, Debug)]
 struct Loan {
-    /// How many are left.
+    /// The repeats left.
     left: f64,
-    /// Until when they may be made.
-    until_ms: u64,
+    /// When the loan expires.
+    expires_ms: u64,
 }
 
-/// What a VM may repeat at a moment.
+/// What a VM may still repeat at some moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Room {
-    /// How many requests it received in the window that ends now.
+    /// Requests received in the window that ends now.
     pub requests: u32,
-    /// What it has repeated or lent in the window that ends now.
+    /// Repeats made or lent to others in the window that ends now.
     pub spent: f64,
-    /// What it may repeat yet of its own.
+    /// Repeats left of its own share.
     pub own: f64,
-    /// What it may repeat yet of what others have lent.
+    /// Repeats left of the loans from other VMs.
     pub lent: f64,
 }
 
 impl Room {
-    /// Tells whether one more repeat may be made.
+    /// Returns whether one more repeat is allowed.
     pub fn has_one(self) -> bool {
         self.own + self.lent >= 1.0
     }
 
-    /// Tells whether others should be asked for more.
+    /// Returns whether to request loans from other VMs.
     pub fn is_low(self) -> bool {
-        self.requests >= ASKS_FROM && self.own + self.lent < LOW
+        self.requests >= MIN_REQUESTS_TO_BORROW && self.own + self.lent < LOW_REPEATS
     }
 
-    /// The part of what may be repeated that one more repeat would use up, up to 1, where others can spare so much.
+    /// Returns the fraction of the allowance, up to 1, that is used after one more repeat, if other
+    /// VMs can lend `others` repeats.
     pub fn used_part(self, others: f64) -> f64 {
         let all = self.spent + self.own + self.lent + others;
         if all > 0.0 { ((self.spent + 1.0) / all).min(1.0) } else { 1.0 }
@@ -146,79 +169,84 @@
 
 impl FleetBudget {
     /// Counts a request.
-    pub fn request(&mut self, part: RetryAllowance, now_ms: u64) {
-        self.forget(part, now_ms);
-        self.step(now_ms / STEP_MS).requests += 1;
+    pub fn request(&mut self, allowance: RetryAllowance, now_ms: u64) {
+        self.drop_expired_steps(allowance, now_ms);
+        self.step_mut(now_ms / STEP_MS).requests += 1;
     }
 
-    /// Takes one repeat if there is room for it.
-    pub fn take(&mut self, part: RetryAllowance, now_ms: u64) -> bool {
-        let has_one = self.room(part, now_ms).has_one();
+    /// Spends one repeat if one is allowed, from loans first.
+    pub fn take(&mut self, allowance: RetryAllowance, now_ms: u64) -> bool {
+        let has_one = self.room(allowance, now_ms).has_one();
         if has_one {
-            let own = 1.0 - self.use_loans(1.0);
-            self.step(now_ms / STEP_MS).spent += own;
+            let own = 1.0 - self.spend_loans(1.0);
+            self.step_mut(now_ms / STEP_MS).spent += own;
         }
         has_one
     }
 
-    /// What may be repeated now.
-    pub fn room(&mut self, part: RetryAllowance, now_ms: u64) -> Room {
-        self.forget(part, now_ms);
-        self.loans.retain(|loan| now_ms < loan.until_ms);
+    /// Returns what may be repeated now.
+    pub fn room(&mut self, allowance: RetryAllowance, now_ms: u64) -> Room {
+        self.drop_expired_steps(allowance, now_ms);
+        self.loans.retain(|loan| now_ms < loan.expires_ms);
         let lent = self.loans.iter().fold(0.0, |sum, loan| sum + loan.left);
-        let (now, window) = (now_ms / STEP_MS, part.window_ms.div_ceil(STEP_MS));
+        let (now, window) = (now_ms / STEP_MS, allowance.window_ms.div_ceil(STEP_MS));
         let mut room = Room { requests: 0, spent: 0.0, own: 0.0, lent };
-        for step in (now.saturating_sub(window)..=now).map(|step| self.at(step)) {
+        for step in (now.saturating_sub(window)..=now).map(|step| self.step_at(step)) {
             room.requests += step.requests;
             room.spent += step.spent;
         }
-        room.own = self.own_room(part, now_ms).max(0.0);
+        room.own = self.own_repeats_left(allowance, now_ms).max(0.0);
         room
     }
 
-    /// Lends another VM up to so many repeats: all that this one has if it does not repeat itself.
-    pub fn lend(&mut self, wanted: f64, part: RetryAllowance, now_ms: u64) -> f64 {
-        let room = self.room(part, now_ms);
-        let spare = if room.spent > 0.0 { room.own - KEPT } else { room.own };
-        let loan = spare.min(wanted).min(part.slack);
-        if loan < LEAST_LOAN.min(LEAST_LOAN_PART * part.slack) || loan <= 0.0 {
+    /// Lends another VM up to `wanted` repeats and returns how many.
+    ///
+    /// A VM that has spent nothing in the window lends all it has left; another keeps a reserve.
+    pub fn lend(&mut self, wanted: f64, allowance: RetryAllowance, now_ms: u64) -> f64 {
+        let room = self.room(allowance, now_ms);
+        let spare = if room.spent > 0.0 { room.own - LENDER_RESERVE_REPEATS } else { room.own };
+        let loan = spare.min(wanted).min(allowance.slack);
+        if loan < MIN_LOAN_REPEATS.min(MIN_LOAN_FRACTION * allowance.slack) || loan <= 0.0 {
             return 0.0;
         }
-        self.step((now_ms + LOAN_HOLDS_MS) / STEP_MS).spent += loan;
+        self.step_mut((now_ms + LOAN_TTL_MS) / STEP_MS).spent += loan;
         loan
     }
 
-    /// Takes in what another VM lends in answer to a question of `asked_ms`.
+    /// Adds a loan that was requested at `asked_ms`.
     pub fn borrow(&mut self, loan: f64, asked_ms: u64) {
-        self.loans.push(Loan { left: loan, until_ms: asked_ms + LOAN_HOLDS_MS });
+        self.loans.push(Loan { left: loan, expires_ms: asked_ms + LOAN_TTL_MS });
     }
 
-    /// What is left of this VM's own part in the window, of those that hold the present, in which least is left.
-    fn own_room(&self, part: RetryAllowance, now_ms: u64) -> f64 {
-        let (now, window) = (now_ms / STEP_MS, part.window_ms.div_ceil(STEP_MS));
-        let requests = |step: u64| f64::from(self.at(step).requests);
-        // What is lent counts up to when it may be spent, which lies ahead.
-        let ahead = now + 1..=now + LOAN_HOLDS_MS / STEP_MS;
-        let mut spent: f64 = ahead.map(|step| self.at(step).spent).sum();
-        let mut within = 0.0;
+    /// Returns the repeats left of this VM's own share: the minimum over all windows that contain
+    /// the present.
+    fn own_repeats_left(&self, allowance: RetryAllowance, now_ms: u64) -> f64 {
+        let (now, window) = (now_ms / STEP_MS, allowance.window_ms.div_ceil(STEP_MS));
+        let requests = |step: u64| f64::from(self.step_at(step).requests);
+        // Loans count as spent until they expire, which is in the future.
+        let ahead = now + 1..=now + LOAN_TTL_MS / STEP_MS;
+        let mut spent: f64 = ahead.map(|step| self.step_at(step).spent).sum();
+        let mut in_window = 0.0;
         let mut before: f64 = (now.saturating_sub(window - 1)..now).map(requests).sum();
         let mut least = f64::INFINITY;
-        // From the window that begins now to that which ends now.
+        // Iterates from the window that begins now to the one that ends now.
         for begin in (now.saturating_sub(window)..=now).rev() {
-            spent += self.at(begin).spent;
-            let earned = LATER_PART * before + (1.0 - LATER_PART) * within;
-            let allowed = SAFETY * (part.ratio * earned + part.slack);
+            spent += self.step_at(begin).spent;
+            let earned =
+                PRECEDING_WINDOW_WEIGHT * before + (1.0 - PRECEDING_WINDOW_WEIGHT) * in_window;
+            let allowed = USABLE_FRACTION * (allowance.ratio * earned + allowance.slack);
             least = least.min(allowed - spent);
-            within += requests(begin);
+            in_window += requests(begin);
             before += begin.checked_sub(window).map_or(0.0, requests);
             before -= begin.checked_sub(1).map_or(0.0, requests);
         }
         least
     }
 
-    /// Uses up to so much of what others have lent, what ends first first; returns how much.
-    fn use_loans(&mut self, wanted: f64) -> f64 {
-        self.loans.sort_by_key(|loan| loan.until_ms);
+    /// Spends up to `wanted` repeats from loans, those that expire first before others, and returns
+    /// how many.
+    fn spend_loans(&mut self, wanted: f64) -> f64 {
+        self.loans.sort_by_key(|loan| loan.expires_ms);
         let mut missing = wanted;
         for loan in &mut self.loans {
             let used = loan.left.min(missing);
@@ -228,31 +256,31 @@
         wanted - missing
     }
 
-    /// What was counted in a step.
-    fn at(&self, number: u64) -> Step {
-        let index = number.checked_sub(self.first);
+    /// Returns the counts of a step, zero if none are kept.
+    fn step_at(&self, number: u64) -> Step {
+        let index = number.checked_sub(self.first_step);
         index.and_then(|index| self.steps.get(index as usize)).copied().unwrap_or_default()
     }
 
-    /// A step to count in.
-    fn step(&mut self, number: u64) -> &mut Step {
+    /// Returns the counts of a step for update, adding steps as needed.
+    fn step_mut(&mut self, number: u64) -> &mut Step {
         if self.steps.is_empty() {
-            self.first = number;
+            self.first_step = number;
         }
-        // What is counted never lies before what is kept: the clock does not go back.
-        let index = number.saturating_sub(self.first) as usize;
+        // The clock is monotonic, so the step is never before the first one kept.
+        let index = number.saturating_sub(self.first_step) as usize;
         if index >= self.steps.len() {
             self.steps.resize(index + 1, Step::default());
         }
         &mut self.steps[index]
     }
 
-    /// Forgets what no window counts any more.
-    fn forget(&mut self, part: RetryAllowance, now_ms: u64) {
-        let window = part.window_ms.div_ceil(STEP_MS);
+    /// Drops the steps that no window uses any more.
+    fn drop_expired_steps(&mut self, allowance: RetryAllowance, now_ms: u64) {
+        let window = allowance.window_ms.div_ceil(STEP_MS);
         let oldest = (now_ms / STEP_MS).saturating_sub(2 * window);
-        let count = oldest.saturating_sub(self.first).min(self.steps.len() as u64);
+        let count = oldest.saturating_sub(self.first_step).min(self.steps.len() as u64);
         self.steps.drain(..count as usize);
-        self.first += count;
+        self.first_step += count;
     }
 }
--- a/crates/leverstream-route/src/lib.rs
+++ b/crates/leverstream-route/src/lib.rs
@@ -1,7 +1,8 @@
-//! Where a request goes and when: pickers, the queue, the budget of retries.
+//! Chooses the backend server and the time of each request: pickers, the queue and the retry
+//! budgets.
 //!
-//! Pickers register themselves by name; [`picker`] finds them. All is pure: loads, deadlines and
-//! the present time are arguments.
+//! Pickers register themselves by name; [`picker`] finds them. The crate does no I/O: loads,
+//! deadlines and the present time are arguments.
 
 mod asking;
 mod budget;
@@ -14,7 +15,7 @@
 
 pub use asking::Asking;
 pub use budget::RetryBudget;
-pub use fleet_budget::{FleetBudget, LOAN_HOLDS_MS, LONGEST_WINDOW_MS, RetryAllowance, Room};
+pub use fleet_budget::{FleetBudget, LOAN_TTL_MS, LONGEST_WINDOW_MS, RetryAllowance, Room};
 pub use pick::{Candidate, Pick, Request, Turn, choose, picker, pickers};
 pub use queue::{Arrival, Place, Queue};
 pub use slack::SlackPart;
--- a/crates/leverstream-route/src/queue.rs
+++ b/crates/leverstream-route/src/queue.rs
@@ -1,43 +1,45 @@
+//! The queue of requests that wait for a free slot, earliest deadline first.
+
 use std::collections::BTreeMap;
 
 use leverstream_error::Kind;
 
-/// A request's place in a [`Queue`]; the earlier deadline goes first.
+/// A request's position in a [`Queue`], ordered by deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Place {
-    /// When the request must have been answered.
+    /// The deadline of the request.
     pub deadline_ms: u64,
-    /// Tells places of one deadline apart, in order of arrival.
+    /// Orders requests with the same deadline by arrival.
     pub sequence: u64,
 }
 
-/// What a queue is told of a request that wants to wait.
+/// The properties of a request that enters a queue.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// When it must have been answered.
+    /// The deadline of the request.
     pub deadline_ms: u64,
-    /// Whether it gives way to others when the queue is full.
+    /// Whether it is displaced by others when the queue is full.
     pub gives_way: bool,
-    /// How long work of this service usually takes.
+    /// The typical duration of a request to this service.
     pub typical_ms: f64,
-    /// How many requests the service works on at once, as far as this VM may use it.
+    /// The number of requests that this VM can have in flight at the service.
     pub slots: u32,
 }
 
-/// Requests that wait for a free slot, bounded in number, ordered by deadline.
+/// A bounded queue of requests that wait for a free slot, ordered by deadline.
 #[derive(Debug, Default)]
 pub struct Queue {
-    /// Whether each that waits gives way.
+    /// Whether each waiting request gives way, by position.
     places: BTreeMap<Place, bool>,
-    /// The last sequence number.
+    /// The sequence number of the last request that entered.
     sequence: u64,
 }
 
 impl Queue {
-    /// Lets a request wait, if it can still be answered in time and there is room.
+    /// Adds a request if it can still meet its deadline and there is room.
     ///
-    /// Also returns the place of one that has to give way for it. A request that cannot make its
-    /// deadline is refused at once: it has certainly not run, and its caller learns so early.
+    /// Also returns the position of the request that it displaces, if any. A request that can't
+    /// meet its deadline is refused at once, so that its caller learns early that it has not run.
     pub fn enter(
         &mut self,
         arrival: Arrival,
@@ -45,9 +47,9 @@
         now_ms: u64,
     ) -> Result<(Place, Option<Place>), Kind> {
         let place = Place { deadline_ms: arrival.deadline_ms, sequence: self.sequence + 1 };
-        let ahead = self.places.range(..place).count();
-        let turns = ahead as f64 / f64::from(arrival.slots.max(1)) + 1.0;
-        if now_ms as f64 + turns * arrival.typical_ms > arrival.deadline_ms as f64 {
+        let requests_ahead = self.places.range(..place).count();
+        let service_rounds = requests_ahead as f64 / f64::from(arrival.slots.max(1)) + 1.0;
+        if now_ms as f64 + service_rounds * arrival.typical_ms > arrival.deadline_ms as f64 {
             return Err(Kind::DeadlinePassed);
         }
         let displaced = if self.places.len() < limit {
@@ -65,27 +67,27 @@
         Ok((place, displaced))
     }
 
-    /// Takes a request out of the queue.
+    /// Removes a request.
     pub fn leave(&mut self, place: Place) {
         self.places.remove(&place);
     }
 
-    /// The places whose turn is next, at most `count`.
+    /// Returns the first positions, at most `count`.
     pub fn first(&self, count: usize) -> impl Iterator<Item = Place> + '_ {
         self.places.keys().take(count).copied()
     }
 
-    /// How many wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.places.len()
     }
 
-    /// Tells whether nobody waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.places.is_empty()
     }
 
-    /// The last place held by a request that gives way.
+    /// Returns the last position whose request gives way.
     fn last_to_give_way(&self) -> Option<Place> {
         self.places.iter().rev().find(|(_, gives_way)| **gives_way).map(|(place, _)| *place)
     }
--- a/crates/leverstream-route/src/slack.rs
+++ b/crates/leverstream-route/src/slack.rs
@@ -1,76 +1,81 @@
-use crate::LOAN_HOLDS_MS;
+//! Determines each VM's share of the slack from the number of VMs in the fleet.
 
-/// For how long what another VM has told of the number of VMs counts, in milliseconds: as long as VMs remember
-/// members that are gone.
-const TOLD_HOLDS_MS: u64 = 300_000;
+use crate::LOAN_TTL_MS;
 
-/// Which part of the slack a VM has, whoever runs there: one of as many as there are VMs at most.
+/// How long a number of VMs reported by another VM is valid, in milliseconds: as long as VMs
+/// remember members that have gone.
+const REPORT_TTL_MS: u64 = 300_000;
+
+/// The share of the slack that a VM has: at most 1 / (number of VMs).
 ///
-/// The parts of all VMs add up to no more than 1 as long as none of them counts fewer VMs than there are.
-/// So VMs that are gone count for as long as they are remembered, the largest number that anybody tells counts, and who
-/// has heard nobody has no part. What this does not cover: VMs that start while they are cut off from all others but each
-/// other, and stay so for longer than a window.
+/// The shares of all VMs add up to no more than 1 as long as no VM underestimates the number of
+/// VMs. Therefore members that have gone count until they are forgotten, the largest number
+/// reported by any VM is used, and a VM that has received no report has no share. The bound does
+/// not cover VMs that start while a network partition separates them from all but each other, if
+/// the partition lasts longer than a window.
 #[derive(Clone, Debug, Default)]
 pub struct SlackPart {
-    /// Whether the whole fleet started with this process, so that none ran before it.
+    /// Whether the whole fleet started with this process, so that no process ran on this VM before.
     is_first_start: bool,
-    /// Whether others are to be there, so that who has heard nobody does not know how many.
+    /// Whether other VMs are configured. If so, a VM without a report doesn't know the size of the
+    /// fleet.
     expects_others: bool,
-    /// How many VMs this one knows of, itself included, those that are gone among them.
+    /// The number of VMs that this one knows, including itself and members that have gone.
     known: u32,
-    /// The most that another VM told of, and when.
-    told: Option<(u32, u64)>,
+    /// The largest number reported by another VM, and when.
+    reported: Option<(u32, u64)>,
 }
 
 impl SlackPart {
-    /// Opens the part of a process that has just started.
+    /// Creates the share of a process that has just started.
     pub fn open(is_first_start: bool, expects_others: bool) -> SlackPart {
         SlackPart { is_first_start, expects_others, ..SlackPart::default() }
     }
 
-    /// Takes over how many VMs this one knows of.
+    /// Sets the number of VMs that this one knows.
     pub fn know(&mut self, vms: u32) {
         self.known = vms;
     }
 
-    /// Takes in how many VMs another one knows of.
+    /// Records the number of VMs that another VM knows.
     ///
-    /// What it was told itself it does not pass on, or the largest number ever would be told for ever.
+    /// A VM doesn't pass on reported numbers, because then the largest number ever would circulate
+    /// forever.
     pub fn hear(&mut self, vms: u32, now_ms: u64) {
-        let is_more = self.told(now_ms).is_none_or(|most| vms >= most);
-        if is_more {
-            self.told = Some((vms, now_ms));
+        let is_larger = self.reported(now_ms).is_none_or(|most| vms >= most);
+        if is_larger {
+            self.reported = Some((vms, now_ms));
         }
     }
 
-    /// How many VMs this one knows of, for the others.
+    /// Returns the number of VMs that this one knows, to report to others.
     pub fn known(&self) -> u32 {
         self.known
     }
 
-    /// How many VMs there are, as far as is known or was told; more than one where others are to be there.
+    /// Returns the number of VMs that are known or reported, at least 2 if others are configured.
     pub fn fleet_size(&self, now_ms: u64) -> u32 {
-        let told = self.told(now_ms).unwrap_or_default();
-        self.known.max(told).max(if self.expects_others { 2 } else { 1 })
+        let reported = self.reported(now_ms).unwrap_or_default();
+        self.known.max(reported).max(if self.expects_others { 2 } else { 1 })
     }
 
-    /// The part, from 0 to 1; `now_ms` counts from the start of the process.
+    /// Returns the share, from 0 to 1; `now_ms` counts from the start of the process.
     ///
-    /// None until a window after the start has passed: the process before may have spent the part, or lent it, until
-    /// it ended.
+    /// It is 0 until a window and [`LOAN_TTL_MS`] after the start, because the previous process may
+    /// have spent or lent the share until it ended.
     pub fn part(&self, window_ms: u64, now_ms: u64) -> f64 {
-        let may_be_spent = !self.is_first_start && now_ms < window_ms + LOAN_HOLDS_MS;
-        let told = self.told(now_ms);
+        let may_be_already_spent = !self.is_first_start && now_ms < window_ms + LOAN_TTL_MS;
+        let reported = self.reported(now_ms);
         let is_alone = !self.expects_others && self.known <= 1;
-        if may_be_spent || (told.is_none() && !is_alone) {
+        if may_be_already_spent || (reported.is_none() && !is_alone) {
             return 0.0;
         }
-        1.0 / f64::from(self.known.max(told.unwrap_or_default()).max(1))
+        1.0 / f64::from(self.known.max(reported.unwrap_or_default()).max(1))
     }
 
-    /// The most VMs that another told of, of late.
-    fn told(&self, now_ms: u64) -> Option<u32> {
-        let is_held = |at_ms: u64| now_ms.saturating_sub(at_ms) < TOLD_HOLDS_MS;
-        self.told.filter(|(_, at_ms)| is_held(*at_ms)).map(|(vms, _)| vms)
+    /// Returns the largest number that another VM has reported and that is still valid.
+    fn reported(&self, now_ms: u64) -> Option<u32> {
+        let is_valid = |at_ms: u64| now_ms.saturating_sub(at_ms) < REPORT_TTL_MS;
+        self.reported.filter(|(_, at_ms)| is_valid(*at_ms)).map(|(vms, _)| vms)
     }
 }
--- a/crates/leverstream-route/tests/budget_model.rs
+++ b/crates/leverstream-route/tests/budget_model.rs
@@ -8,7 +8,7 @@
 use std::collections::{HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use leverstream_route::{FleetBudget, LOAN_HOLDS_MS, RetryAllowance, SlackPart};
+use leverstream_route::{FleetBudget, LOAN_TTL_MS, RetryAllowance, SlackPart};
 
 /// One step of time, in milliseconds: that in which budgets count.
 const STEP_MS: u64 = 250;
@@ -23,7 +23,7 @@
 const PLACED: usize = 2;
 
 /// How many steps ahead a state is compared: as long as anything counts.
-const AHEAD_STEPS: u64 = WINDOW_STEPS + LOAN_HOLDS_MS / STEP_MS + 1;
+const AHEAD_STEPS: u64 = WINDOW_STEPS + LOAN_TTL_MS / STEP_MS + 1;
 
 /// What all VMs may repeat: one each, and a little for what budgets leave unused.
 const ALLOWANCE: RetryAllowance =
@@ -177,7 +177,7 @@
 
 /// Everything that may happen.
 fn events() -> Vec<Event> {
-    let last = LOAN_HOLDS_MS / STEP_MS - 1;
+    let last = LOAN_TTL_MS / STEP_MS - 1;
     let pairs = (0..PLACED).flat_map(|from| (0..VMS).map(move |to| (from, to)));
     let pairs = pairs.filter(|(from, to)| from != to);
     let asks = pairs.flat_map(|(from, to)| [0, last].map(|takes| Event::Ask(from, to, takes)));
--- a/crates/leverstream-route/tests/fleet_budget.rs
+++ b/crates/leverstream-route/tests/fleet_budget.rs
@@ -1,6 +1,6 @@
 //! What one VM may repeat of what all VMs may.
 
-use leverstream_route::{Asking, FleetBudget, LOAN_HOLDS_MS, RetryAllowance, SlackPart};
+use leverstream_route::{Asking, FleetBudget, LOAN_TTL_MS, RetryAllowance, SlackPart};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -80,7 +80,7 @@
     assert_eq!(asking.answer(1, other, 1_005), None, "it came twice");
     assert_eq!(asking.answer(2, third, 1_005), None, "another was asked");
     assert_eq!(asking.answer(9, other, 1_005), None, "nobody was asked");
-    assert_eq!(asking.answer(3, other, 1_000 + LOAN_HOLDS_MS), None, "it came late");
+    assert_eq!(asking.answer(3, other, 1_000 + LOAN_TTL_MS), None, "it came late");
 }
 
 #[test]
@@ -91,13 +91,13 @@
     assert!(loan > 2.4);
     let is_open = |lender: &mut FleetBudget, now_ms| lender.room(part, now_ms).has_one();
     assert!(!is_open(&mut lender, 1_000));
-    assert!(!is_open(&mut lender, 1_000 + LOAN_HOLDS_MS + WINDOW_MS - 1));
-    assert!(is_open(&mut lender, 1_000 + LOAN_HOLDS_MS + WINDOW_MS + 250));
+    assert!(!is_open(&mut lender, 1_000 + LOAN_TTL_MS + WINDOW_MS - 1));
+    assert!(is_open(&mut lender, 1_000 + LOAN_TTL_MS + WINDOW_MS + 250));
     let mut borrower = FleetBudget::default();
     borrower.borrow(loan, 1_000);
     let none = part.with_part(0.0);
-    assert!(borrower.take(none, 1_000 + LOAN_HOLDS_MS - 1));
-    assert!(!borrower.take(none, 1_000 + LOAN_HOLDS_MS), "the loan has ended");
+    assert!(borrower.take(none, 1_000 + LOAN_TTL_MS - 1));
+    assert!(!borrower.take(none, 1_000 + LOAN_TTL_MS), "the loan has ended");
 }
 
 #[test]
@@ -105,7 +105,7 @@
     let mut slack = SlackPart::open(false, true);
     slack.know(4);
     slack.hear(4, 100);
-    let first_ms = WINDOW_MS + LOAN_HOLDS_MS;
+    let first_ms = WINDOW_MS + LOAN_TTL_MS;
     assert_eq!(slack.part(WINDOW_MS, first_ms - 1), 0.0);
     assert_eq!(slack.part(WINDOW_MS, first_ms), 0.25);
     let mut first = SlackPart::open(true, true);
