--- a/crates/leverstream-limit/tests/limit_model.rs
+++ b/crates/leverstream-limit/tests/limit_model.rs
@@ -1,59 +1,60 @@
-//! All orders of up to three things that befall three VMs within four seconds, while all of them ask for as many permits as they
-//! get: whoever starts again, falls silent or no longer sees another, no four seconds hold more permits than are allowed.
+//! Model check of permits: all orders of up to three events at three VMs within four seconds, while
+//! all VMs request as many permits as they can get. Whichever VM restarts, falls silent or loses
+//! sight of another, no four seconds hold more permits than allowed.
 
 use leverstream_catalog::Incarnation;
 use leverstream_limit::{ARBITERS, Arbiter, Role, Round, Silences, Step, Verdict, consents_needed};
 
-/// How many VMs there are.
+/// The number of VMs.
 const VMS: usize = 3;
 
-/// How many requests a second the backend server takes.
-const PER_S: f64 = 1.4;
+/// The limit of the backend server, in requests per second.
+const LIMIT_PER_S: f64 = 1.4;
 
-/// How long a step is, in milliseconds.
+/// The length of a step, in milliseconds.
 const STEP_MS: u64 = 500;
 
-/// How many steps are taken: a window and a half.
+/// The number of steps: a window and a half.
 const STEPS: usize = 12;
 
-/// In how many of them, from the second on, something may happen.
-const EVENTFUL: usize = 8;
+/// The number of steps, from the second on, in which an event may happen.
+const EVENT_STEPS: usize = 8;
 
-/// How often the VMs ask within a step.
-const TURNS: u64 = 10;
+/// The number of times that the VMs request permits within a step.
+const ASKS_PER_STEP: u64 = 10;
 
-/// What befalls a VM.
+/// An event at a VM.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// It starts again, knowing nothing of its consents.
+    /// It restarts and loses its state.
     Restart(usize),
-    /// It answers nobody, or answers again.
+    /// It stops answering, or answers again.
     Silence(usize),
-    /// It holds another for gone, or sees it again.
-    Lose(usize, usize),
+    /// It loses sight of another VM, or sees it again.
+    LoseSight(usize, usize),
 }
 
-/// The world.
+/// The state of the fleet.
 #[derive(Clone)]
-struct World {
-    /// What each VM has consented to.
+struct FleetState {
+    /// The arbiter of each VM.
     arbiters: [Arbiter; VMS],
-    /// Whom each holds for silent.
+    /// The arbiters that didn't answer each VM.
     silences: [Silences<usize>; VMS],
-    /// Who answers nobody.
+    /// Which VMs don't answer.
     is_silent: [bool; VMS],
-    /// Whom each sees.
+    /// Which VMs each VM sees.
     sees: [[bool; VMS]; VMS],
-    /// The time.
+    /// The current time.
     now_ms: u64,
-    /// When permits were had.
+    /// When permits were granted.
     permits: Vec<u64>,
 }
 
-impl World {
-    /// Three VMs that see each other, at rest.
-    fn open() -> World {
-        World {
+impl FleetState {
+    /// Creates three running VMs that see each other.
+    fn open() -> FleetState {
+        FleetState {
             arbiters: Default::default(),
             silences: Default::default(),
             is_silent: [false; VMS],
@@ -63,22 +64,22 @@
         }
     }
 
-    /// Lets something happen.
-    fn befall(&mut self, event: Event) {
+    /// Applies an event.
+    fn apply(&mut self, event: Event) {
         match event {
             Event::Restart(vm) => {
                 self.arbiters[vm] = Arbiter::default();
                 self.silences[vm] = Silences::default();
             }
             Event::Silence(vm) => self.is_silent[vm] = !self.is_silent[vm],
-            Event::Lose(vm, other) => self.sees[vm][other] = !self.sees[vm][other],
+            Event::LoseSight(vm, other) => self.sees[vm][other] = !self.sees[vm][other],
         }
     }
 
-    /// Has all VMs ask for permits until a step is over.
+    /// Lets all VMs request permits until the end of a step.
     fn step(&mut self) {
-        for _ in 0..TURNS {
-            self.now_ms += STEP_MS / TURNS;
+        for _ in 0..ASKS_PER_STEP {
+            self.now_ms += STEP_MS / ASKS_PER_STEP;
             for vm in 0..VMS {
                 while self.ask(vm) {
                     self.permits.push(self.now_ms);
@@ -87,7 +88,8 @@
         }
     }
 
-    /// Has a VM ask for a permit; true if it gets one. Answers come at once, silence takes no time here, so that nobody is spared.
+    /// Lets a VM request a permit; returns whether it gets one. Answers take no time, and neither
+    /// do missing ones, which is the worst case for the limit.
     fn ask(&mut self, vm: usize) -> bool {
         let arbiters = self.arbiters_of(vm);
         let needed = consents_needed(VMS);
@@ -104,12 +106,12 @@
         }
     }
 
-    /// Whom a VM asks, the first first.
+    /// Returns the VMs that a VM asks, in order.
     fn arbiters_of(&self, vm: usize) -> Vec<usize> {
         (0..VMS).filter(|other| self.sees[vm][*other]).collect()
     }
 
-    /// What a VM says as an arbiter.
+    /// Returns a VM's answer as an arbiter.
     fn verdict(&mut self, at: usize, asker: usize) -> Verdict {
         let seen = self.arbiters_of(at);
         if seen.len() * 2 <= VMS {
@@ -118,11 +120,11 @@
         let is_arbiter = seen.iter().take(ARBITERS).any(|vm| *vm == at);
         let role = if is_arbiter { Role::Arbiter } else { Role::StandIn };
         let of = Incarnation { instance: "i-0".into(), born_ms: 7 };
-        self.arbiters[at].ask(&of, PER_S, role, asker as u64, self.now_ms)
+        self.arbiters[at].ask(&of, LIMIT_PER_S, role, asker as u64, self.now_ms)
     }
 
-    /// The most permits within four seconds.
-    fn most(&self) -> usize {
+    /// Returns the largest number of permits within four seconds.
+    fn max_permits_in_window(&self) -> usize {
         let within = |(number, at): (usize, &u64)| {
             self.permits[..=number].iter().filter(|other| **other + 4_000 > *at).count()
         };
@@ -130,43 +132,52 @@
     }
 }
 
-/// Walks through all that may happen from a step on; returns how many stories there are.
-fn walk(world: &World, step: usize, left: usize, story: &mut Vec<(usize, Event)>) -> usize {
+/// Explores all events from a step on; returns the number of event sequences.
+fn explore(
+    state: &FleetState,
+    step: usize,
+    left: usize,
+    history: &mut Vec<(usize, Event)>,
+) -> usize {
     if step == STEPS {
-        let allowed = (1.5 * PER_S * 4.0 + 5.0) as usize;
-        let most = world.most();
-        assert!(most <= allowed, "{most} permits, {allowed} are allowed: {story:?}");
+        let allowed = (1.5 * LIMIT_PER_S * 4.0 + 5.0) as usize;
+        let max_permits_in_window = state.max_permits_in_window();
+        assert!(
+            max_permits_in_window <= allowed,
+            "{max_permits_in_window} permits, {allowed} are allowed: {history:?}"
+        );
         return 1;
     }
-    let mut quiet = world.clone();
-    quiet.step();
-    let mut count = walk(&quiet, step + 1, left, story);
-    if left == 0 || !(1..=EVENTFUL).contains(&step) {
+    let mut without_event = state.clone();
+    without_event.step();
+    let mut count = explore(&without_event, step + 1, left, history);
+    if left == 0 || !(1..=EVENT_STEPS).contains(&step) {
         return count;
     }
     for event in events() {
-        let mut next = world.clone();
-        next.befall(event);
+        let mut next = state.clone();
+        next.apply(event);
         next.step();
-        story.push((step, event));
-        count += walk(&next, step + 1, left - 1, story);
-        story.pop();
+        history.push((step, event));
+        count += explore(&next, step + 1, left - 1, history);
+        history.pop();
     }
     count
 }
 
-/// All that may happen in a step.
+/// Returns all events that may happen in a step.
 fn events() -> Vec<Event> {
     let restarts = (0..VMS).map(Event::Restart);
     let silences = (0..VMS).map(Event::Silence);
     let pairs = (0..VMS).flat_map(|vm| (0..VMS).map(move |other| (vm, other)));
-    let losses = pairs.filter(|(vm, other)| vm != other).map(|(vm, other)| Event::Lose(vm, other));
+    let losses =
+        pairs.filter(|(vm, other)| vm != other).map(|(vm, other)| Event::LoseSight(vm, other));
     restarts.chain(silences).chain(losses).collect()
 }
 
 #[test]
-fn no_order_of_three_events_lets_more_through_than_is_allowed() {
-    let count = walk(&World::open(), 0, 3, &mut Vec::new());
-    println!("{count} stories");
+fn permits_stay_within_limit_for_all_orders_of_three_events() {
+    let count = explore(&FleetState::open(), 0, 3, &mut Vec::new());
+    println!("{count} event sequences");
     assert!(count > 90_000);
 }
--- a/crates/leverstream-route/tests/budget_model.rs
+++ b/crates/leverstream-route/tests/budget_model.rs
@@ -1,59 +1,60 @@
-//! All orders of events at three VMs that share the slack: repeats, loans that arrive at once or at the last moment,
-//! restarts, time. Whatever happens, no window holds more repeats than the slack allows.
+//! Model check of the shared slack: all orders of repeats, loans that arrive at once or just before
+//! they expire, restarts and time steps at three VMs. No window may hold more repeats than the
+//! slack allows.
 //!
-//! The window is two steps long, each VM's part is one repeat, and requests earn nothing. Callers are sent to two of the
-//! VMs, the third only lends; one of the two may start again at any time. States that will behave alike are visited
-//! once.
+//! The window is two steps long, each VM's share is one repeat, and requests earn nothing. Two of
+//! the VMs repeat requests and the third only lends; one of the two may restart at any time. States
+//! with the same future behaviour are visited once.
 
 use std::collections::{HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use leverstream_route::{FleetBudget, LOAN_TTL_MS, RetryAllowance, SlackPart};
 
-/// One step of time, in milliseconds: that in which budgets count.
+/// The length of a time step, in milliseconds: the counting step of the budgets.
 const STEP_MS: u64 = 250;
 
-/// The window, in steps.
+/// The length of the window, in steps.
 const WINDOW_STEPS: u64 = 2;
 
-/// How many VMs there are.
+/// The number of VMs.
 const VMS: usize = 3;
 
-/// To how many of them callers are sent.
-const PLACED: usize = 2;
+/// The number of VMs that callers use.
+const BORROWERS: usize = 2;
 
-/// How many steps ahead a state is compared: as long as anything counts.
-const AHEAD_STEPS: u64 = WINDOW_STEPS + LOAN_TTL_MS / STEP_MS + 1;
+/// The number of future steps in which states are compared: as long as any count has an effect.
+const HORIZON_STEPS: u64 = WINDOW_STEPS + LOAN_TTL_MS / STEP_MS + 1;
 
-/// What all VMs may repeat: one each, and a little for what budgets leave unused.
+/// The allowance of all VMs: one repeat each, and a little for what budgets leave unused.
 const ALLOWANCE: RetryAllowance =
     RetryAllowance { ratio: 0.0, slack: 3.2, window_ms: WINDOW_STEPS * STEP_MS };
 
-/// The most repeats that a window may hold.
-const MOST: u32 = 3;
+/// The largest number of repeats allowed in a window.
+const MAX_REPEATS: u32 = 3;
 
-/// A loan on its way.
+/// A loan in transit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Loan {
-    /// To whom.
+    /// The borrower.
     to: usize,
-    /// When the question went out.
+    /// When the loan was requested.
     asked_step: u64,
-    /// When it arrives.
+    /// When the loan arrives.
     arrives_step: u64,
 }
 
 /// A VM's process.
 #[derive(Clone, Default)]
 struct Process {
-    /// The step at which it started; none if no other ran there before it.
+    /// The step at which it started; `None` if no process ran on this VM before it.
     started: Option<u64>,
-    /// What it may repeat.
+    /// Its budget.
     budget: FleetBudget,
 }
 
 impl Process {
-    /// Its clock at a step, in milliseconds.
+    /// Returns the time since its start at a step, in milliseconds.
     fn clock_ms(&self, step: u64) -> u64 {
         (step - self.started.unwrap_or(0)) * STEP_MS
     }
@@ -62,38 +63,40 @@
 /// The state of the fleet.
 #[derive(Clone)]
 struct State {
-    /// The present step.
+    /// The current step.
     now: u64,
     /// The process of each VM.
     vms: [Process; VMS],
-    /// Loans on their way; each is one repeat.
+    /// Loans in transit, of one repeat each.
     loans: Vec<Loan>,
-    /// Repeats that backend servers saw in the steps of the window that ends now, the last first.
-    seen: VecDeque<u32>,
+    /// Repeats that backend servers received in each step of the window that ends now, newest
+    /// first.
+    received: VecDeque<u32>,
 }
 
-/// What may happen next.
+/// An event that may happen next.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// A VM makes a repeat, if it may.
+    /// A VM makes a repeat, if its budget allows one.
     Repeat(usize),
-    /// One VM asks another, which lends if it can; the answer takes so many steps.
+    /// The first VM requests a loan from the second, which lends if it can; the answer arrives
+    /// after this many steps.
     Ask(usize, usize, u64),
     /// A VM's process ends and another starts in its place.
     Restart(usize),
-    /// A step of time passes.
-    Step,
+    /// Time advances by one step.
+    Advance,
 }
 
 impl State {
-    /// Three VMs that start for the first time.
+    /// Creates three VMs that start for the first time.
     fn open() -> State {
         let vms = std::array::from_fn(|_| Process::default());
-        State { now: 0, vms, loans: Vec::new(), seen: VecDeque::from([0]) }
+        State { now: 0, vms, loans: Vec::new(), received: VecDeque::from([0]) }
     }
 
-    /// What a VM may repeat, with its clock at a step.
-    fn part(&self, vm: usize, step: u64) -> (RetryAllowance, u64) {
+    /// Returns a VM's allowance and its clock at a step.
+    fn allowance_of(&self, vm: usize, step: u64) -> (RetryAllowance, u64) {
         let now_ms = self.vms[vm].clock_ms(step);
         let mut slack = SlackPart::open(self.vms[vm].started.is_none(), true);
         slack.know(VMS as u32);
@@ -101,43 +104,44 @@
         (ALLOWANCE.with_part(slack.part(ALLOWANCE.window_ms, now_ms)), now_ms)
     }
 
-    /// What comes of an event; none if nothing does.
-    fn after(&self, event: Event) -> Option<State> {
+    /// Returns the state after an event, or `None` if the event changes nothing.
+    fn apply(&self, event: Event) -> Option<State> {
         let mut next = self.clone();
         match event {
             Event::Repeat(vm) => {
-                let (part, now_ms) = self.part(vm, self.now);
-                if !next.vms[vm].budget.take(part, now_ms) {
+                let (allowance, now_ms) = self.allowance_of(vm, self.now);
+                if !next.vms[vm].budget.take(allowance, now_ms) {
                     return None;
                 }
-                next.seen[0] += 1;
+                next.received[0] += 1;
             }
-            Event::Ask(from, to, takes) => {
-                let (part, now_ms) = self.part(to, self.now);
-                if !self.loans.is_empty() || next.vms[to].budget.lend(1.0, part, now_ms) < 1.0 {
+            Event::Ask(from, to, delay_steps) => {
+                let (allowance, now_ms) = self.allowance_of(to, self.now);
+                if !self.loans.is_empty() || next.vms[to].budget.lend(1.0, allowance, now_ms) < 1.0
+                {
                     return None;
                 }
-                let (asked_step, arrives_step) = (self.now, self.now + takes);
+                let (asked_step, arrives_step) = (self.now, self.now + delay_steps);
                 next.loans.push(Loan { to: from, asked_step, arrives_step });
-                next.arrive();
+                next.deliver_loans();
             }
             Event::Restart(vm) => {
                 next.vms[vm] = Process { started: Some(self.now), ..Process::default() };
-                // The process that starts has asked nobody.
+                // The new process has requested no loan.
                 next.loans.retain(|loan| loan.to != vm);
             }
-            Event::Step => {
+            Event::Advance => {
                 next.now += 1;
-                next.seen.push_front(0);
-                next.seen.truncate(WINDOW_STEPS as usize);
-                next.arrive();
+                next.received.push_front(0);
+                next.received.truncate(WINDOW_STEPS as usize);
+                next.deliver_loans();
             }
         }
         Some(next)
     }
 
-    /// Hands over the loans that are due.
-    fn arrive(&mut self) {
+    /// Delivers the loans that are due.
+    fn deliver_loans(&mut self) {
         let (due, later) = self.loans.drain(..).partition(|loan| loan.arrives_step <= self.now);
         self.loans = later;
         for Loan { to, asked_step, .. } in due {
@@ -146,62 +150,67 @@
         }
     }
 
-    /// How many repeats lie in the window that ends now.
+    /// Returns the number of repeats in the window that ends now.
     fn window(&self) -> u32 {
-        self.seen.iter().sum()
+        self.received.iter().sum()
     }
 
-    /// What tells the state from others: how each VM will stand if nothing more happens, and what is on its way.
-    fn fingerprint(&self) -> u64 {
-        let mut print = Vec::new();
+    /// Returns a hash of all that affects future behaviour: what each VM may repeat in the coming
+    /// steps if nothing more happens, and the loans in transit.
+    fn behavior_hash(&self) -> u64 {
+        let mut values = Vec::new();
         for vm in 0..VMS {
             let Process { started, budget } = &self.vms[vm];
-            // One that has run for as long as anything counts is like one that was the first.
-            print.push(started.map_or(AHEAD_STEPS, |started| self.now - started).min(AHEAD_STEPS));
-            for ahead in 0..=AHEAD_STEPS {
-                let (part, now_ms) = self.part(vm, self.now + ahead);
-                let room = budget.clone().room(part, now_ms);
-                print.extend([(room.own * 100.0) as u64, (room.lent * 100.0) as u64]);
+            // A process that has run longer than any count has an effect behaves like a first
+            // process.
+            values.push(
+                started.map_or(HORIZON_STEPS, |started| self.now - started).min(HORIZON_STEPS),
+            );
+            for ahead in 0..=HORIZON_STEPS {
+                let (allowance, now_ms) = self.allowance_of(vm, self.now + ahead);
+                let room = budget.clone().room(allowance, now_ms);
+                values.extend([(room.own * 100.0) as u64, (room.lent * 100.0) as u64]);
             }
         }
         for Loan { to, asked_step, arrives_step } in &self.loans {
-            print.extend([*to as u64, self.now - asked_step, arrives_step - self.now]);
+            values.extend([*to as u64, self.now - asked_step, arrives_step - self.now]);
         }
-        print.extend(self.seen.iter().map(|seen| u64::from(*seen)));
-        print.extend(self.seen.iter().map(|seen| u64::from(*seen)));
+        values.extend(self.received.iter().map(|received| u64::from(*received)));
+        values.extend(self.received.iter().map(|received| u64::from(*received)));
         let mut hasher = DefaultHasher::new();
-        print.hash(&mut hasher);
+        values.hash(&mut hasher);
         hasher.finish()
     }
 }
 
-/// Everything that may happen.
+/// Returns all events.
 fn events() -> Vec<Event> {
     let last = LOAN_TTL_MS / STEP_MS - 1;
-    let pairs = (0..PLACED).flat_map(|from| (0..VMS).map(move |to| (from, to)));
+    let pairs = (0..BORROWERS).flat_map(|from| (0..VMS).map(move |to| (from, to)));
     let pairs = pairs.filter(|(from, to)| from != to);
-    let asks = pairs.flat_map(|(from, to)| [0, last].map(|takes| Event::Ask(from, to, takes)));
-    let repeats = (0..PLACED).map(Event::Repeat);
-    repeats.chain(asks).chain([Event::Restart(0), Event::Step]).collect()
+    let asks =
+        pairs.flat_map(|(from, to)| [0, last].map(|delay_steps| Event::Ask(from, to, delay_steps)));
+    let repeats = (0..BORROWERS).map(Event::Repeat);
+    repeats.chain(asks).chain([Event::Restart(0), Event::Advance]).collect()
 }
 
 #[test]
-fn no_order_of_events_takes_a_window_over_the_slack() {
+fn repeats_stay_within_slack_for_all_event_orders() {
     let events = events();
     let mut visited = HashSet::new();
     let mut open = VecDeque::from([State::open()]);
     let mut most = 0;
     while let Some(state) = open.pop_front() {
         most = most.max(state.window());
-        assert!(state.window() <= MOST, "{:?} by step {}", state.seen, state.now);
+        assert!(state.window() <= MAX_REPEATS, "{:?} by step {}", state.received, state.now);
         for event in &events {
-            let Some(next) = state.after(*event) else { continue };
-            if visited.insert(next.fingerprint()) {
+            let Some(next) = state.apply(*event) else { continue };
+            if visited.insert(next.behavior_hash()) {
                 open.push_back(next);
             }
         }
     }
-    assert_eq!(most, MOST, "what is allowed is also spent");
+    assert_eq!(most, MAX_REPEATS, "the whole allowance is reachable");
     assert!(visited.len() > 10_000, "{} states", visited.len());
     println!("{} states", visited.len());
 }
--- a/crates/leverstream-route/tests/fleet/mod.rs
+++ b/crates/leverstream-route/tests/fleet/mod.rs
@@ -1,7 +1,9 @@
-//! A fleet of VMs before a service that rejects work, in simulated time: VMs are killed, restarted, frozen and cut
-//! off, datagrams are lost, doubled and late. What callers sent and what backend servers saw is kept.
+//! Simulates a fleet of VMs and a service that rejects requests, in simulated time: VMs are killed,
+//! restarted, frozen and partitioned; datagrams are lost, duplicated and delayed. It records what
+//! callers sent and what backend servers received.
 //!
-//! How a VM decides and what VMs tell each other stands in [`vm`]; the rest knows nothing of it.
+//! [`vm`] holds the decisions of a VM and the messages between VMs; this module is independent of
+//! both.
 
 pub mod vm;
 
@@ -14,165 +16,167 @@
 
 use vm::{Message, Vm};
 
-/// The time between two steps, in milliseconds.
+/// The length of a simulation step, in milliseconds.
 const STEP_MS: u64 = 10;
 
-/// How often a VM looks who is there, in milliseconds.
-const VIEW_MS: u64 = 100;
+/// The interval at which a VM updates its view of the other VMs, in milliseconds.
+const VIEW_INTERVAL_MS: u64 = 100;
 
-/// How often a request is sent on at the most after the first backend server rejected it.
-const REPEATS_LIMIT: u32 = 5;
+/// The largest number of repeats of a request.
+const MAX_REPEATS: u32 = 5;
 
-/// The share of requests that come to a VM which callers are not sent to.
-const STRAYS: f64 = 0.03;
+/// The share of requests that go to any VM instead of those assigned to callers.
+const STRAY_SHARE: f64 = 0.03;
 
-/// How long callers may keep to a VM that is no longer named, in milliseconds.
-const CALLERS_KEEP_MS: u64 = 2_000;
+/// How long callers may use an outdated list of VMs, in milliseconds.
+const MAX_LIST_AGE_MS: u64 = 2_000;
 
 /// The length of the window of the bound in these tests, in milliseconds.
 pub const WINDOW_MS: u64 = 10_000;
 
-/// What happens to a VM.
+/// An event at a VM.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// Its process is gone.
+    /// Its process ends.
     Kill,
     /// A new process starts.
     Start,
-    /// It is no longer named to callers, and serves those that still come.
-    Leave,
-    /// It stands still for so long, in milliseconds.
+    /// It is removed from the list for callers, and serves those that still use it.
+    Drain,
+    /// Its process freezes for this time, in milliseconds.
     Freeze(u64),
-    /// Other VMs cannot reach it, nor it them, for so long, in milliseconds; callers do.
-    Cut(u64),
+    /// It and the other VMs can't reach each other for this time, in milliseconds; callers can
+    /// reach it.
+    Partition(u64),
 }
 
-/// What befalls a fleet.
+/// A scenario to simulate.
 #[derive(Clone, Debug)]
-pub struct Story {
-    /// How many VMs there are.
+pub struct Scenario {
+    /// The number of VMs.
     pub vms: usize,
-    /// How many data halls they stand in; callers are sent to one VM of each.
+    /// The number of data halls; callers use one VM of each.
     pub halls: usize,
-    /// Requests a second of all callers.
+    /// Requests per second from all callers.
     pub requests_per_s: f64,
-    /// What all VMs together may repeat.
+    /// The allowance of all VMs together.
     pub allowance: RetryAllowance,
-    /// When the service rejects work, from and to, and which share.
+    /// The periods in which the service rejects requests: from, to and the rejected share.
     pub rejects: Vec<(u64, u64, f64)>,
-    /// What happens to which VM when, in milliseconds.
+    /// The events: time in milliseconds, VM and event.
     pub events: Vec<(u64, usize, Event)>,
     /// The share of datagrams that are lost.
-    pub lost: f64,
-    /// The share that comes twice.
-    pub doubled: f64,
-    /// The longest that a datagram takes, in milliseconds.
-    pub late_ms: u64,
-    /// The length, in milliseconds.
-    pub length_ms: u64,
-    /// What luck hangs on.
+    pub loss_rate: f64,
+    /// The share of datagrams that are duplicated.
+    pub duplicate_rate: f64,
+    /// The longest delay of a datagram, in milliseconds.
+    pub max_delay_ms: u64,
+    /// The length of the simulation, in milliseconds.
+    pub duration_ms: u64,
+    /// The seed of the random number generator.
     pub seed: u64,
 }
 
-/// What callers sent and what backend servers saw, by when.
+/// The times of the requests that callers sent and of the repeats that backend servers received.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// What all VMs together may repeat.
+pub struct Recording {
+    /// The allowance of all VMs together.
     pub allowance: RetryAllowance,
     /// Requests that callers sent.
     pub requests: Vec<u64>,
-    /// Arrivals beyond the first of their request.
+    /// Requests that backend servers received, except the first of each request.
     pub repeats: Vec<u64>,
 }
 
-/// A window with more repeats than allowed.
+/// The repeats in a window.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Excess {
-    /// When it begins.
+pub struct WindowRepeats {
+    /// When the window begins.
     pub from_ms: u64,
     /// The repeats in it.
     pub repeats: usize,
-    /// What was allowed.
+    /// The number of repeats allowed.
     pub allowed: f64,
 }
 
-/// One VM's place in the fleet.
+/// A VM of the fleet and its process.
 #[derive(Debug, Default)]
-struct Seat {
+struct Host {
     /// The process that runs there.
     vm: Option<Vm>,
-    /// Whether it is named to callers.
-    is_leaving: bool,
-    /// What its process believes of the others.
+    /// Whether it is removed from the list for callers.
+    is_draining: bool,
+    /// Its view of the other VMs.
     view: View,
-    /// Until when it stands still.
+    /// When its freeze ends.
     frozen_until_ms: u64,
-    /// Until when it is cut off.
-    cut_until_ms: u64,
+    /// When its partition ends.
+    partitioned_until_ms: u64,
 }
 
-/// Which VMs a VM believes to be there.
+/// A VM's view of the fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
-    /// The VM's own place.
+    /// The VM's own index.
     pub me: usize,
-    /// Those that callers are sent to.
+    /// The VMs that callers use.
     pub placed: Vec<usize>,
-    /// All that are there.
+    /// All VMs that are alive.
     pub alive: Vec<usize>,
 }
 
-/// A fleet while it runs.
+/// A running simulation.
 struct Fleet {
-    /// What befalls it.
-    story: Story,
+    /// The scenario.
+    scenario: Scenario,
     /// The VMs.
-    seats: Vec<Seat>,
-    /// Datagrams under way, by when they arrive.
-    under_way: BTreeMap<(u64, u64), (usize, usize, Message)>,
+    hosts: Vec<Host>,
+    /// Datagrams in transit, by arrival time and number: sender, receiver and message.
+    in_transit: BTreeMap<(u64, u64), (usize, usize, Message)>,
     /// The number of the next datagram.
-    next: u64,
-    /// Who was there at each step of late, as seen from outside, the newest last.
-    past: Vec<Vec<bool>>,
-    /// What decides.
+    next_datagram: u64,
+    /// The VMs that were listed for callers at each step, newest last.
+    listed_at: Vec<Vec<bool>>,
+    /// The random number generator.
     rng: StdRng,
-    /// What was seen.
-    seen: Seen,
+    /// The recorded requests and repeats.
+    recording: Recording,
 }
 
-/// Plays a story.
-pub fn play(story: Story) -> Seen {
-    let rng = StdRng::seed_from_u64(story.seed);
-    let seats = (0..story.vms).map(|_| Seat::default()).collect();
-    let (under_way, past, allowance) = (BTreeMap::new(), Vec::new(), story.allowance);
-    let seen = Seen { allowance, requests: Vec::new(), repeats: Vec::new() };
-    let mut fleet = Fleet { story, seats, under_way, next: 0, past, rng, seen };
-    for seat in 0..fleet.seats.len() {
-        fleet.start(seat, 0);
+/// Simulates a scenario.
+pub fn simulate(scenario: Scenario) -> Recording {
+    let rng = StdRng::seed_from_u64(scenario.seed);
+    let hosts = (0..scenario.vms).map(|_| Host::default()).collect();
+    let (in_transit, listed_at, allowance) = (BTreeMap::new(), Vec::new(), scenario.allowance);
+    let recording = Recording { allowance, requests: Vec::new(), repeats: Vec::new() };
+    let mut fleet =
+        Fleet { scenario, hosts, in_transit, next_datagram: 0, listed_at, rng, recording };
+    for host in 0..fleet.hosts.len() {
+        fleet.start(host, 0);
     }
-    for now_ms in (0..fleet.story.length_ms).step_by(STEP_MS as usize) {
+    for now_ms in (0..fleet.scenario.duration_ms).step_by(STEP_MS as usize) {
         fleet.step(now_ms);
     }
-    fleet.seen
+    fleet.recording
 }
 
 impl Fleet {
-    /// One step of time.
+    /// Simulates one step.
     fn step(&mut self, now_ms: u64) {
-        let events = std::mem::take(&mut self.story.events);
-        for (_, seat, event) in
+        let events = std::mem::take(&mut self.scenario.events);
+        for (_, host, event) in
             events.iter().filter(|(at_ms, ..)| at_ms / STEP_MS == now_ms / STEP_MS)
         {
-            self.happen(*seat, *event, now_ms);
+            self.apply(*host, *event, now_ms);
         }
-        self.story.events = events;
-        let named = |seat: &Seat| seat.vm.is_some() && !seat.is_leaving;
-        self.past.push(self.seats.iter().map(named).collect());
+        self.scenario.events = events;
+        let listed = |host: &Host| host.vm.is_some() && !host.is_draining;
+        self.listed_at.push(self.hosts.iter().map(listed).collect());
         self.deliver(now_ms);
-        for seat in 0..self.seats.len() {
-            self.tick(seat, now_ms);
+        for host in 0..self.hosts.len() {
+            self.tick(host, now_ms);
         }
-        let count = self.story.requests_per_s * STEP_MS as f64 / 1_000.0;
+        let count = self.scenario.requests_per_s * STEP_MS as f64 / 1_000.0;
         let count = count as u64 + u64::from(self.rng.random_bool(count.fract()));
         for _ in 0..count {
             self.request(now_ms);
@@ -180,140 +184,147 @@
     }
 
     /// Starts a process on a VM.
-    fn start(&mut self, seat: usize, now_ms: u64) {
-        let life = self.rng.random();
-        self.seats[seat] =
-            Seat { vm: Some(Vm::start(life, self.story.allowance, now_ms)), ..Seat::default() };
+    fn start(&mut self, host: usize, now_ms: u64) {
+        let process_number = self.rng.random();
+        self.hosts[host] = Host {
+            vm: Some(Vm::start(process_number, self.scenario.allowance, now_ms)),
+            ..Host::default()
+        };
     }
 
-    /// Something befalls a VM.
-    fn happen(&mut self, seat: usize, event: Event, now_ms: u64) {
+    /// Applies an event to a VM.
+    fn apply(&mut self, host: usize, event: Event, now_ms: u64) {
         match event {
-            Event::Kill => self.seats[seat] = Seat::default(),
-            Event::Start => self.start(seat, now_ms),
-            Event::Leave => self.seats[seat].is_leaving = true,
-            Event::Freeze(for_ms) => self.seats[seat].frozen_until_ms = now_ms + for_ms,
-            Event::Cut(for_ms) => self.seats[seat].cut_until_ms = now_ms + for_ms,
+            Event::Kill => self.hosts[host] = Host::default(),
+            Event::Start => self.start(host, now_ms),
+            Event::Drain => self.hosts[host].is_draining = true,
+            Event::Freeze(for_ms) => self.hosts[host].frozen_until_ms = now_ms + for_ms,
+            Event::Partition(for_ms) => self.hosts[host].partitioned_until_ms = now_ms + for_ms,
         }
     }
 
-    /// Whether a VM's process takes part at all.
-    fn runs(&self, seat: usize, now_ms: u64) -> bool {
-        self.seats[seat].vm.is_some() && now_ms >= self.seats[seat].frozen_until_ms
+    /// Returns whether a VM's process runs.
+    fn runs(&self, host: usize, now_ms: u64) -> bool {
+        self.hosts[host].vm.is_some() && now_ms >= self.hosts[host].frozen_until_ms
     }
 
-    /// Who was there so long ago.
-    fn past(&self, ago_ms: u64) -> &[bool] {
-        let last = self.past.len() - 1;
-        &self.past[last.saturating_sub((ago_ms / STEP_MS) as usize)]
+    /// Returns the VMs that were listed for callers `ago_ms` ago.
+    fn listed_at(&self, ago_ms: u64) -> &[bool] {
+        let last = self.listed_at.len() - 1;
+        &self.listed_at[last.saturating_sub((ago_ms / STEP_MS) as usize)]
     }
 
-    /// What a VM believes of the others: each hears with a delay of its own; one that is cut off soon knows nobody.
-    fn view(&self, seat: usize, now_ms: u64) -> View {
-        let delay_ms = 200 + 100 * (seat as u64 * 7 % 10);
-        let is_alone = now_ms + 1 < self.seats[seat].cut_until_ms;
+    /// Returns a VM's view of the fleet. Each VM learns of changes with its own delay; a
+    /// partitioned one sees no other VM.
+    fn view(&self, host: usize, now_ms: u64) -> View {
+        let delay_ms = 200 + 100 * (host as u64 * 7 % 10);
+        let is_alone = now_ms + 1 < self.hosts[host].partitioned_until_ms;
         let is_known = |other: usize| {
-            let is_cut = is_alone || now_ms < self.seats[other].cut_until_ms;
-            other == seat || (self.past(delay_ms)[other] && !is_cut)
+            let is_partitioned = is_alone || now_ms < self.hosts[other].partitioned_until_ms;
+            other == host || (self.listed_at(delay_ms)[other] && !is_partitioned)
         };
-        let alive: Vec<usize> = (0..self.seats.len()).filter(|other| is_known(*other)).collect();
-        View { me: seat, placed: self.placed(&alive), alive }
+        let alive: Vec<usize> = (0..self.hosts.len()).filter(|other| is_known(*other)).collect();
+        View { me: host, placed: self.placed(&alive), alive }
     }
 
-    /// Whom callers are sent to among some: the first of each hall.
+    /// Returns the VMs that callers use: the first of each hall among `alive`.
     fn placed(&self, alive: &[usize]) -> Vec<usize> {
         let first =
-            |hall: usize| alive.iter().copied().find(|seat| seat % self.story.halls == hall);
-        (0..self.story.halls).filter_map(first).collect()
+            |hall: usize| alive.iter().copied().find(|host| host % self.scenario.halls == hall);
+        (0..self.scenario.halls).filter_map(first).collect()
     }
 
-    /// Hands over the datagrams that are due.
+    /// Delivers the datagrams that are due.
     fn deliver(&mut self, now_ms: u64) {
-        while let Some(entry) = self.under_way.first_entry().filter(|entry| entry.key().0 <= now_ms)
+        while let Some(entry) =
+            self.in_transit.first_entry().filter(|entry| entry.key().0 <= now_ms)
         {
             let (from, to, message) = entry.remove();
-            let is_cut = |seat: usize| now_ms < self.seats[seat].cut_until_ms;
-            if is_cut(from) || is_cut(to) || !self.runs(to, now_ms) {
+            let is_partitioned = |host: usize| now_ms < self.hosts[host].partitioned_until_ms;
+            if is_partitioned(from) || is_partitioned(to) || !self.runs(to, now_ms) {
                 continue;
             }
-            let out = self.seats[to].vm.as_mut().map(|vm| vm.receive(from, &message, now_ms));
-            self.post(to, out.unwrap_or_default(), now_ms);
+            let out = self.hosts[to].vm.as_mut().map(|vm| vm.receive(from, &message, now_ms));
+            self.send(to, out.unwrap_or_default(), now_ms);
         }
     }
 
-    /// Has a VM do what is due.
-    fn tick(&mut self, seat: usize, now_ms: u64) {
-        if !self.runs(seat, now_ms) {
+    /// Lets a VM do its periodic work.
+    fn tick(&mut self, host: usize, now_ms: u64) {
+        if !self.runs(host, now_ms) {
             return;
         }
-        if self.seats[seat].view.alive.is_empty() || now_ms.is_multiple_of(VIEW_MS) {
-            self.seats[seat].view = self.view(seat, now_ms);
+        if self.hosts[host].view.alive.is_empty() || now_ms.is_multiple_of(VIEW_INTERVAL_MS) {
+            self.hosts[host].view = self.view(host, now_ms);
         }
-        let Seat { vm, view, .. } = &mut self.seats[seat];
+        let Host { vm, view, .. } = &mut self.hosts[host];
         let out = vm.as_mut().map(|vm| vm.tick(view, now_ms));
-        self.post(seat, out.unwrap_or_default(), now_ms);
+        self.send(host, out.unwrap_or_default(), now_ms);
     }
 
-    /// Sends datagrams; some are lost, some come twice.
-    fn post(&mut self, from: usize, out: Vec<(usize, Message)>, now_ms: u64) {
+    /// Sends datagrams; some are lost, some duplicated.
+    fn send(&mut self, from: usize, out: Vec<(usize, Message)>, now_ms: u64) {
         for (to, message) in out {
-            let copies = 1 + u64::from(self.rng.random_bool(self.story.doubled));
+            let copies = 1 + u64::from(self.rng.random_bool(self.scenario.duplicate_rate));
             for _ in 0..copies {
-                if self.rng.random_bool(self.story.lost) {
+                if self.rng.random_bool(self.scenario.loss_rate) {
                     continue;
                 }
-                let at_ms = now_ms + self.rng.random_range(1..=self.story.late_ms);
-                self.under_way.insert((at_ms, self.next), (from, to, message.clone()));
-                self.next += 1;
+                let at_ms = now_ms + self.rng.random_range(1..=self.scenario.max_delay_ms);
+                self.in_transit.insert((at_ms, self.next_datagram), (from, to, message.clone()));
+                self.next_datagram += 1;
             }
         }
     }
 
-    /// A caller sends a request to a VM that it was told of some time ago.
+    /// Sends a request to a VM from a list of VMs that may be outdated.
     fn request(&mut self, now_ms: u64) {
-        self.seen.requests.push(now_ms);
-        let ago_ms = self.rng.random_range(0..CALLERS_KEEP_MS);
-        let named: Vec<usize> =
-            (0..self.seats.len()).filter(|seat| self.past(ago_ms)[*seat]).collect();
-        let placed = self.placed(&named);
-        let is_stray = self.rng.random_bool(STRAYS);
-        let Some(seat) = (if is_stray { &named } else { &placed }).choose(&mut self.rng).copied()
+        self.recording.requests.push(now_ms);
+        let ago_ms = self.rng.random_range(0..MAX_LIST_AGE_MS);
+        let listed: Vec<usize> =
+            (0..self.hosts.len()).filter(|host| self.listed_at(ago_ms)[*host]).collect();
+        let placed = self.placed(&listed);
+        let is_stray = self.rng.random_bool(STRAY_SHARE);
+        let Some(host) = (if is_stray { &listed } else { &placed }).choose(&mut self.rng).copied()
         else {
             return;
         };
-        if !self.runs(seat, now_ms) {
+        if !self.runs(host, now_ms) {
             return;
         }
-        let reject = self.story.rejects.iter().find(|(from, to, _)| (*from..*to).contains(&now_ms));
+        let reject =
+            self.scenario.rejects.iter().find(|(from, to, _)| (*from..*to).contains(&now_ms));
         let reject = reject.map_or(0.0, |(.., share)| *share);
-        let Some(vm) = &mut self.seats[seat].vm else { return };
+        let Some(vm) = &mut self.hosts[host].vm else { return };
         vm.request(now_ms);
-        for _ in 0..REPEATS_LIMIT {
+        for _ in 0..MAX_REPEATS {
             if !self.rng.random_bool(reject) {
                 return;
             }
             if !vm.take(now_ms) {
                 return;
             }
-            self.seen.repeats.push(now_ms);
+            self.recording.repeats.push(now_ms);
         }
     }
 }
 
-impl Seen {
-    /// The window with the largest excess over what is allowed, if any holds more.
+impl Recording {
+    /// Returns the window with the largest excess of repeats, or `None` if no window holds more
+    /// than allowed.
     ///
-    /// Requests count from the window, from the one before it or from the one half a window earlier.
-    pub fn worst(&self) -> Option<Excess> {
+    /// The requests of the window, the preceding one and the one half a window earlier are
+    /// compared, and the largest count sets the allowance.
+    pub fn worst_excess(&self) -> Option<WindowRepeats> {
         let end_ms = self.requests.last().copied().unwrap_or_default();
         let windows = (0..=end_ms).step_by(50);
         let excess = windows.map(|from_ms| self.window(from_ms));
-        let over = |excess: &Excess| excess.repeats as f64 - excess.allowed;
+        let over = |excess: &WindowRepeats| excess.repeats as f64 - excess.allowed;
         excess.filter(|excess| over(excess) > 0.0).max_by(|a, b| over(a).total_cmp(&over(b)))
     }
 
-    /// One window.
-    pub fn window(&self, from_ms: u64) -> Excess {
+    /// Returns the repeats in one window and what was allowed.
+    pub fn window(&self, from_ms: u64) -> WindowRepeats {
         let allowance = self.allowance;
         let window_ms = allowance.window_ms;
         let requests = |from_ms: u64| count(&self.requests, from_ms, window_ms);
@@ -321,11 +332,11 @@
             [from_ms, from_ms.saturating_sub(window_ms / 2), from_ms.saturating_sub(window_ms)];
         let requests = earlier.map(requests).into_iter().max().unwrap_or_default();
         let allowed = allowance.ratio * requests as f64 + allowance.slack;
-        Excess { from_ms, repeats: count(&self.repeats, from_ms, window_ms), allowed }
+        WindowRepeats { from_ms, repeats: count(&self.repeats, from_ms, window_ms), allowed }
     }
 }
 
-/// How many of some times lie in a window; times rise.
+/// Returns how many of `times`, which are sorted, lie in a window.
 fn count(times: &[u64], from_ms: u64, window_ms: u64) -> usize {
     let first = times.partition_point(|at_ms| *at_ms < from_ms);
     times.partition_point(|at_ms| *at_ms < from_ms + window_ms) - first
--- a/crates/leverstream-route/tests/fleet/vm.rs
+++ b/crates/leverstream-route/tests/fleet/vm.rs
@@ -1,4 +1,4 @@
-//! How a VM of the simulated fleet decides, and what VMs tell each other: as the gateway does it.
+//! The decisions of a simulated VM and the messages between VMs, as in the gateway.
 
 use std::collections::BTreeSet;
 
@@ -6,68 +6,69 @@
 
 use super::View;
 
-/// How often a VM tells others how many VMs it knows, in milliseconds.
-const TELL_MS: u64 = 400;
+/// The interval at which a VM reports the number of VMs it knows, in milliseconds.
+const REPORT_INTERVAL_MS: u64 = 400;
 
-/// How much one VM is asked for.
+/// The number of repeats requested from one VM.
 const WANTED: f64 = 2.0;
 
-/// The part of its part of the slack that a VM uses itself while callers are not sent to it.
+/// The fraction of its share of the slack that a VM uses itself while callers are not assigned to
+/// it.
 const STRAY_PART: f64 = 0.15;
 
-/// What one VM tells another.
+/// A message between VMs.
 #[derive(Clone, Debug)]
 pub enum Message {
-    /// How many VMs it knows.
-    Known(u32),
-    /// It asks for repeats.
-    Question(u64),
-    /// It lends some, in answer to a question.
+    /// The number of VMs that the sender knows.
+    KnownVms(u32),
+    /// A loan request, with its number.
+    LoanRequest(u64),
+    /// A loan: the number of the request and the repeats lent.
     Loan(u64, f64),
 }
 
-/// A VM's process.
+/// The process of a VM.
 #[derive(Debug)]
 pub struct Vm {
-    /// When it started: its clock counts from there.
+    /// When it started; its clock counts from there.
     started_ms: u64,
-    /// What all may repeat.
+    /// The allowance of all VMs together.
     allowance: RetryAllowance,
-    /// What it may repeat.
+    /// Its budget.
     budget: FleetBudget,
-    /// Its part of the slack.
+    /// Its share of the slack.
     slack: SlackPart,
-    /// The VMs it has seen.
-    seen: BTreeSet<usize>,
-    /// What it believes of the others.
+    /// The VMs that it has ever seen.
+    known: BTreeSet<usize>,
+    /// Its view of the fleet.
     view: View,
-    /// When it tells others next.
-    tell_ms: u64,
-    /// Its questions to others.
+    /// When it reports to another VM next.
+    next_report_ms: u64,
+    /// Its loan requests.
     asking: Asking<usize>,
-    /// Whether a repeat was wanted since it last asked.
-    wants: bool,
-    /// The number of its last question.
+    /// Whether a repeat was attempted since the last tick.
+    wants_repeat: bool,
+    /// The number of its last loan request.
     number: u64,
-    /// Whom it asks next.
-    next: usize,
+    /// The position of the VM that it asks next.
+    next_lender: usize,
 }
 
 impl Vm {
     /// Starts a process.
-    pub fn start(life: u64, allowance: RetryAllowance, now_ms: u64) -> Vm {
+    pub fn start(process_number: u64, allowance: RetryAllowance, now_ms: u64) -> Vm {
         Vm {
             started_ms: now_ms,
             allowance,
             budget: FleetBudget::default(),
             slack: SlackPart::open(now_ms == 0, true),
-            seen: BTreeSet::new(),
+            known: BTreeSet::new(),
             view: View::default(),
-            tell_ms: 0,
+            next_report_ms: 0,
             asking: Asking::default(),
-            wants: false,
-            number: life,
-            next: (life % 64) as usize,
+            wants_repeat: false,
+            number: process_number,
+            next_lender: (process_number % 64) as usize,
         }
     }
 
@@ -78,48 +79,48 @@
         self.budget.request(part, now_ms);
     }
 
-    /// Takes a repeat if it may.
+    /// Spends one repeat if one is allowed.
     pub fn take(&mut self, now_ms: u64) -> bool {
         let now_ms = now_ms - self.started_ms;
-        self.wants = true;
+        self.wants_repeat = true;
         let part = self.own_part(now_ms);
         self.budget.take(part, now_ms)
     }
 
-    /// Does what is due; returns what to tell whom.
+    /// Does periodic work; returns messages with their receivers.
     pub fn tick(&mut self, view: &View, now_ms: u64) -> Vec<(usize, Message)> {
         let now_ms = now_ms - self.started_ms;
         if self.view != *view {
             self.view = view.clone();
-            self.seen.extend(&view.alive);
-            self.slack.know(self.seen.len() as u32);
+            self.known.extend(&view.alive);
+            self.slack.know(self.known.len() as u32);
         }
         let others: Vec<usize> = view.alive.iter().copied().filter(|vm| *vm != view.me).collect();
         if others.is_empty() {
             return Vec::new();
         }
         let mut out = Vec::new();
-        if now_ms >= self.tell_ms {
-            self.tell_ms = now_ms + TELL_MS;
-            let turn = view.me + (now_ms / TELL_MS) as usize;
+        if now_ms >= self.next_report_ms {
+            self.next_report_ms = now_ms + REPORT_INTERVAL_MS;
+            let turn = view.me + (now_ms / REPORT_INTERVAL_MS) as usize;
             let to = others[turn % others.len()];
-            out.push((to, Message::Known(self.slack.known())));
+            out.push((to, Message::KnownVms(self.slack.known())));
         }
         let part = self.own_part(now_ms);
         let room = self.budget.room(part, now_ms);
-        if std::mem::take(&mut self.wants) && self.asking.is_due(room, now_ms) {
+        if std::mem::take(&mut self.wants_repeat) && self.asking.is_due(room, now_ms) {
             for _ in 0..self.part(now_ms).asked_at_once(WANTED) {
-                self.next += 1;
+                self.next_lender += 1;
                 self.number += 1;
-                let to = others[self.next % others.len()];
+                let to = others[self.next_lender % others.len()];
                 self.asking.ask(self.number, to, now_ms);
-                out.push((to, Message::Question(self.number)));
+                out.push((to, Message::LoanRequest(self.number)));
             }
         }
         out
     }
 
-    /// Takes in what another tells; returns what to answer whom.
+    /// Processes a message; returns answers with their receivers.
     pub fn receive(
         &mut self,
         from: usize,
@@ -129,8 +130,8 @@
         let now_ms = now_ms - self.started_ms;
         let part = self.part(now_ms);
         match *message {
-            Message::Known(vms) => self.slack.hear(vms, now_ms),
-            Message::Question(number) => {
+            Message::KnownVms(vms) => self.slack.hear(vms, now_ms),
+            Message::LoanRequest(number) => {
                 let loan = self.budget.lend(WANTED, part, now_ms);
                 return (loan > 0.0)
                     .then_some((from, Message::Loan(number, loan)))
@@ -146,12 +147,12 @@
         Vec::new()
     }
 
-    /// What it may repeat of what all may.
+    /// Returns its share of the allowance.
     fn part(&self, now_ms: u64) -> RetryAllowance {
         self.allowance.with_part(self.slack.part(self.allowance.window_ms, now_ms))
     }
 
-    /// What it may repeat itself.
+    /// Returns the part of its share that it uses itself.
     fn own_part(&self, now_ms: u64) -> RetryAllowance {
         let is_placed = self.view.placed.contains(&self.view.me);
         self.part(now_ms).with_part(if is_placed { 1.0 } else { STRAY_PART })
--- a/crates/leverstream-route/tests/fleet_budget.rs
+++ b/crates/leverstream-route/tests/fleet_budget.rs
@@ -1,4 +1,4 @@
-//! What one VM may repeat of what all VMs may.
+//! Tests of one VM's budget of repeats and of loans between VMs.
 
 use leverstream_route::{Asking, FleetBudget, LOAN_TTL_MS, RetryAllowance, SlackPart};
 use rand::rngs::StdRng;
@@ -7,8 +7,8 @@
 /// The length of the window, in milliseconds.
 const WINDOW_MS: u64 = 10_000;
 
-/// How many of some times lie in the window that begins at a time.
-fn within(times: &[u64], from_ms: u64) -> usize {
+/// Returns how many of `times` lie in the window that begins at `from_ms`.
+fn count_in_window(times: &[u64], from_ms: u64) -> usize {
     times.iter().filter(|at_ms| (from_ms..from_ms + WINDOW_MS).contains(at_ms)).count()
 }
 
@@ -19,7 +19,7 @@
     let mut budget = FleetBudget::default();
     let (mut repeats, mut requests) = (Vec::new(), Vec::new());
     for now_ms in (0..60_000).step_by(20) {
-        // Requests come in waves; repeats are asked for all the time.
+        // Requests arrive in every other 10 s; repeats are attempted all the time.
         if now_ms % 20_000 < 10_000 {
             budget.request(part, now_ms);
             requests.push(now_ms);
@@ -30,22 +30,22 @@
     }
     assert!(repeats.len() > 50);
     for from_ms in (0..50_000u64).step_by(100) {
-        // Requests count from the window or from the one before it.
-        let earlier = within(&requests, from_ms.saturating_sub(WINDOW_MS));
-        let counted = within(&requests, from_ms).max(earlier) as f64;
+        // The larger of the requests in the window and in the preceding one counts.
+        let earlier = count_in_window(&requests, from_ms.saturating_sub(WINDOW_MS));
+        let counted = count_in_window(&requests, from_ms).max(earlier) as f64;
         let allowed = allowance.ratio * counted + allowance.slack * 0.5;
-        assert!(within(&repeats, from_ms) as f64 <= allowed, "from {from_ms} ms");
+        assert!(count_in_window(&repeats, from_ms) as f64 <= allowed, "from {from_ms} ms");
     }
 }
 
 #[test]
-fn vms_stay_within_the_allowance_together_when_one_takes_anothers_place() {
+fn fleet_stays_within_allowance_when_one_vm_replaces_another() {
     let allowance = RetryAllowance { ratio: 0.2, slack: 60.0, window_ms: WINDOW_MS };
     let part = allowance.with_part(1.0 / 3.0);
     let mut vms = [FleetBudget::default(), FleetBudget::default(), FleetBudget::default()];
     let mut repeats: Vec<u64> = Vec::new();
     for now_ms in (0..40_000).step_by(10) {
-        // The second VM takes the place of the first after 15 s; each asks for repeats all the time.
+        // The second VM replaces the first after 15 s; each attempts repeats all the time.
         let (busy, idle) = if now_ms < 15_000 { ([0, 2], 1) } else { ([1, 2], 0) };
         for vm in busy {
             if now_ms % 50 == 0 {
@@ -61,8 +61,8 @@
         }
     }
     for from_ms in (0..30_000).step_by(100) {
-        let count = within(&repeats, from_ms);
-        // Two VMs have 20 requests a second each.
+        let count = count_in_window(&repeats, from_ms);
+        // Two VMs get 20 requests per second each.
         assert!(count as f64 <= 0.2 * 400.0 + 60.0, "{count} from {from_ms} ms");
     }
     let last = repeats.iter().filter(|at_ms| **at_ms >= 30_000).count();
@@ -70,38 +70,38 @@
 }
 
 #[test]
-fn a_loan_counts_once_in_time_and_from_whom_it_was_asked() {
+fn loan_is_accepted_once_in_time_and_from_the_asked_vm() {
     let (other, third) = (7, 8);
     let mut asking = Asking::default();
     for number in 1..=4 {
         asking.ask(number, other, 1_000);
     }
     assert_eq!(asking.answer(1, other, 1_004), Some(1_000));
-    assert_eq!(asking.answer(1, other, 1_005), None, "it came twice");
-    assert_eq!(asking.answer(2, third, 1_005), None, "another was asked");
-    assert_eq!(asking.answer(9, other, 1_005), None, "nobody was asked");
-    assert_eq!(asking.answer(3, other, 1_000 + LOAN_TTL_MS), None, "it came late");
+    assert_eq!(asking.answer(1, other, 1_005), None, "duplicate answer");
+    assert_eq!(asking.answer(2, third, 1_005), None, "answer from a VM that was not asked");
+    assert_eq!(asking.answer(9, other, 1_005), None, "no request with this number");
+    assert_eq!(asking.answer(3, other, 1_000 + LOAN_TTL_MS), None, "late answer");
 }
 
 #[test]
-fn what_is_lent_is_spent_until_it_can_no_longer_be_spent_elsewhere() {
+fn loan_counts_as_spent_by_lender_until_it_expires() {
     let part = RetryAllowance { ratio: 0.2, slack: 3.0, window_ms: WINDOW_MS };
     let mut lender = FleetBudget::default();
     let loan = lender.lend(2.5, part, 1_000);
     assert!(loan > 2.4);
-    let is_open = |lender: &mut FleetBudget, now_ms| lender.room(part, now_ms).has_one();
-    assert!(!is_open(&mut lender, 1_000));
-    assert!(!is_open(&mut lender, 1_000 + LOAN_TTL_MS + WINDOW_MS - 1));
-    assert!(is_open(&mut lender, 1_000 + LOAN_TTL_MS + WINDOW_MS + 250));
+    let allows_repeat = |lender: &mut FleetBudget, now_ms| lender.room(part, now_ms).has_one();
+    assert!(!allows_repeat(&mut lender, 1_000));
+    assert!(!allows_repeat(&mut lender, 1_000 + LOAN_TTL_MS + WINDOW_MS - 1));
+    assert!(allows_repeat(&mut lender, 1_000 + LOAN_TTL_MS + WINDOW_MS + 250));
     let mut borrower = FleetBudget::default();
     borrower.borrow(loan, 1_000);
     let none = part.with_part(0.0);
     assert!(borrower.take(none, 1_000 + LOAN_TTL_MS - 1));
-    assert!(!borrower.take(none, 1_000 + LOAN_TTL_MS), "the loan has ended");
+    assert!(!borrower.take(none, 1_000 + LOAN_TTL_MS), "the loan has expired");
 }
 
 #[test]
-fn a_process_that_has_just_started_has_no_part_until_the_one_before_it_is_out_of_the_window() {
+fn new_process_has_no_share_until_previous_one_has_left_the_window() {
     let mut slack = SlackPart::open(false, true);
     slack.know(4);
     slack.hear(4, 100);
@@ -111,27 +111,27 @@
     let mut first = SlackPart::open(true, true);
     first.know(4);
     first.hear(4, 100);
-    assert_eq!(first.part(WINDOW_MS, 100), 0.25, "none ran before it");
+    assert_eq!(first.part(WINDOW_MS, 100), 0.25, "no process ran before it");
 }
 
 #[test]
-fn who_has_heard_nobody_has_no_part_and_the_largest_number_told_counts() {
+fn vm_without_reports_has_no_share_and_largest_report_counts() {
     let mut slack = SlackPart::open(true, true);
     slack.know(1);
-    assert_eq!(slack.part(WINDOW_MS, 60_000), 0.0, "it may be cut off");
+    assert_eq!(slack.part(WINDOW_MS, 60_000), 0.0, "it may be partitioned");
     slack.know(4);
     slack.hear(10, 60_000);
     slack.hear(5, 60_100);
     assert_eq!(slack.part(WINDOW_MS, 60_100), 0.1);
     slack.hear(5, 500_000);
-    assert_eq!(slack.part(WINDOW_MS, 500_000), 0.2, "what was told long ago is forgotten");
+    assert_eq!(slack.part(WINDOW_MS, 500_000), 0.2, "old reports expire");
     let mut alone = SlackPart::open(true, false);
     alone.know(1);
-    assert_eq!(alone.part(WINDOW_MS, 100), 1.0, "no others are to be there");
+    assert_eq!(alone.part(WINDOW_MS, 100), 1.0, "no other VMs are configured");
 }
 
 #[test]
-fn requests_leave_the_window_as_they_came() {
+fn requests_leave_the_window_by_arrival_time() {
     let part = RetryAllowance { ratio: 0.2, slack: 0.0, window_ms: WINDOW_MS };
     let mut budget = FleetBudget::default();
     for now_ms in (10_000..20_000).step_by(100) {
@@ -143,26 +143,26 @@
 }
 
 #[test]
-fn a_budget_of_which_nobody_asks_stays_small() {
+fn budget_memory_is_bounded_without_reads() {
     let part = RetryAllowance { ratio: 0.2, slack: 10.0, window_ms: WINDOW_MS };
     let mut budget = FleetBudget::default();
-    let mut pass = |from: u64, to: u64| {
+    let mut run = |from: u64, to: u64| {
         for at_s in from..to {
             budget.request(part, at_s * 1_000);
             budget.lend(1.0, part, at_s * 1_000);
         }
         format!("{budget:?}").len()
     };
-    let after_an_hour = pass(0, 3_600);
-    let after_two = pass(3_600, 7_200);
-    let after_a_pause = pass(14_400, 14_410);
+    let after_an_hour = run(0, 3_600);
+    let after_two = run(3_600, 7_200);
+    let after_a_pause = run(14_400, 14_410);
     assert!(after_two < after_an_hour * 11 / 10, "{after_an_hour} {after_two}");
     assert!(after_a_pause < after_an_hour, "{after_an_hour} {after_a_pause}");
 }
 
-/// The part of a slack of 1,040 that 35 VMs use in a window, in which half of all requests want a repeat, as one of so many
-/// VMs each; the others have no requests.
-fn used_of_slack(vms: usize) -> f64 {
+/// Returns the fraction of a slack of 1,040 repeats that is lent to 35 VMs in a window, in a fleet
+/// of `vms` VMs. Half of the requests at the 35 VMs need a repeat; the other VMs get no requests.
+fn lent_fraction_of_slack(vms: usize) -> f64 {
     const BUSY: usize = 35;
     const WANTED: f64 = 2.0;
     let allowance = RetryAllowance { ratio: 0.2, slack: 1_040.0, window_ms: WINDOW_MS };
@@ -195,25 +195,26 @@
 }
 
 #[test]
-fn a_slack_is_lent_however_many_vms_it_is_divided_over() {
-    // Beyond twice as many VMs as the slack has repeats nobody had as much as the smallest loan, and nothing was lent.
+fn slack_is_lent_in_fleets_of_any_size() {
+    // When a fixed minimum applied to loans, nothing was lent in fleets with more than twice as
+    // many VMs as the slack has repeats: each VM's share was below the minimum.
     for vms in [500, 986, 2_000, 4_000, 7_000] {
-        let used = used_of_slack(vms);
+        let used = lent_fraction_of_slack(vms);
         assert!((0.6..=1.0).contains(&used), "{vms} VMs: {used}");
     }
 }
 
 #[test]
-fn a_loan_is_waited_for_as_long_as_a_question_is_young_and_not_answered() {
+fn loan_is_awaited_while_a_recent_request_is_unanswered() {
     let mut asking = Asking::default();
-    assert!(!asking.is_awaited(1_000), "nobody was asked");
+    assert!(!asking.is_awaited(1_000), "no VM was asked");
     asking.ask(7, 'a', 1_000);
     asking.ask(8, 'b', 1_000);
     assert!(asking.is_awaited(1_010));
-    // The one lends; what the other lends may come yet.
+    // One VM has lent; the other may still answer.
     assert!(asking.answer(7, 'a', 1_002).is_some());
     assert!(asking.is_awaited(1_010));
-    assert!(!asking.is_awaited(1_020), "the other has nothing to spare");
-    assert!(asking.answer(8, 'b', 1_030).is_some(), "it counts all the same");
+    assert!(!asking.is_awaited(1_020), "the other has not answered in time");
+    assert!(asking.answer(8, 'b', 1_030).is_some(), "a loan after the wait is still accepted");
     assert!(!asking.is_awaited(1_031));
 }
--- a/crates/leverstream-route/tests/route.rs
+++ b/crates/leverstream-route/tests/route.rs
@@ -1,4 +1,4 @@
-//! Picks, the queue and the budget of retries.
+//! Tests of the pickers, the queue and the retry budget.
 
 use leverstream_error::Kind;
 use leverstream_health::BackendKey;
@@ -9,12 +9,12 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// A candidate with some load.
+/// Returns a candidate with a load.
 fn candidate(key: u32, load: u32) -> Candidate {
     Candidate { key: BackendKey(key), load, own: load, slots: 2, weight: 100.0, is_trial: false }
 }
 
-/// Chooses with the default picker.
+/// Chooses a candidate with the default picker.
 fn pick(candidates: &[Candidate], tried: &[BackendKey], seed: u64) -> Option<BackendKey> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut turn = Turn { count: seed, rng: &mut rng };
@@ -23,18 +23,18 @@
 }
 
 #[test]
-fn what_was_tried_is_chosen_only_when_no_other_is_fit() {
+fn tried_backend_is_chosen_only_when_no_other_is_fit() {
     let (first, second) = (candidate(0, 0), candidate(1, 1));
     for seed in 0..50 {
         assert_eq!(pick(&[first, second], &[BackendKey(0)], seed), Some(BackendKey(1)));
         assert_eq!(pick(&[first], &[BackendKey(0)], seed), Some(BackendKey(0)));
-        // The other is fit but full: waiting for it is better than the same one again.
+        // The other is fit but full: waiting for it is better than using the same one again.
         assert_eq!(pick(&[first, candidate(1, 2)], &[BackendKey(0)], seed), None);
     }
 }
 
 #[test]
-fn a_trial_is_tried_now_and_then_also_while_others_work_there() {
+fn trial_backend_gets_some_requests_even_when_other_vms_use_it() {
     let trial = Candidate { is_trial: true, weight: 0.0, own: 0, ..candidate(0, 1) };
     let chosen =
         (0..400).filter(|seed| pick(&[trial, candidate(1, 0)], &[], *seed) == Some(BackendKey(0)));
@@ -43,13 +43,13 @@
     assert!((0..400).all(|seed| pick(&[busy, candidate(1, 0)], &[], seed) == Some(BackendKey(1))));
 }
 
-/// An arrival with a deadline.
+/// Returns an arrival with a deadline.
 fn arrival(deadline_ms: u64, gives_way: bool) -> Arrival {
     Arrival { deadline_ms, gives_way, typical_ms: 10.0, slots: 1 }
 }
 
 #[test]
-fn the_queue_goes_by_deadline_and_refuses_early_what_cannot_make_it() {
+fn queue_orders_by_deadline_and_refuses_requests_that_cannot_meet_it() {
     let mut queue = Queue::default();
     let (late, _) = queue.enter(arrival(300, false), 10, 0).expect("there is room");
     let (early, _) = queue.enter(arrival(200, false), 10, 0).expect("there is room");
@@ -61,13 +61,13 @@
 }
 
 #[test]
-fn when_full_the_last_that_gives_way_goes() {
+fn full_queue_displaces_the_last_request_that_gives_way() {
     let mut queue = Queue::default();
     let (_, _) = queue.enter(arrival(300, false), 2, 0).expect("there is room");
-    let (yielding, _) = queue.enter(arrival(400, true), 2, 0).expect("there is room");
+    let (displaceable, _) = queue.enter(arrival(400, true), 2, 0).expect("there is room");
     assert_eq!(queue.enter(arrival(500, true), 2, 0).err(), Some(Kind::QueueFull));
     let (_, displaced) = queue.enter(arrival(500, false), 2, 0).expect("one gives way");
-    assert_eq!(displaced, Some(yielding));
+    assert_eq!(displaced, Some(displaceable));
     assert_eq!(queue.enter(arrival(500, false), 2, 0).err(), Some(Kind::QueueFull));
 }
 
@@ -85,7 +85,7 @@
 
 proptest! {
     #[test]
-    fn every_picker_chooses_a_fit_one_with_a_free_slot(loads in prop::collection::vec((0_u32..4, 0_u32..3, any::<bool>()), 0..12), seed: u64) {
+    fn every_picker_chooses_a_fit_backend_with_a_free_slot(loads in prop::collection::vec((0_u32..4, 0_u32..3, any::<bool>()), 0..12), seed: u64) {
         let candidates: Vec<Candidate> = loads.iter().enumerate().map(|(index, (load, weight, is_trial))| {
             Candidate { weight: f64::from(*weight), is_trial: *is_trial, ..candidate(index as u32, *load) }
         }).collect();
