--- a/crates/leverstream-gateway/src/repeats.rs
+++ b/crates/leverstream-gateway/src/repeats.rs
@@ -6,7 +6,7 @@
 
 use leverstream_peer::packet::Body;
 use leverstream_peer::{Loan, LoanQuestion, Packet};
-use leverstream_route::{Asking, FleetBudget, RetryAllowance, Room, SlackPart};
+use leverstream_route::{Asking, FleetBudget, RetryAllowance, Room, SlackShare};
 use tracing::{debug, info};
 
 use crate::Settings;
@@ -27,7 +27,7 @@
     /// What all VMs together may repeat for each service.
     allowance: RetryAllowance,
     /// This VM's part of the slack.
-    slack: RefCell<SlackPart>,
+    slack: RefCell<SlackShare>,
     /// Whether callers are sent to this VM.
     is_placed: Cell<bool>,
     /// Its part for each service.
@@ -48,7 +48,7 @@
     pub fn open(settings: &Settings) -> Repeats {
         let me = settings.listen.peers;
         let expects_others = settings.peers.seeds.iter().any(|seed| *seed != me);
-        let slack = SlackPart::open(settings.peers.is_first_start, expects_others);
+        let slack = SlackShare::open(settings.peers.is_first_start, expects_others);
         Repeats {
             allowance: settings.allowance(),
             slack: RefCell::new(slack),
@@ -59,13 +59,13 @@
 
     /// Takes over how many VMs this one knows of, and whether callers are sent to it.
     pub fn place(&self, vms: usize, is_placed: bool) {
-        self.slack.borrow_mut().know(vms as u32);
+        self.slack.borrow_mut().set_known_vms(vms as u32);
         self.is_placed.set(is_placed);
     }
 
     /// How many VMs this one knows of, for the others.
     pub fn known_vms(&self) -> u32 {
-        self.slack.borrow().known()
+        self.slack.borrow().known_vms()
     }
 
     /// How many VMs there are, as far as this one knows or was told.
@@ -75,7 +75,7 @@
 
     /// Takes in how many VMs another one knows of.
     pub fn hear_vms(&self, count: u32, now_ms: u64) {
-        self.slack.borrow_mut().hear(count, now_ms);
+        self.slack.borrow_mut().record_report(count, now_ms);
     }
 
     /// Counts a request for a service.
@@ -163,8 +163,8 @@
 
     /// This VM's part of what all VMs may repeat.
     fn part(&self, now_ms: u64) -> RetryAllowance {
-        let slack = self.slack.borrow().part(self.allowance.window_ms, now_ms);
-        self.allowance.with_part(slack)
+        let slack = self.slack.borrow().share(self.allowance.window_ms, now_ms);
+        self.allowance.with_slack_share(slack)
     }
 
     /// Does something with what this VM itself may repeat for a service.
@@ -175,7 +175,7 @@
         work: impl FnOnce(&mut ServiceRepeats, RetryAllowance) -> T,
     ) -> T {
         let own_use = if self.is_placed.get() { 1.0 } else { STRAY_PART };
-        let part = self.part(now_ms).with_part(own_use);
+        let part = self.part(now_ms).with_slack_share(own_use);
         let mut services = self.services.borrow_mut();
         match services.get_mut(service) {
             Some(state) => work(state, part),
--- a/crates/leverstream-route/src/fleet_budget.rs
+++ b/crates/leverstream-route/src/fleet_budget.rs
@@ -82,8 +82,8 @@
     }
 
     /// Returns the same allowance with a fraction of the slack, from 0 to 1.
-    pub fn with_part(self, part: f64) -> RetryAllowance {
-        RetryAllowance { slack: self.slack * part, ..self }
+    pub fn with_slack_share(self, share: f64) -> RetryAllowance {
+        RetryAllowance { slack: self.slack * share, ..self }
     }
 }
 
--- a/crates/leverstream-route/src/lib.rs
+++ b/crates/leverstream-route/src/lib.rs
@@ -18,5 +18,5 @@
 pub use fleet_budget::{FleetBudget, LOAN_TTL_MS, LONGEST_WINDOW_MS, RetryAllowance, Room};
 pub use pick::{Candidate, Pick, Request, Turn, choose, picker, pickers};
 pub use queue::{Arrival, Place, Queue};
-pub use slack::SlackPart;
+pub use slack::SlackShare;
 pub use steer::{Choice, Claim, FloorStanding, steer};
--- a/crates/leverstream-route/tests/budget_model.rs
+++ b/crates/leverstream-route/tests/budget_model.rs
@@ -9,7 +9,7 @@
 use std::collections::{HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use leverstream_route::{FleetBudget, LOAN_TTL_MS, RetryAllowance, SlackPart};
+use leverstream_route::{FleetBudget, LOAN_TTL_MS, RetryAllowance, SlackShare};
 
 /// The length of a time step, in milliseconds: the counting step of the budgets.
 const STEP_MS: u64 = 250;
@@ -98,10 +98,10 @@
     /// Returns a VM's allowance and its clock at a step.
     fn allowance_of(&self, vm: usize, step: u64) -> (RetryAllowance, u64) {
         let now_ms = self.vms[vm].clock_ms(step);
-        let mut slack = SlackPart::open(self.vms[vm].started.is_none(), true);
-        slack.know(VMS as u32);
-        slack.hear(VMS as u32, now_ms);
-        (ALLOWANCE.with_part(slack.part(ALLOWANCE.window_ms, now_ms)), now_ms)
+        let mut slack = SlackShare::open(self.vms[vm].started.is_none(), true);
+        slack.set_known_vms(VMS as u32);
+        slack.record_report(VMS as u32, now_ms);
+        (ALLOWANCE.with_slack_share(slack.share(ALLOWANCE.window_ms, now_ms)), now_ms)
     }
 
     /// Returns the state after an event, or `None` if the event changes nothing.
--- a/crates/leverstream-route/tests/fleet/vm.rs
+++ b/crates/leverstream-route/tests/fleet/vm.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use leverstream_route::{Asking, FleetBudget, RetryAllowance, SlackPart};
+use leverstream_route::{Asking, FleetBudget, RetryAllowance, SlackShare};
 
 use super::View;
 
@@ -37,7 +37,7 @@
     /// Its budget.
     budget: FleetBudget,
     /// Its share of the slack.
-    slack: SlackPart,
+    slack: SlackShare,
     /// The VMs that it has ever seen.
     known: BTreeSet<usize>,
     /// Its view of the fleet.
@@ -61,7 +61,7 @@
             started_ms: now_ms,
             allowance,
             budget: FleetBudget::default(),
-            slack: SlackPart::open(now_ms == 0, true),
+            slack: SlackShare::open(now_ms == 0, true),
             known: BTreeSet::new(),
             view: View::default(),
             next_report_ms: 0,
@@ -93,7 +93,7 @@
         if self.view != *view {
             self.view = view.clone();
             self.known.extend(&view.alive);
-            self.slack.know(self.known.len() as u32);
+            self.slack.set_known_vms(self.known.len() as u32);
         }
         let others: Vec<usize> = view.alive.iter().copied().filter(|vm| *vm != view.me).collect();
         if others.is_empty() {
@@ -104,7 +104,7 @@
             self.next_report_ms = now_ms + REPORT_INTERVAL_MS;
             let turn = view.me + (now_ms / REPORT_INTERVAL_MS) as usize;
             let to = others[turn % others.len()];
-            out.push((to, Message::KnownVms(self.slack.known())));
+            out.push((to, Message::KnownVms(self.slack.known_vms())));
         }
         let part = self.own_part(now_ms);
         let room = self.budget.room(part, now_ms);
@@ -130,7 +130,7 @@
         let now_ms = now_ms - self.started_ms;
         let part = self.part(now_ms);
         match *message {
-            Message::KnownVms(vms) => self.slack.hear(vms, now_ms),
+            Message::KnownVms(vms) => self.slack.record_report(vms, now_ms),
             Message::LoanRequest(number) => {
                 let loan = self.budget.lend(WANTED, part, now_ms);
                 return (loan > 0.0)
@@ -149,12 +149,12 @@
 
     /// Returns its share of the allowance.
     fn part(&self, now_ms: u64) -> RetryAllowance {
-        self.allowance.with_part(self.slack.part(self.allowance.window_ms, now_ms))
+        self.allowance.with_slack_share(self.slack.share(self.allowance.window_ms, now_ms))
     }
 
     /// Returns the part of its share that it uses itself.
     fn own_part(&self, now_ms: u64) -> RetryAllowance {
         let is_placed = self.view.placed.contains(&self.view.me);
-        self.part(now_ms).with_part(if is_placed { 1.0 } else { STRAY_PART })
+        self.part(now_ms).with_slack_share(if is_placed { 1.0 } else { STRAY_PART })
     }
 }
--- a/crates/leverstream-route/tests/fleet_budget.rs
+++ b/crates/leverstream-route/tests/fleet_budget.rs
@@ -1,6 +1,6 @@
 //! Tests of one VM's budget of repeats and of loans between VMs.
 
-use leverstream_route::{Asking, FleetBudget, LOAN_TTL_MS, RetryAllowance, SlackPart};
+use leverstream_route::{Asking, FleetBudget, LOAN_TTL_MS, RetryAllowance, SlackShare};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -15,7 +15,7 @@
 #[test]
 fn no_window_holds_more_repeats_than_allowed() {
     let allowance = RetryAllowance { ratio: 0.2, slack: 30.0, window_ms: WINDOW_MS };
-    let part = allowance.with_part(0.5);
+    let part = allowance.with_slack_share(0.5);
     let mut budget = FleetBudget::default();
     let (mut repeats, mut requests) = (Vec::new(), Vec::new());
     for now_ms in (0..60_000).step_by(20) {
@@ -41,7 +41,7 @@
 #[test]
 fn fleet_stays_within_allowance_when_one_vm_replaces_another() {
     let allowance = RetryAllowance { ratio: 0.2, slack: 60.0, window_ms: WINDOW_MS };
-    let part = allowance.with_part(1.0 / 3.0);
+    let part = allowance.with_slack_share(1.0 / 3.0);
     let mut vms = [FleetBudget::default(), FleetBudget::default(), FleetBudget::default()];
     let mut repeats: Vec<u64> = Vec::new();
     for now_ms in (0..40_000).step_by(10) {
@@ -95,39 +95,39 @@
     assert!(allows_repeat(&mut lender, 1_000 + LOAN_TTL_MS + WINDOW_MS + 250));
     let mut borrower = FleetBudget::default();
     borrower.borrow(loan, 1_000);
-    let none = part.with_part(0.0);
+    let none = part.with_slack_share(0.0);
     assert!(borrower.take(none, 1_000 + LOAN_TTL_MS - 1));
     assert!(!borrower.take(none, 1_000 + LOAN_TTL_MS), "the loan has expired");
 }
 
 #[test]
 fn new_process_has_no_share_until_previous_one_has_left_the_window() {
-    let mut slack = SlackPart::open(false, true);
-    slack.know(4);
-    slack.hear(4, 100);
+    let mut slack = SlackShare::open(false, true);
+    slack.set_known_vms(4);
+    slack.record_report(4, 100);
     let first_ms = WINDOW_MS + LOAN_TTL_MS;
-    assert_eq!(slack.part(WINDOW_MS, first_ms - 1), 0.0);
-    assert_eq!(slack.part(WINDOW_MS, first_ms), 0.25);
-    let mut first = SlackPart::open(true, true);
-    first.know(4);
-    first.hear(4, 100);
-    assert_eq!(first.part(WINDOW_MS, 100), 0.25, "no process ran before it");
+    assert_eq!(slack.share(WINDOW_MS, first_ms - 1), 0.0);
+    assert_eq!(slack.share(WINDOW_MS, first_ms), 0.25);
+    let mut first = SlackShare::open(true, true);
+    first.set_known_vms(4);
+    first.record_report(4, 100);
+    assert_eq!(first.share(WINDOW_MS, 100), 0.25, "no process ran before it");
 }
 
 #[test]
 fn vm_without_reports_has_no_share_and_largest_report_counts() {
-    let mut slack = SlackPart::open(true, true);
-    slack.know(1);
-    assert_eq!(slack.part(WINDOW_MS, 60_000), 0.0, "it may be partitioned");
-    slack.know(4);
-    slack.hear(10, 60_000);
-    slack.hear(5, 60_100);
-    assert_eq!(slack.part(WINDOW_MS, 60_100), 0.1);
-    slack.hear(5, 500_000);
-    assert_eq!(slack.part(WINDOW_MS, 500_000), 0.2, "old reports expire");
-    let mut alone = SlackPart::open(true, false);
-    alone.know(1);
-    assert_eq!(alone.part(WINDOW_MS, 100), 1.0, "no other VMs are configured");
+    let mut slack = SlackShare::open(true, true);
+    slack.set_known_vms(1);
+    assert_eq!(slack.share(WINDOW_MS, 60_000), 0.0, "it may be partitioned");
+    slack.set_known_vms(4);
+    slack.record_report(10, 60_000);
+    slack.record_report(5, 60_100);
+    assert_eq!(slack.share(WINDOW_MS, 60_100), 0.1);
+    slack.record_report(5, 500_000);
+    assert_eq!(slack.share(WINDOW_MS, 500_000), 0.2, "old reports expire");
+    let mut alone = SlackShare::open(true, false);
+    alone.set_known_vms(1);
+    assert_eq!(alone.share(WINDOW_MS, 100), 1.0, "no other VMs are configured");
 }
 
 #[test]
@@ -166,7 +166,7 @@
     const BUSY: usize = 35;
     const WANTED: f64 = 2.0;
     let allowance = RetryAllowance { ratio: 0.2, slack: 1_040.0, window_ms: WINDOW_MS };
-    let part = allowance.with_part(1.0 / vms as f64);
+    let part = allowance.with_slack_share(1.0 / vms as f64);
     let mut budgets = vec![FleetBudget::default(); vms];
     let mut asking = vec![Asking::<usize>::default(); BUSY];
     let (mut rng, mut lent) = (StdRng::seed_from_u64(1), 0.0);
