--- a/crates/leverstream-gateway/src/repeats.rs
+++ b/crates/leverstream-gateway/src/repeats.rs
@@ -6,7 +6,7 @@
 
 use leverstream_peer::packet::Body;
 use leverstream_peer::{Loan, LoanQuestion, Packet};
-use leverstream_route::{Asking, FleetBudget, RetryAllowance, Room, SlackShare};
+use leverstream_route::{FleetBudget, LoanRequests, RetryAllowance, Room, SlackShare};
 use tracing::{debug, info};
 
 use crate::Settings;
@@ -40,7 +40,7 @@
     /// Its part.
     budget: FleetBudget,
     /// Its questions to others.
-    asking: Asking<SocketAddr>,
+    asking: LoanRequests<SocketAddr>,
 }
 
 impl Repeats {
@@ -102,8 +102,11 @@
     /// few requests has so little of its own that each hedge would seem to use it up.
     pub fn used_part(&self, service: &str, sharers: usize, now_ms: u64) -> f64 {
         self.with(service, now_ms, |state, part| {
-            let others =
-                if state.asking.is_lent() { self.allowance.slack / sharers as f64 } else { 0.0 };
+            let others = if state.asking.expects_loans() {
+                self.allowance.slack / sharers as f64
+            } else {
+                0.0
+            };
             state.budget.room(part, now_ms).used_part(others)
         })
     }
@@ -111,7 +114,7 @@
     /// Asks other VMs for what they can spare, if little is left.
     pub fn ask(&self, service: &str, mesh: &Mesh, meters: &Meters, now_ms: u64) {
         // Others have as much of the slack as this VM, however much of that it uses itself.
-        let asked_at_once = self.part(now_ms).asked_at_once(f64::from(WANTED));
+        let asked_at_once = self.part(now_ms).lenders_to_ask(f64::from(WANTED));
         self.with(service, now_ms, |state, part| {
             if !state.asking.is_due(state.budget.room(part, now_ms), now_ms) {
                 return;
@@ -119,7 +122,7 @@
             let turn = rand::random_range(0..usize::from(u16::MAX));
             for to in mesh.by_turns(turn, asked_at_once) {
                 let number = rand::random();
-                state.asking.ask(number, to, now_ms);
+                state.asking.record(number, to, now_ms);
                 let asked = LoanQuestion { number, service: service.to_owned(), wanted: WANTED };
                 let packet = Packet { body: Some(Body::LoanQuestion(asked)), ..Packet::default() };
                 mesh.send(meters, &packet, &[to]);
@@ -129,7 +132,7 @@
 
     /// Tells whether what others lend for a service may come any moment.
     pub fn is_loan_awaited(&self, service: &str, now_ms: u64) -> bool {
-        self.with(service, now_ms, |state, _| state.asking.is_awaited(now_ms))
+        self.with(service, now_ms, |state, _| state.asking.is_loan_awaited(now_ms))
     }
 
     /// What another VM is lent in answer to its question, if there is something to spare.
@@ -150,7 +153,7 @@
     pub fn borrow(&self, from: SocketAddr, loan: &Loan, now_ms: u64) {
         let Loan { number, service, repeats } = loan;
         self.with(service, now_ms, |state, _| {
-            let Some(asked_ms) = state.asking.answer(*number, from, now_ms) else {
+            let Some(asked_ms) = state.asking.accept(*number, from, now_ms) else {
                 debug!(%from, service, repeats, "a loan that was not asked for, or came late");
                 return;
             };
--- a/crates/leverstream-route/src/fleet_budget.rs
+++ b/crates/leverstream-route/src/fleet_budget.rs
@@ -76,7 +76,7 @@
 impl RetryAllowance {
     /// Returns how many VMs to ask for a loan to get `wanted` repeats, if each of them has this
     /// allowance.
-    pub fn asked_at_once(self, wanted: f64) -> usize {
+    pub fn lenders_to_ask(self, wanted: f64) -> usize {
         let (least, most) = LENDERS_ASKED_RANGE;
         (wanted / self.slack.max(f64::MIN_POSITIVE)).ceil().clamp(least, most) as usize
     }
--- a/crates/leverstream-route/src/lib.rs
+++ b/crates/leverstream-route/src/lib.rs
@@ -4,18 +4,18 @@
 //! Pickers register themselves by name; [`picker`] finds them. The crate does no I/O: loads,
 //! deadlines and the present time are arguments.
 
-mod asking;
 mod budget;
 mod fleet_budget;
+mod loan_requests;
 mod pick;
 mod pickers;
 mod queue;
 mod slack;
 mod steer;
 
-pub use asking::Asking;
 pub use budget::RetryBudget;
 pub use fleet_budget::{FleetBudget, LOAN_TTL_MS, LONGEST_WINDOW_MS, RetryAllowance, Room};
+pub use loan_requests::LoanRequests;
 pub use pick::{Candidate, Pick, Request, Turn, choose, picker, pickers};
 pub use queue::{Arrival, Place, Queue};
 pub use slack::SlackShare;
--- a/crates/leverstream-route/src/asking.rs
+++ b/crates/leverstream-route/src/loan_requests.rs
@@ -20,7 +20,7 @@
 /// Each request goes to one VM and accepts one answer from that VM, within [`LOAN_TTL_MS`]. A loan
 /// that is duplicated, late or from a VM that was not asked is ignored.
 #[derive(Clone, Debug)]
-pub struct Asking<V> {
+pub struct LoanRequests<V> {
     /// The earliest time of the next round.
     next_round_ms: u64,
     /// The interval after the next round.
@@ -29,13 +29,13 @@
     pending: HashMap<u64, (V, u64)>,
 }
 
-impl<V> Default for Asking<V> {
-    fn default() -> Asking<V> {
-        Asking { next_round_ms: 0, interval_ms: MIN_INTERVAL_MS, pending: HashMap::new() }
+impl<V> Default for LoanRequests<V> {
+    fn default() -> LoanRequests<V> {
+        LoanRequests { next_round_ms: 0, interval_ms: MIN_INTERVAL_MS, pending: HashMap::new() }
     }
 }
 
-impl<V: Copy + Eq> Asking<V> {
+impl<V: Copy + Eq> LoanRequests<V> {
     /// Returns whether to send loan requests now. If so, starts the interval until the next round
     /// and doubles the one after it.
     pub fn is_due(&mut self, room: Room, now_ms: u64) -> bool {
@@ -48,14 +48,14 @@
     }
 
     /// Records a request to a VM; no process may have used its number before.
-    pub fn ask(&mut self, number: u64, to: V, now_ms: u64) {
+    pub fn record(&mut self, number: u64, to: V, now_ms: u64) {
         self.pending.retain(|_, (_, asked_ms)| now_ms < *asked_ms + LOAN_TTL_MS);
         self.pending.insert(number, (to, now_ms));
     }
 
     /// Accepts an answer and resets the backoff; returns when the loan was requested, or `None` if
     /// the answer doesn't count.
-    pub fn answer(&mut self, number: u64, from: V, now_ms: u64) -> Option<u64> {
+    pub fn accept(&mut self, number: u64, from: V, now_ms: u64) -> Option<u64> {
         let (to, asked_ms) = *self.pending.get(&number)?;
         if to != from || now_ms >= asked_ms + LOAN_TTL_MS {
             return None;
@@ -67,12 +67,12 @@
     }
 
     /// Returns whether an answer to a recent request is still expected.
-    pub fn is_awaited(&self, now_ms: u64) -> bool {
+    pub fn is_loan_awaited(&self, now_ms: u64) -> bool {
         self.pending.values().any(|(_, asked_ms)| now_ms < asked_ms + ANSWER_WAIT_MS)
     }
 
     /// Returns whether the last rounds brought a loan, or none were needed yet.
-    pub fn is_lent(&self) -> bool {
+    pub fn expects_loans(&self) -> bool {
         self.interval_ms <= 2 * MIN_INTERVAL_MS
     }
 }
--- a/crates/leverstream-route/tests/fleet/vm.rs
+++ b/crates/leverstream-route/tests/fleet/vm.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use leverstream_route::{Asking, FleetBudget, RetryAllowance, SlackShare};
+use leverstream_route::{FleetBudget, LoanRequests, RetryAllowance, SlackShare};
 
 use super::View;
 
@@ -45,7 +45,7 @@
     /// When it reports to another VM next.
     next_report_ms: u64,
     /// Its loan requests.
-    asking: Asking<usize>,
+    loan_requests: LoanRequests<usize>,
     /// Whether a repeat was attempted since the last tick.
     wants_repeat: bool,
     /// The number of its last loan request.
@@ -65,7 +65,7 @@
             known: BTreeSet::new(),
             view: View::default(),
             next_report_ms: 0,
-            asking: Asking::default(),
+            loan_requests: LoanRequests::default(),
             wants_repeat: false,
             number: process_number,
             next_lender: (process_number % 64) as usize,
@@ -108,12 +108,12 @@
         }
         let part = self.own_part(now_ms);
         let room = self.budget.room(part, now_ms);
-        if std::mem::take(&mut self.wants_repeat) && self.asking.is_due(room, now_ms) {
-            for _ in 0..self.part(now_ms).asked_at_once(WANTED) {
+        if std::mem::take(&mut self.wants_repeat) && self.loan_requests.is_due(room, now_ms) {
+            for _ in 0..self.part(now_ms).lenders_to_ask(WANTED) {
                 self.next_lender += 1;
                 self.number += 1;
                 let to = others[self.next_lender % others.len()];
-                self.asking.ask(self.number, to, now_ms);
+                self.loan_requests.record(self.number, to, now_ms);
                 out.push((to, Message::LoanRequest(self.number)));
             }
         }
@@ -139,7 +139,7 @@
                     .collect();
             }
             Message::Loan(number, loan) => {
-                if let Some(asked_ms) = self.asking.answer(number, from, now_ms) {
+                if let Some(asked_ms) = self.loan_requests.accept(number, from, now_ms) {
                     self.budget.borrow(loan, asked_ms);
                 }
             }
--- a/crates/leverstream-route/tests/fleet_budget.rs
+++ b/crates/leverstream-route/tests/fleet_budget.rs
@@ -1,6 +1,6 @@
 //! Tests of one VM's budget of repeats and of loans between VMs.
 
-use leverstream_route::{Asking, FleetBudget, LOAN_TTL_MS, RetryAllowance, SlackShare};
+use leverstream_route::{FleetBudget, LOAN_TTL_MS, LoanRequests, RetryAllowance, SlackShare};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -72,15 +72,15 @@
 #[test]
 fn loan_is_accepted_once_in_time_and_from_the_asked_vm() {
     let (other, third) = (7, 8);
-    let mut asking = Asking::default();
+    let mut loan_requests = LoanRequests::default();
     for number in 1..=4 {
-        asking.ask(number, other, 1_000);
+        loan_requests.record(number, other, 1_000);
     }
-    assert_eq!(asking.answer(1, other, 1_004), Some(1_000));
-    assert_eq!(asking.answer(1, other, 1_005), None, "duplicate answer");
-    assert_eq!(asking.answer(2, third, 1_005), None, "answer from a VM that was not asked");
-    assert_eq!(asking.answer(9, other, 1_005), None, "no request with this number");
-    assert_eq!(asking.answer(3, other, 1_000 + LOAN_TTL_MS), None, "late answer");
+    assert_eq!(loan_requests.accept(1, other, 1_004), Some(1_000));
+    assert_eq!(loan_requests.accept(1, other, 1_005), None, "duplicate answer");
+    assert_eq!(loan_requests.accept(2, third, 1_005), None, "answer from a VM that was not asked");
+    assert_eq!(loan_requests.accept(9, other, 1_005), None, "no request with this number");
+    assert_eq!(loan_requests.accept(3, other, 1_000 + LOAN_TTL_MS), None, "late answer");
 }
 
 #[test]
@@ -168,19 +168,19 @@
     let allowance = RetryAllowance { ratio: 0.2, slack: 1_040.0, window_ms: WINDOW_MS };
     let part = allowance.with_slack_share(1.0 / vms as f64);
     let mut budgets = vec![FleetBudget::default(); vms];
-    let mut asking = vec![Asking::<usize>::default(); BUSY];
+    let mut loan_requests = vec![LoanRequests::<usize>::default(); BUSY];
     let (mut rng, mut lent) = (StdRng::seed_from_u64(1), 0.0);
     for now_ms in (20_000..29_000).step_by(25) {
         for vm in 0..BUSY {
             budgets[vm].request(part, now_ms);
             let room = budgets[vm].room(part, now_ms);
-            if asking[vm].is_due(room, now_ms) {
-                for _ in 0..part.asked_at_once(WANTED) {
+            if loan_requests[vm].is_due(room, now_ms) {
+                for _ in 0..part.lenders_to_ask(WANTED) {
                     let lender = rng.random_range(BUSY..vms);
                     let number = rng.random();
-                    asking[vm].ask(number, lender, now_ms);
+                    loan_requests[vm].record(number, lender, now_ms);
                     let loan = budgets[lender].lend(WANTED, part, now_ms);
-                    if loan > 0.0 && asking[vm].answer(number, lender, now_ms).is_some() {
+                    if loan > 0.0 && loan_requests[vm].accept(number, lender, now_ms).is_some() {
                         budgets[vm].borrow(loan, now_ms);
                         lent += loan;
                     }
@@ -206,15 +206,18 @@
 
 #[test]
 fn loan_is_awaited_while_a_recent_request_is_unanswered() {
-    let mut asking = Asking::default();
-    assert!(!asking.is_awaited(1_000), "no VM was asked");
-    asking.ask(7, 'a', 1_000);
-    asking.ask(8, 'b', 1_000);
-    assert!(asking.is_awaited(1_010));
+    let mut loan_requests = LoanRequests::default();
+    assert!(!loan_requests.is_loan_awaited(1_000), "no VM was asked");
+    loan_requests.record(7, 'a', 1_000);
+    loan_requests.record(8, 'b', 1_000);
+    assert!(loan_requests.is_loan_awaited(1_010));
     // One VM has lent; the other may still answer.
-    assert!(asking.answer(7, 'a', 1_002).is_some());
-    assert!(asking.is_awaited(1_010));
-    assert!(!asking.is_awaited(1_020), "the other has not answered in time");
-    assert!(asking.answer(8, 'b', 1_030).is_some(), "a loan after the wait is still accepted");
-    assert!(!asking.is_awaited(1_031));
+    assert!(loan_requests.accept(7, 'a', 1_002).is_some());
+    assert!(loan_requests.is_loan_awaited(1_010));
+    assert!(!loan_requests.is_loan_awaited(1_020), "the other has not answered in time");
+    assert!(
+        loan_requests.accept(8, 'b', 1_030).is_some(),
+        "a loan after the wait is still accepted"
+    );
+    assert!(!loan_requests.is_loan_awaited(1_031));
 }
