--- a/crates/leverstream-gateway/src/forward.rs
+++ b/crates/leverstream-gateway/src/forward.rs
@@ -8,7 +8,7 @@
 use leverstream_core::{Pending, Pick, RouteKey, hedge_gain, hedge_look_ms, is_hedge_worth};
 use leverstream_error::Kind;
 use leverstream_health::BackendKey;
-use leverstream_route::Room;
+use leverstream_route::Headroom;
 use leverstream_suspect::Verdict;
 use leverstream_wire::Answer;
 use tracing::info;
@@ -414,7 +414,7 @@
             sends.covered.set(sends.covered.get() + 1);
             inner.meters.repeats.inc();
             let id = self.request.id.as_deref().unwrap_or("-");
-            let Room { requests, spent, own, lent } = room;
+            let Headroom { requests, spent, own, lent } = room;
             info!(id, service = self.service, requests, spent, own, lent, "repeat");
         } else {
             self.note_denied(room);
@@ -424,11 +424,11 @@
     }
 
     /// Notes that no more may be repeated, and asks other VMs for what they can spare.
-    fn note_denied(&self, room: Room) {
+    fn note_denied(&self, room: Headroom) {
         let inner = self.inner;
         inner.meters.repeats_denied.inc();
         let id = self.request.id.as_deref().unwrap_or("-");
-        let Room { requests, spent, own, lent } = room;
+        let Headroom { requests, spent, own, lent } = room;
         info!(id, service = self.service, requests, spent, own, lent, "repeat denied");
         inner.repeats.ask(self.service, &inner.mesh, &inner.meters, inner.now_ms());
     }
--- a/crates/leverstream-gateway/src/meters.rs
+++ b/crates/leverstream-gateway/src/meters.rs
@@ -5,7 +5,7 @@
 use leverstream_error::Kind;
 use leverstream_observe::{Registry, register_count};
 use leverstream_platform::{Call, Store};
-use leverstream_route::Room;
+use leverstream_route::Headroom;
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -241,7 +241,7 @@
     }
 
     /// Takes in what may be repeated for a service.
-    pub fn note_room(&self, service: &str, room: Room) {
+    pub fn note_room(&self, service: &str, room: Headroom) {
         let label = ServiceLabel { service: service.to_owned() };
         self.repeats_spent.get_or_create(&label).set(room.spent);
         let allowed = room.spent + room.own + room.lent;
--- a/crates/leverstream-gateway/src/repeats.rs
+++ b/crates/leverstream-gateway/src/repeats.rs
@@ -6,7 +6,7 @@
 
 use leverstream_peer::packet::Body;
 use leverstream_peer::{Loan, LoanQuestion, Packet};
-use leverstream_route::{FleetBudget, LoanRequests, RetryAllowance, Room, SlackShare};
+use leverstream_route::{FleetBudget, Headroom, LoanRequests, RetryAllowance, SlackShare};
 use tracing::{debug, info};
 
 use crate::Settings;
@@ -84,14 +84,14 @@
     }
 
     /// What may be repeated for a service.
-    pub fn room(&self, service: &str, now_ms: u64) -> Room {
-        self.with(service, now_ms, |state, part| state.budget.room(part, now_ms))
+    pub fn room(&self, service: &str, now_ms: u64) -> Headroom {
+        self.with(service, now_ms, |state, part| state.budget.headroom(part, now_ms))
     }
 
     /// Takes one repeat, if there is room; returns whether there was, and the room before.
-    pub fn take(&self, service: &str, now_ms: u64) -> (bool, Room) {
+    pub fn take(&self, service: &str, now_ms: u64) -> (bool, Headroom) {
         self.with(service, now_ms, |state, part| {
-            let room = state.budget.room(part, now_ms);
+            let room = state.budget.headroom(part, now_ms);
             (state.budget.take(part, now_ms), room)
         })
     }
@@ -107,7 +107,7 @@
             } else {
                 0.0
             };
-            state.budget.room(part, now_ms).used_part(others)
+            state.budget.headroom(part, now_ms).used_share(others)
         })
     }
 
@@ -116,7 +116,7 @@
         // Others have as much of the slack as this VM, however much of that it uses itself.
         let asked_at_once = self.part(now_ms).lenders_to_ask(f64::from(WANTED));
         self.with(service, now_ms, |state, part| {
-            if !state.asking.is_due(state.budget.room(part, now_ms), now_ms) {
+            if !state.asking.is_due(state.budget.headroom(part, now_ms), now_ms) {
                 return;
             }
             let turn = rand::random_range(0..usize::from(u16::MAX));
--- a/crates/leverstream-route/src/fleet_budget.rs
+++ b/crates/leverstream-route/src/fleet_budget.rs
@@ -137,7 +137,7 @@
 
 /// What a VM may still repeat at some moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Room {
+pub struct Headroom {
     /// Requests received in the window that ends now.
     pub requests: u32,
     /// Repeats made or lent to others in the window that ends now.
@@ -148,7 +148,7 @@
     pub lent: f64,
 }
 
-impl Room {
+impl Headroom {
     /// Returns whether one more repeat is allowed.
     pub fn has_one(self) -> bool {
         self.own + self.lent >= 1.0
@@ -161,7 +161,7 @@
 
     /// Returns the fraction of the allowance, up to 1, that is used after one more repeat, if other
     /// VMs can lend `others` repeats.
-    pub fn used_part(self, others: f64) -> f64 {
+    pub fn used_share(self, others: f64) -> f64 {
         let all = self.spent + self.own + self.lent + others;
         if all > 0.0 { ((self.spent + 1.0) / all).min(1.0) } else { 1.0 }
     }
@@ -176,7 +176,7 @@
 
     /// Spends one repeat if one is allowed, from loans first.
     pub fn take(&mut self, allowance: RetryAllowance, now_ms: u64) -> bool {
-        let has_one = self.room(allowance, now_ms).has_one();
+        let has_one = self.headroom(allowance, now_ms).has_one();
         if has_one {
             let own = 1.0 - self.spend_loans(1.0);
             self.step_mut(now_ms / STEP_MS).spent += own;
@@ -185,26 +185,27 @@
     }
 
     /// Returns what may be repeated now.
-    pub fn room(&mut self, allowance: RetryAllowance, now_ms: u64) -> Room {
+    pub fn headroom(&mut self, allowance: RetryAllowance, now_ms: u64) -> Headroom {
         self.drop_expired_steps(allowance, now_ms);
         self.loans.retain(|loan| now_ms < loan.expires_ms);
         let lent = self.loans.iter().fold(0.0, |sum, loan| sum + loan.left);
         let (now, window) = (now_ms / STEP_MS, allowance.window_ms.div_ceil(STEP_MS));
-        let mut room = Room { requests: 0, spent: 0.0, own: 0.0, lent };
+        let mut headroom = Headroom { requests: 0, spent: 0.0, own: 0.0, lent };
         for step in (now.saturating_sub(window)..=now).map(|step| self.step_at(step)) {
-            room.requests += step.requests;
-            room.spent += step.spent;
+            headroom.requests += step.requests;
+            headroom.spent += step.spent;
         }
-        room.own = self.own_repeats_left(allowance, now_ms).max(0.0);
-        room
+        headroom.own = self.own_repeats_left(allowance, now_ms).max(0.0);
+        headroom
     }
 
     /// Lends another VM up to `wanted` repeats and returns how many.
     ///
     /// A VM that has spent nothing in the window lends all it has left; another keeps a reserve.
     pub fn lend(&mut self, wanted: f64, allowance: RetryAllowance, now_ms: u64) -> f64 {
-        let room = self.room(allowance, now_ms);
-        let spare = if room.spent > 0.0 { room.own - LENDER_RESERVE_REPEATS } else { room.own };
+        let headroom = self.headroom(allowance, now_ms);
+        let spare =
+            if headroom.spent > 0.0 { headroom.own - LENDER_RESERVE_REPEATS } else { headroom.own };
         let loan = spare.min(wanted).min(allowance.slack);
         if loan < MIN_LOAN_REPEATS.min(MIN_LOAN_FRACTION * allowance.slack) || loan <= 0.0 {
             return 0.0;
--- a/crates/leverstream-route/src/loan_requests.rs
+++ b/crates/leverstream-route/src/loan_requests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::{LOAN_TTL_MS, Room};
+use crate::{Headroom, LOAN_TTL_MS};
 
 /// The shortest interval between two rounds of loan requests, in milliseconds: some ten round-trip
 /// times.
@@ -38,8 +38,8 @@
 impl<V: Copy + Eq> LoanRequests<V> {
     /// Returns whether to send loan requests now. If so, starts the interval until the next round
     /// and doubles the one after it.
-    pub fn is_due(&mut self, room: Room, now_ms: u64) -> bool {
-        let is_due = room.is_low() && now_ms >= self.next_round_ms;
+    pub fn is_due(&mut self, headroom: Headroom, now_ms: u64) -> bool {
+        let is_due = headroom.is_low() && now_ms >= self.next_round_ms;
         if is_due {
             self.next_round_ms = now_ms + self.interval_ms;
             self.interval_ms = (2 * self.interval_ms).min(MAX_INTERVAL_MS);
--- a/crates/leverstream-route/tests/budget_model.rs
+++ b/crates/leverstream-route/tests/budget_model.rs
@@ -168,8 +168,8 @@
             );
             for ahead in 0..=HORIZON_STEPS {
                 let (allowance, now_ms) = self.allowance_of(vm, self.now + ahead);
-                let room = budget.clone().room(allowance, now_ms);
-                values.extend([(room.own * 100.0) as u64, (room.lent * 100.0) as u64]);
+                let headroom = budget.clone().headroom(allowance, now_ms);
+                values.extend([(headroom.own * 100.0) as u64, (headroom.lent * 100.0) as u64]);
             }
         }
         for Loan { to, asked_step, arrives_step } in &self.loans {
--- a/crates/leverstream-route/tests/fleet/vm.rs
+++ b/crates/leverstream-route/tests/fleet/vm.rs
@@ -107,8 +107,8 @@
             out.push((to, Message::KnownVms(self.slack.known_vms())));
         }
         let part = self.own_part(now_ms);
-        let room = self.budget.room(part, now_ms);
-        if std::mem::take(&mut self.wants_repeat) && self.loan_requests.is_due(room, now_ms) {
+        let headroom = self.budget.headroom(part, now_ms);
+        if std::mem::take(&mut self.wants_repeat) && self.loan_requests.is_due(headroom, now_ms) {
             for _ in 0..self.part(now_ms).lenders_to_ask(WANTED) {
                 self.next_lender += 1;
                 self.number += 1;
--- a/crates/leverstream-route/tests/fleet_budget.rs
+++ b/crates/leverstream-route/tests/fleet_budget.rs
@@ -51,7 +51,7 @@
             if now_ms % 50 == 0 {
                 vms[vm].request(part, now_ms);
             }
-            if vms[vm].room(part, now_ms).is_low() {
+            if vms[vm].headroom(part, now_ms).is_low() {
                 let loan = vms[idle].lend(2.0, part, now_ms);
                 vms[vm].borrow(loan, now_ms);
             }
@@ -89,7 +89,7 @@
     let mut lender = FleetBudget::default();
     let loan = lender.lend(2.5, part, 1_000);
     assert!(loan > 2.4);
-    let allows_repeat = |lender: &mut FleetBudget, now_ms| lender.room(part, now_ms).has_one();
+    let allows_repeat = |lender: &mut FleetBudget, now_ms| lender.headroom(part, now_ms).has_one();
     assert!(!allows_repeat(&mut lender, 1_000));
     assert!(!allows_repeat(&mut lender, 1_000 + LOAN_TTL_MS + WINDOW_MS - 1));
     assert!(allows_repeat(&mut lender, 1_000 + LOAN_TTL_MS + WINDOW_MS + 250));
@@ -137,9 +137,9 @@
     for now_ms in (10_000..20_000).step_by(100) {
         budget.request(part, now_ms);
     }
-    assert_eq!(budget.room(part, 19_999).requests, 100);
-    assert_eq!(budget.room(part, 25_000).requests, 50);
-    assert_eq!(budget.room(part, 31_000).requests, 0);
+    assert_eq!(budget.headroom(part, 19_999).requests, 100);
+    assert_eq!(budget.headroom(part, 25_000).requests, 50);
+    assert_eq!(budget.headroom(part, 31_000).requests, 0);
 }
 
 #[test]
@@ -173,8 +173,8 @@
     for now_ms in (20_000..29_000).step_by(25) {
         for vm in 0..BUSY {
             budgets[vm].request(part, now_ms);
-            let room = budgets[vm].room(part, now_ms);
-            if loan_requests[vm].is_due(room, now_ms) {
+            let headroom = budgets[vm].headroom(part, now_ms);
+            if loan_requests[vm].is_due(headroom, now_ms) {
                 for _ in 0..part.lenders_to_ask(WANTED) {
                     let lender = rng.random_range(BUSY..vms);
                     let number = rng.random();
