--- a/crates/leverstream-gateway/src/settings.rs
+++ b/crates/leverstream-gateway/src/settings.rs
@@ -1,7 +1,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-use leverstream_route::{LONGEST_WINDOW_MS, RetryAllowance};
+use leverstream_route::{MAX_WINDOW_MS, RetryAllowance};
 use serde::Deserialize;
 
 /// What one VM of a gateway fleet is told when it starts.
@@ -286,7 +286,7 @@
             ("allotments.slack", settings.allotments.slack),
             ("emptying.within_s", settings.emptying.within_s.unwrap_or_default()),
         ];
-        let longest_s = LONGEST_WINDOW_MS as f64 / 1000.0;
+        let longest_s = MAX_WINDOW_MS as f64 / 1000.0;
         if settings.retries.window_s > longest_s {
             let window_s = settings.retries.window_s;
             let text =
--- a/crates/leverstream-route/src/fleet_budget.rs
+++ b/crates/leverstream-route/src/fleet_budget.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 
 /// The longest window that can be configured, in milliseconds.
-pub const LONGEST_WINDOW_MS: u64 = 600_000;
+pub const MAX_WINDOW_MS: u64 = 600_000;
 
 /// How long a loan can be spent, in milliseconds, counted from when it was requested.
 ///
--- a/crates/leverstream-route/src/lib.rs
+++ b/crates/leverstream-route/src/lib.rs
@@ -14,7 +14,7 @@
 mod steer;
 
 pub use budget::RetryBudget;
-pub use fleet_budget::{FleetBudget, Headroom, LOAN_TTL_MS, LONGEST_WINDOW_MS, RetryAllowance};
+pub use fleet_budget::{FleetBudget, Headroom, LOAN_TTL_MS, MAX_WINDOW_MS, RetryAllowance};
 pub use loan_requests::LoanRequests;
 pub use pick::{Candidate, Pick, Request, Turn, choose, picker, pickers};
 pub use queue::{Arrival, Place, Queue};
