--- a/crates/leverstream-bench/src/capacity.rs
+++ b/crates/leverstream-bench/src/capacity.rs
@@ -13,7 +13,7 @@
 use leverstream_node::Book;
 use leverstream_peer::{BackendDigest, Digest, FleetKey, Packet, ServiceDigest};
 use leverstream_proxy::Members;
-use leverstream_route::{Candidate, Request, Turn, choose, picker};
+use leverstream_route::{Candidate, PickContext, Request, choose, picker};
 use leverstream_table::{Address, BackendRow, ServiceDoc, ServiceRow};
 use leverstream_ticket::{Begin, Kept, Ledger, LedgerSettings, Mint, Reply, Ticket};
 use prost::Message;
@@ -473,7 +473,7 @@
             })
             .collect();
         let pick_us = time_us(20_000, || {
-            let mut turn = Turn { count: 1, rng: &mut rng };
+            let mut turn = PickContext { count: 1, rng: &mut rng };
             let request = Request { is_repeatable: true, tried: &[] };
             std::hint::black_box(choose(pick, &candidates, request, &mut turn));
         });
--- a/crates/leverstream-bench/src/gray/driver.rs
+++ b/crates/leverstream-bench/src/gray/driver.rs
@@ -5,7 +5,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 
 use leverstream_health::{BackendKey, Health, HealthSettings, Probe, Work, eject_rule};
-use leverstream_route::{Candidate, Pick, Request, RetryBudget, Turn, choose, picker};
+use leverstream_route::{Candidate, PickContext, Picker, Request, RetryBudget, choose, picker};
 use leverstream_table::ServiceRow;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -76,7 +76,7 @@
     /// The fault.
     fault: &'a Fault,
     /// The picker.
-    pick: &'static Pick,
+    pick: &'static Picker,
     /// Chance.
     rng: StdRng,
     /// The present.
@@ -271,7 +271,7 @@
             })
             .collect();
         vm.turn += 1;
-        let mut turn = Turn { count: vm.turn, rng: &mut self.rng };
+        let mut turn = PickContext { count: vm.turn, rng: &mut self.rng };
         let tried = &self.requests[request].tried;
         let asked = Request { is_repeatable: true, tried };
         let Some(key) = choose(self.pick, &candidates, asked, &mut turn) else { return false };
--- a/crates/leverstream-proxy/src/acquire.rs
+++ b/crates/leverstream-proxy/src/acquire.rs
@@ -3,7 +3,7 @@
 
 use leverstream_error::Kind;
 use leverstream_health::BackendKey;
-use leverstream_route::{Arrival, Candidate, Request, Turn, choose};
+use leverstream_route::{Arrival, Candidate, PickContext, Request, choose};
 use tokio::sync::oneshot;
 use tracing::Instrument;
 
@@ -68,7 +68,7 @@
     for _ in 0..PICK_TRIES {
         let candidates: Vec<Candidate> = serving.backends.iter().map(candidate).collect();
         let count = u64::from(serving.live.turn.fetch_add(1, Ordering::Relaxed));
-        let mut turn = Turn { count, rng: &mut rng };
+        let mut turn = PickContext { count, rng: &mut rng };
         let key: BackendKey = choose(proxy.picker, &candidates, request, &mut turn)?;
         let index = serving.backends.iter().position(|backend| backend.key == key)?;
         let backend = &serving.backends[index];
--- a/crates/leverstream-proxy/src/proxy.rs
+++ b/crates/leverstream-proxy/src/proxy.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 
 use arc_swap::ArcSwap;
-use leverstream_route::Pick;
+use leverstream_route::Picker;
 use leverstream_ticket::{Ledger, Mint};
 use parking_lot::Mutex;
 use tokio::sync::mpsc;
@@ -23,7 +23,7 @@
     /// The counts.
     pub metrics: Metrics,
     /// How backend servers are chosen.
-    pub picker: &'static Pick,
+    pub picker: &'static Picker,
     /// The times and bounds.
     pub settings: ProxySettings,
     /// Where observations go.
--- a/crates/leverstream-route/src/pick.rs
+++ b/crates/leverstream-route/src/pick.rs
@@ -33,7 +33,7 @@
 }
 
 /// What a picker uses in addition to the candidates.
-pub struct Turn<'a, R: Rng + ?Sized> {
+pub struct PickContext<'a, R: Rng + ?Sized> {
     /// A counter that increases with each request.
     pub count: u64,
     /// The random number generator.
@@ -41,22 +41,22 @@
 }
 
 /// A strategy to choose among backend servers, registered by name.
-pub struct Pick {
+pub struct Picker {
     /// The name in settings and reports.
     pub name: &'static str,
     /// Returns the index of a candidate; all are fit and have a free slot.
     pub pick: fn(&[Candidate], u64, &mut dyn rand::RngCore) -> Option<usize>,
 }
 
-inventory::collect!(Pick);
+inventory::collect!(Picker);
 
 /// Returns all registered pickers.
-pub fn pickers() -> impl Iterator<Item = &'static Pick> {
-    inventory::iter::<Pick>()
+pub fn pickers() -> impl Iterator<Item = &'static Picker> {
+    inventory::iter::<Picker>()
 }
 
 /// Returns the picker with a name.
-pub fn picker(name: &str) -> Option<&'static Pick> {
+pub fn picker(name: &str) -> Option<&'static Picker> {
     pickers().find(|pick| pick.name == name)
 }
 
@@ -64,12 +64,12 @@
 ///
 /// One that the request was already sent to is chosen only if no other is fit.
 pub fn choose<R: Rng>(
-    pick: &Pick,
+    pick: &Picker,
     candidates: &[Candidate],
     request: Request<'_>,
-    turn: &mut Turn<'_, R>,
+    context: &mut PickContext<'_, R>,
 ) -> Option<BackendKey> {
-    if let Some(trial) = choose_trial(candidates, request, turn) {
+    if let Some(trial) = choose_trial(candidates, request, context) {
         return Some(trial);
     }
     let is_fit = |candidate: &&Candidate| candidate.weight > 0.0 && !candidate.is_trial;
@@ -82,7 +82,7 @@
         .filter(|candidate| candidate.load < candidate.slots)
         .copied()
         .collect();
-    let index = (pick.pick)(&available, turn.count, turn.rng)?;
+    let index = (pick.pick)(&available, context.count, context.rng)?;
     available.get(index).map(|candidate| candidate.key)
 }
 
@@ -90,7 +90,7 @@
 fn choose_trial<R: Rng>(
     candidates: &[Candidate],
     request: Request<'_>,
-    turn: &mut Turn<'_, R>,
+    context: &mut PickContext<'_, R>,
 ) -> Option<BackendKey> {
     if !request.is_repeatable || !request.tried.is_empty() {
         return None;
@@ -100,5 +100,5 @@
         candidate.is_trial && candidate.own == 0 && candidate.load < candidate.slots
     };
     let chosen = candidates.iter().find(is_eligible)?;
-    (turn.rng.random_range(0..TRIAL_ONE_IN) == 0).then_some(chosen.key)
+    (context.rng.random_range(0..TRIAL_ONE_IN) == 0).then_some(chosen.key)
 }
--- a/crates/leverstream-route/src/pickers.rs
+++ b/crates/leverstream-route/src/pickers.rs
@@ -2,12 +2,12 @@
 
 use rand::{Rng, RngCore};
 
-use crate::pick::{Candidate, Pick};
+use crate::pick::{Candidate, Picker};
 
-inventory::submit! { Pick { name: "least-load", pick: least_load } }
-inventory::submit! { Pick { name: "least-in-flight", pick: least_in_flight } }
-inventory::submit! { Pick { name: "round-robin", pick: round_robin } }
-inventory::submit! { Pick { name: "two-choices", pick: two_choices } }
+inventory::submit! { Picker { name: "least-load", pick: least_load } }
+inventory::submit! { Picker { name: "least-in-flight", pick: least_in_flight } }
+inventory::submit! { Picker { name: "round-robin", pick: round_robin } }
+inventory::submit! { Picker { name: "two-choices", pick: two_choices } }
 
 /// Picks the lowest load relative to weight and slots; ties are broken at random.
 fn least_load(candidates: &[Candidate], _: u64, rng: &mut dyn RngCore) -> Option<usize> {
--- a/crates/leverstream-route/tests/route.rs
+++ b/crates/leverstream-route/tests/route.rs
@@ -3,7 +3,7 @@
 use leverstream_error::Kind;
 use leverstream_health::BackendKey;
 use leverstream_route::{
-    Arrival, Candidate, Queue, Request, RetryBudget, Turn, choose, picker, pickers,
+    Arrival, Candidate, PickContext, Queue, Request, RetryBudget, choose, picker, pickers,
 };
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -17,9 +17,9 @@
 /// Chooses a candidate with the default picker.
 fn pick(candidates: &[Candidate], tried: &[BackendKey], seed: u64) -> Option<BackendKey> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut turn = Turn { count: seed, rng: &mut rng };
+    let mut context = PickContext { count: seed, rng: &mut rng };
     let request = Request { is_repeatable: true, tried };
-    choose(picker("least-load").expect("built in"), candidates, request, &mut turn)
+    choose(picker("least-load").expect("built in"), candidates, request, &mut context)
 }
 
 #[test]
@@ -91,9 +91,9 @@
         }).collect();
         for pick in pickers() {
             let mut rng = StdRng::seed_from_u64(seed);
-            let mut turn = Turn { count: seed, rng: &mut rng };
+            let mut context = PickContext { count: seed, rng: &mut rng };
             let request = Request { is_repeatable: false, tried: &[] };
-            let chosen = choose(pick, &candidates, request, &mut turn);
+            let chosen = choose(pick, &candidates, request, &mut context);
             let open = |c: &&Candidate| c.weight > 0.0 && !c.is_trial && c.load < c.slots;
             prop_assert_eq!(chosen.is_some(), candidates.iter().any(|c| open(&c)));
             if let Some(key) = chosen {
