--- a/crates/leverstream-proxy/src/acquire.rs
+++ b/crates/leverstream-proxy/src/acquire.rs
@@ -138,7 +138,7 @@
     /// The service.
     serving: &'a Serving,
     /// The place.
-    place: leverstream_route::Place,
+    place: leverstream_route::QueuePosition,
 }
 
 impl Drop for Leave<'_> {
--- a/crates/leverstream-proxy/src/flight.rs
+++ b/crates/leverstream-proxy/src/flight.rs
@@ -4,7 +4,7 @@
 
 use leverstream_health::{BackendKey, Work};
 use leverstream_pace::Bucket;
-use leverstream_route::{Place, Queue, RetryBudget};
+use leverstream_route::{Queue, QueuePosition, RetryBudget};
 use parking_lot::Mutex;
 use slab::Slab;
 use tokio::sync::{mpsc, oneshot};
@@ -62,7 +62,7 @@
     /// The order.
     pub queue: Queue,
     /// How to wake each.
-    pub wakers: HashMap<Place, oneshot::Sender<Wake>>,
+    pub wakers: HashMap<QueuePosition, oneshot::Sender<Wake>>,
 }
 
 /// Why one who waits is woken.
@@ -128,7 +128,7 @@
     /// Lets up to `count` of those who wait try again.
     pub fn wake(&self, count: usize) {
         let mut waiting = self.waiting.lock();
-        let places: Vec<Place> = waiting.queue.first(count).collect();
+        let places: Vec<QueuePosition> = waiting.queue.first(count).collect();
         for place in places {
             if let Some(waker) = waiting.wakers.remove(&place) {
                 let _ = waker.send(Wake::Try);
--- a/crates/leverstream-route/src/lib.rs
+++ b/crates/leverstream-route/src/lib.rs
@@ -17,6 +17,6 @@
 pub use fleet_budget::{FleetBudget, Headroom, LOAN_TTL_MS, MAX_WINDOW_MS, RetryAllowance};
 pub use loan_requests::LoanRequests;
 pub use pick::{Candidate, PickContext, Picker, Request, choose, picker, pickers};
-pub use queue::{Arrival, Place, Queue};
+pub use queue::{Arrival, Queue, QueuePosition};
 pub use slack::SlackShare;
 pub use steer::{Choice, Claim, FloorStanding, steer};
--- a/crates/leverstream-route/src/queue.rs
+++ b/crates/leverstream-route/src/queue.rs
@@ -6,7 +6,7 @@
 
 /// A request's position in a [`Queue`], ordered by deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Place {
+pub struct QueuePosition {
     /// The deadline of the request.
     pub deadline_ms: u64,
     /// Orders requests with the same deadline by arrival.
@@ -30,7 +30,7 @@
 #[derive(Debug, Default)]
 pub struct Queue {
     /// Whether each waiting request gives way, by position.
-    places: BTreeMap<Place, bool>,
+    positions: BTreeMap<QueuePosition, bool>,
     /// The sequence number of the last request that entered.
     sequence: u64,
 }
@@ -45,14 +45,15 @@
         arrival: Arrival,
         limit: usize,
         now_ms: u64,
-    ) -> Result<(Place, Option<Place>), Kind> {
-        let place = Place { deadline_ms: arrival.deadline_ms, sequence: self.sequence + 1 };
-        let requests_ahead = self.places.range(..place).count();
+    ) -> Result<(QueuePosition, Option<QueuePosition>), Kind> {
+        let position =
+            QueuePosition { deadline_ms: arrival.deadline_ms, sequence: self.sequence + 1 };
+        let requests_ahead = self.positions.range(..position).count();
         let service_rounds = requests_ahead as f64 / f64::from(arrival.slots.max(1)) + 1.0;
         if now_ms as f64 + service_rounds * arrival.typical_ms > arrival.deadline_ms as f64 {
             return Err(Kind::DeadlinePassed);
         }
-        let displaced = if self.places.len() < limit {
+        let displaced = if self.positions.len() < limit {
             None
         } else if arrival.gives_way {
             return Err(Kind::QueueFull);
@@ -60,35 +61,39 @@
             Some(self.last_to_give_way().ok_or(Kind::QueueFull)?)
         };
         if let Some(displaced) = displaced {
-            self.places.remove(&displaced);
+            self.positions.remove(&displaced);
         }
         self.sequence += 1;
-        self.places.insert(place, arrival.gives_way);
-        Ok((place, displaced))
+        self.positions.insert(position, arrival.gives_way);
+        Ok((position, displaced))
     }
 
     /// Removes a request.
-    pub fn leave(&mut self, place: Place) {
-        self.places.remove(&place);
+    pub fn leave(&mut self, position: QueuePosition) {
+        self.positions.remove(&position);
     }
 
     /// Returns the first positions, at most `count`.
-    pub fn first(&self, count: usize) -> impl Iterator<Item = Place> + '_ {
-        self.places.keys().take(count).copied()
+    pub fn first(&self, count: usize) -> impl Iterator<Item = QueuePosition> + '_ {
+        self.positions.keys().take(count).copied()
     }
 
     /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
     /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
     /// Returns the last position whose request gives way.
-    fn last_to_give_way(&self) -> Option<Place> {
-        self.places.iter().rev().find(|(_, gives_way)| **gives_way).map(|(place, _)| *place)
+    fn last_to_give_way(&self) -> Option<QueuePosition> {
+        self.positions
+            .iter()
+            .rev()
+            .find(|(_, gives_way)| **gives_way)
+            .map(|(position, _)| *position)
     }
 }
