--- a/crates/leverstream-gateway/src/limits.rs
+++ b/crates/leverstream-gateway/src/limits.rs
@@ -8,7 +8,9 @@
 use leverstream_catalog::Incarnation;
 use leverstream_core::{Fleet, LimitTold, LimitWord};
 use leverstream_health::BackendKey;
-use leverstream_limit::{Arbiter, Round, Silences, Step, Verdict, consents_needed};
+use leverstream_limit::{
+    Arbiter, PermitRequest, Step, UnresponsiveArbiters, Verdict, consents_needed,
+};
 use leverstream_pace::Clock;
 use leverstream_peer::packet::Body;
 use leverstream_peer::{Packet, PermitAnswer, PermitQuestion, PermitVerdict};
@@ -25,7 +27,7 @@
     /// What it has consented to.
     arbiter: RefCell<Arbiter>,
     /// Which arbiters have not answered of late.
-    silences: RefCell<Silences<SocketAddr>>,
+    silences: RefCell<UnresponsiveArbiters<SocketAddr>>,
     /// Who waits for the answer to which question.
     waiting: RefCell<HashMap<u64, oneshot::Sender<Verdict>>>,
     /// The number of the last question.
@@ -90,7 +92,8 @@
         let arbiters = self.mesh.arbiters(&of.instance);
         let needed = consents_needed(self.vms);
         let began_ms = self.clock.now_ms();
-        let mut round = Round::open(&arbiters, needed, &self.limits.silences.borrow(), began_ms);
+        let mut round =
+            PermitRequest::open(&arbiters, needed, &self.limits.silences.borrow(), began_ms);
         let mut asked = None;
         loop {
             let now_ms = self.clock.now_ms();
@@ -113,12 +116,12 @@
                     return Err(Denied);
                 }
                 Step::Ask(to) if to == self.mesh.address() => {
-                    round.hear(to, self.consent(&of, per_s, self.mesh.id()), now_ms);
+                    round.record_verdict(to, self.consent(&of, per_s, self.mesh.id()), now_ms);
                 }
                 Step::Ask(to) => asked = self.ask(to, &of),
-                Step::Listen(until_ms) => {
+                Step::Wait(until_ms) => {
                     if let Some((from, verdict)) = self.listen(asked.take(), until_ms).await {
-                        round.hear(from, verdict, self.clock.now_ms());
+                        round.record_verdict(from, verdict, self.clock.now_ms());
                     }
                 }
             }
--- a/crates/leverstream-limit/src/lib.rs
+++ b/crates/leverstream-limit/src/lib.rs
@@ -29,4 +29,4 @@
 mod round;
 
 pub use arbiter::{ARBITER_BURST, Arbiter, Role, STAND_IN_BURST, STAND_IN_PER_S, Verdict};
-pub use round::{ARBITERS, Round, STAND_INS, Silences, Step, consents_needed};
+pub use round::{ARBITERS, PermitRequest, STAND_INS, Step, UnresponsiveArbiters, consents_needed};
--- a/crates/leverstream-limit/src/round.rs
+++ b/crates/leverstream-limit/src/round.rs
@@ -36,7 +36,7 @@
 
 /// A VM's request for one permit, which asks one arbiter after another.
 #[derive(Clone, Debug)]
-pub struct Round<A> {
+pub struct PermitRequest<A> {
     /// The VMs still to be asked, the next one last.
     remaining: Vec<A>,
     /// The number of consents still needed.
@@ -57,7 +57,7 @@
     /// Ask this VM.
     Ask(A),
     /// Wait for an answer until this time.
-    Listen(u64),
+    Wait(u64),
     /// Send the request before this time.
     Granted(u64),
     /// Send nothing before `until_ms`.
@@ -69,15 +69,20 @@
     },
 }
 
-impl<A: Copy + Eq + Hash> Round<A> {
+impl<A: Copy + Eq + Hash> PermitRequest<A> {
     /// Begins a request for a permit. The VMs are asked in the order of `arbiters`, unresponsive
     /// ones last.
-    pub fn open(arbiters: &[A], needed: usize, silences: &Silences<A>, now_ms: u64) -> Round<A> {
+    pub fn open(
+        arbiters: &[A],
+        needed: usize,
+        unresponsive: &UnresponsiveArbiters<A>,
+        now_ms: u64,
+    ) -> PermitRequest<A> {
         let (unresponsive, responsive): (Vec<A>, Vec<A>) =
-            arbiters.iter().partition(|arbiter| silences.is_unresponsive(**arbiter, now_ms));
+            arbiters.iter().partition(|arbiter| unresponsive.is_unresponsive(**arbiter, now_ms));
         let remaining =
             unresponsive.into_iter().rev().chain(responsive.into_iter().rev()).collect();
-        Round {
+        PermitRequest {
             remaining,
             needed,
             has_consent: false,
@@ -88,7 +93,7 @@
     }
 
     /// Returns the next step; records an arbiter that didn't answer in time.
-    pub fn step(&mut self, silences: &mut Silences<A>, now_ms: u64) -> Step<A> {
+    pub fn step(&mut self, unresponsive: &mut UnresponsiveArbiters<A>, now_ms: u64) -> Step<A> {
         let ends_ms = self.began_ms + PERMIT_TTL_MS;
         if self.needed == 0 && now_ms < ends_ms {
             return Step::Granted(ends_ms);
@@ -99,9 +104,9 @@
         if let Some((arbiter, asked_ms)) = self.awaited {
             let until_ms = asked_ms + ANSWER_TIMEOUT_MS;
             if now_ms < until_ms {
-                return Step::Listen(until_ms);
+                return Step::Wait(until_ms);
             }
-            silences.record(arbiter, now_ms);
+            unresponsive.record(arbiter, now_ms);
             self.awaited = None;
         }
         if self.remaining.len() < self.needed || now_ms >= ends_ms {
@@ -118,7 +123,7 @@
     ///
     /// A denial by the first arbiter ends the request. If VMs then asked the others, the permits
     /// would exceed the limit.
-    pub fn hear(&mut self, from: A, verdict: Verdict, now_ms: u64) {
+    pub fn record_verdict(&mut self, from: A, verdict: Verdict, now_ms: u64) {
         if self.awaited.is_none_or(|(asked, _)| asked != from) {
             return;
         }
@@ -140,18 +145,18 @@
 
 /// The arbiters that recently didn't answer in time.
 #[derive(Clone, Debug)]
-pub struct Silences<A> {
+pub struct UnresponsiveArbiters<A> {
     /// When each arbiter is asked in the usual order again.
     until_ms: HashMap<A, u64>,
 }
 
-impl<A> Default for Silences<A> {
+impl<A> Default for UnresponsiveArbiters<A> {
     fn default() -> Self {
-        Silences { until_ms: HashMap::new() }
+        UnresponsiveArbiters { until_ms: HashMap::new() }
     }
 }
 
-impl<A: Copy + Eq + Hash> Silences<A> {
+impl<A: Copy + Eq + Hash> UnresponsiveArbiters<A> {
     /// Records that an arbiter didn't answer in time.
     fn record(&mut self, arbiter: A, now_ms: u64) {
         self.until_ms.retain(|_, until_ms| now_ms < *until_ms);
--- a/crates/leverstream-limit/tests/fleet/mod.rs
+++ b/crates/leverstream-limit/tests/fleet/mod.rs
@@ -8,7 +8,8 @@
 
 use leverstream_catalog::Incarnation;
 use leverstream_limit::{
-    ARBITERS, Arbiter, Role, Round, STAND_INS, Silences, Step, Verdict, consents_needed,
+    ARBITERS, Arbiter, PermitRequest, Role, STAND_INS, Step, UnresponsiveArbiters, Verdict,
+    consents_needed,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -121,9 +122,9 @@
     /// Its arbiter.
     arbiter: Arbiter,
     /// The arbiters that didn't answer it.
-    silences: Silences<usize>,
+    unresponsive: UnresponsiveArbiters<usize>,
     /// Its pending requests for permits.
-    rounds: HashMap<u64, Round<usize>>,
+    permits: HashMap<u64, PermitRequest<usize>>,
     /// What it knows of the limit.
     known_limit: KnownLimit,
     /// Until when it was denied a permit.
@@ -156,9 +157,9 @@
     /// A request has been answered.
     Answer { vm: usize, process: u32, sent_ms: u64 },
     /// A VM receives a question for its consent.
-    Question { from: usize, to: usize, process: u32, round: u64, per_s: Option<f64>, age_ms: i64 },
+    Question { from: usize, to: usize, process: u32, permit: u64, per_s: Option<f64>, age_ms: i64 },
     /// A VM receives an arbiter's answer.
-    Verdict { from: usize, to: usize, process: u32, round: u64, verdict: Verdict },
+    Verdict { from: usize, to: usize, process: u32, permit: u64, verdict: Verdict },
     /// A VM that has started fetches the list of backend servers from another.
     FetchList { to: usize },
     /// A VM receives the limit, this long after the request whose response announced it was sent.
@@ -214,8 +215,8 @@
 fn start(vms: usize, process: u32, now_ms: u64, with_fleet: bool) -> Vm {
     Vm {
         arbiter: Arbiter::default(),
-        silences: Silences::default(),
-        rounds: HashMap::new(),
+        unresponsive: UnresponsiveArbiters::default(),
+        permits: HashMap::new(),
         known_limit: (None, 0),
         denied_until_ms: 0,
         sees: vec![with_fleet; vms],
@@ -306,17 +307,17 @@
                 Action::Answer { vm, process, sent_ms } => {
                     self.answer(vm, process, sent_ms, now_ms)
                 }
-                Action::Question { from, to, process, round, per_s, age_ms } => {
+                Action::Question { from, to, process, permit, per_s, age_ms } => {
                     self.record_limit(to, (per_s, now_ms as i64 - age_ms));
                     let verdict = self.verdict(to, from, now_ms);
-                    let answer = Action::Verdict { from: to, to: from, process, round, verdict };
+                    let answer = Action::Verdict { from: to, to: from, process, permit, verdict };
                     self.datagram(to, from, &answer, now_ms);
                 }
-                Action::Verdict { from, to, process, round, verdict }
+                Action::Verdict { from, to, process, permit, verdict }
                     if self.vms[to].process == process =>
                 {
-                    if let Some(round) = self.vms[to].rounds.get_mut(&round) {
-                        round.hear(from, verdict, now_ms);
+                    if let Some(permit) = self.vms[to].permits.get_mut(&permit) {
+                        permit.record_verdict(from, verdict, now_ms);
                     }
                 }
                 Action::Verdict { .. } => {}
@@ -386,10 +387,10 @@
     /// Advances all pending requests for permits.
     fn advance_permits(&mut self, now_ms: u64) {
         for at in 0..self.scenario.vms {
-            if self.vms[at].down_until_ms > now_ms || self.vms[at].rounds.is_empty() {
+            if self.vms[at].down_until_ms > now_ms || self.vms[at].permits.is_empty() {
                 continue;
             }
-            let mut numbers: Vec<u64> = self.vms[at].rounds.keys().copied().collect();
+            let mut numbers: Vec<u64> = self.vms[at].permits.keys().copied().collect();
             numbers.sort_unstable();
             for number in numbers {
                 self.step(at, number, now_ms);
@@ -401,27 +402,27 @@
     fn step(&mut self, at: usize, number: u64, now_ms: u64) {
         loop {
             let vm = &mut self.vms[at];
-            let Some(round) = vm.rounds.get_mut(&number) else { return };
-            match round.step(&mut vm.silences, now_ms) {
+            let Some(permit) = vm.permits.get_mut(&number) else { return };
+            match permit.step(&mut vm.unresponsive, now_ms) {
                 Step::Granted(_) => {
-                    vm.rounds.remove(&number);
+                    vm.permits.remove(&number);
                     self.send_request(at, now_ms);
                     return;
                 }
                 Step::Denied { until_ms, .. } => {
-                    vm.rounds.remove(&number);
+                    vm.permits.remove(&number);
                     vm.denied_until_ms = until_ms;
                     self.recording.unsent += 1;
                     return;
                 }
-                Step::Listen(_) => {
+                Step::Wait(_) => {
                     self.recording.waited_ms += 1;
                     return;
                 }
                 Step::Ask(to) if to == at => {
                     let verdict = self.verdict(at, at, now_ms);
-                    if let Some(round) = self.vms[at].rounds.get_mut(&number) {
-                        round.hear(at, verdict, now_ms);
+                    if let Some(permit) = self.vms[at].permits.get_mut(&number) {
+                        permit.record_verdict(at, verdict, now_ms);
                     }
                 }
                 Step::Ask(to) => {
@@ -429,7 +430,7 @@
                     let age_ms = now_ms as i64 - sent_ms;
                     self.recording.bytes += QUESTION_BYTES;
                     let question =
-                        Action::Question { from: at, to, process, round: number, per_s, age_ms };
+                        Action::Question { from: at, to, process, permit: number, per_s, age_ms };
                     self.datagram(at, to, &question, now_ms);
                 }
             }
@@ -479,10 +480,11 @@
             return;
         }
         let needed = self.scenario.scheme.needed.min(consents_needed(self.scenario.vms));
-        let round = Round::open(&self.chosen(at), needed, &self.vms[at].silences, now_ms);
+        let permit =
+            PermitRequest::open(&self.chosen(at), needed, &self.vms[at].unresponsive, now_ms);
         self.count += 1;
         let number = self.count;
-        self.vms[at].rounds.insert(number, round);
+        self.vms[at].permits.insert(number, permit);
         self.step(at, number, now_ms);
     }
 
--- a/crates/leverstream-limit/tests/limit_model.rs
+++ b/crates/leverstream-limit/tests/limit_model.rs
@@ -3,7 +3,9 @@
 //! sight of another, no four seconds hold more permits than allowed.
 
 use leverstream_catalog::Incarnation;
-use leverstream_limit::{ARBITERS, Arbiter, Role, Round, Silences, Step, Verdict, consents_needed};
+use leverstream_limit::{
+    ARBITERS, Arbiter, PermitRequest, Role, Step, UnresponsiveArbiters, Verdict, consents_needed,
+};
 
 /// The number of VMs.
 const VMS: usize = 3;
@@ -40,7 +42,7 @@
     /// The arbiter of each VM.
     arbiters: [Arbiter; VMS],
     /// The arbiters that didn't answer each VM.
-    silences: [Silences<usize>; VMS],
+    unresponsive: [UnresponsiveArbiters<usize>; VMS],
     /// Which VMs don't answer.
     is_silent: [bool; VMS],
     /// Which VMs each VM sees.
@@ -56,7 +58,7 @@
     fn open() -> FleetState {
         FleetState {
             arbiters: Default::default(),
-            silences: Default::default(),
+            unresponsive: Default::default(),
             is_silent: [false; VMS],
             sees: [[true; VMS]; VMS],
             now_ms: 0,
@@ -69,7 +71,7 @@
         match event {
             Event::Restart(vm) => {
                 self.arbiters[vm] = Arbiter::default();
-                self.silences[vm] = Silences::default();
+                self.unresponsive[vm] = UnresponsiveArbiters::default();
             }
             Event::Silence(vm) => self.is_silent[vm] = !self.is_silent[vm],
             Event::LoseSight(vm, other) => self.sees[vm][other] = !self.sees[vm][other],
@@ -93,13 +95,13 @@
     fn ask(&mut self, vm: usize) -> bool {
         let arbiters = self.arbiters_of(vm);
         let needed = consents_needed(VMS);
-        let mut round = Round::open(&arbiters, needed, &self.silences[vm], self.now_ms);
+        let mut round = PermitRequest::open(&arbiters, needed, &self.unresponsive[vm], self.now_ms);
         let mut at_ms = self.now_ms;
         loop {
-            match round.step(&mut self.silences[vm], at_ms) {
+            match round.step(&mut self.unresponsive[vm], at_ms) {
                 Step::Ask(to) if to != vm && (self.is_silent[to] || self.is_silent[vm]) => {}
-                Step::Ask(to) => round.hear(to, self.verdict(to, vm), at_ms),
-                Step::Listen(until_ms) => at_ms = until_ms,
+                Step::Ask(to) => round.record_verdict(to, self.verdict(to, vm), at_ms),
+                Step::Wait(until_ms) => at_ms = until_ms,
                 Step::Granted(_) => return true,
                 Step::Denied { .. } => return false,
             }
@@ -168,11 +170,11 @@
 /// Returns all events that may happen in a step.
 fn events() -> Vec<Event> {
     let restarts = (0..VMS).map(Event::Restart);
-    let silences = (0..VMS).map(Event::Silence);
+    let unresponsive = (0..VMS).map(Event::Silence);
     let pairs = (0..VMS).flat_map(|vm| (0..VMS).map(move |other| (vm, other)));
     let losses =
         pairs.filter(|(vm, other)| vm != other).map(|(vm, other)| Event::LoseSight(vm, other));
-    restarts.chain(silences).chain(losses).collect()
+    restarts.chain(unresponsive).chain(losses).collect()
 }
 
 #[test]
