--- a/crates/leverstream-core/src/select.rs
+++ b/crates/leverstream-core/src/select.rs
@@ -1,5 +1,5 @@
 use leverstream_health::BackendKey;
-use leverstream_route::{Choice, steer};
+use leverstream_route::{Choice, choose_by_cost};
 use rand::Rng;
 
 use crate::{Asker, Candidates, Fleet, Floor, claim};
@@ -83,7 +83,7 @@
     }
     let part = if want.is_repeatable { AVOID_PART_REPEATABLE } else { AVOID_PART_ONCE };
     let accepts_avoided = want.waited_ms as f64 >= want.objective_ms as f64 * part;
-    let index = steer(&choices, want.is_repeatable, accepts_avoided, rng)?;
+    let index = choose_by_cost(&choices, want.is_repeatable, accepts_avoided, rng)?;
     let avoided = choices.iter().filter(|choice| choice.is_avoided(want.is_repeatable)).count();
     Some(Pick { key: keys[index], choice: choices[index], among: choices.len(), avoided })
 }
--- a/crates/leverstream-core/tests/floor.rs
+++ b/crates/leverstream-core/tests/floor.rs
@@ -4,7 +4,7 @@
 //! start and many fail, as seen on a day with trouble; callers bring 170 requests a second.
 
 use leverstream_core::{Demand, Floor, claim, used_share};
-use leverstream_route::{Choice, Claim, FloorStanding, steer};
+use leverstream_route::{Choice, Claim, FloorStanding, choose_by_cost};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -161,7 +161,8 @@
         // One request in three may run again.
         let is_repeatable = (now_ms / 6).is_multiple_of(3);
         claim(&mut choices, FAILING, is_repeatable);
-        let at = steer(&choices, is_repeatable, false, &mut rng).expect("there are free slots");
+        let at =
+            choose_by_cost(&choices, is_repeatable, false, &mut rng).expect("there are free slots");
         works[at].push(now_ms + if is_new(at) { 3_000 } else { 250 });
         reached_ms[at] = now_ms;
         if now_ms > 3_000 {
--- a/crates/leverstream-route/src/steer.rs
+++ b/crates/leverstream-route/src/cost.rs
@@ -142,7 +142,7 @@
 /// An avoided backend server is chosen only if no other is sound or `accepts_avoided` says that
 /// waiting for another is not worth it. One that the request was already sent to is chosen only if
 /// there is no other.
-pub fn steer(
+pub fn choose_by_cost(
     choices: &[Choice],
     is_repeatable: bool,
     accepts_avoided: bool,
--- a/crates/leverstream-route/src/lib.rs
+++ b/crates/leverstream-route/src/lib.rs
@@ -5,18 +5,18 @@
 //! deadlines and the present time are arguments.
 
 mod budget;
+mod cost;
 mod fleet_budget;
 mod loan_requests;
 mod pick;
 mod pickers;
 mod queue;
 mod slack;
-mod steer;
 
 pub use budget::RetryBudget;
+pub use cost::{Choice, Claim, FloorStanding, choose_by_cost};
 pub use fleet_budget::{FleetBudget, Headroom, LOAN_TTL_MS, MAX_WINDOW_MS, RetryAllowance};
 pub use loan_requests::LoanRequests;
 pub use pick::{Candidate, PickContext, Picker, Request, choose, picker, pickers};
 pub use queue::{Arrival, Queue, QueuePosition};
 pub use slack::SlackShare;
-pub use steer::{Choice, Claim, FloorStanding, steer};
--- a/crates/leverstream-route/tests/steer.rs
+++ b/crates/leverstream-route/tests/cost.rs
@@ -1,6 +1,6 @@
 //! Tests of the choice of a backend server by cost.
 
-use leverstream_route::{Choice, Claim, FloorStanding, steer};
+use leverstream_route::{Choice, Claim, FloorStanding, choose_by_cost};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use yare::parameterized;
@@ -45,14 +45,14 @@
 )]
 fn choice_with_lowest_cost_is_chosen(choices: &[Choice], expected: Option<usize>) {
     let mut rng = StdRng::seed_from_u64(1);
-    assert_eq!(steer(choices, true, false, &mut rng), expected);
-    assert_eq!(steer(choices, false, false, &mut rng), expected);
+    assert_eq!(choose_by_cost(choices, true, false, &mut rng), expected);
+    assert_eq!(choose_by_cost(choices, false, false, &mut rng), expected);
 }
 
 #[test]
 fn request_that_waited_long_enough_accepts_a_failing_backend() {
     let mut rng = StdRng::seed_from_u64(1);
-    assert_eq!(steer(&[FULL, FAILING], false, true, &mut rng), Some(1));
+    assert_eq!(choose_by_cost(&[FULL, FAILING], false, true, &mut rng), Some(1));
 }
 
 #[test]
@@ -60,8 +60,8 @@
     let doubtful = Choice { failure_chance: 0.2, ..SOUND };
     let busy = Choice { load: 2, ..SOUND };
     let mut rng = StdRng::seed_from_u64(1);
-    assert_eq!(steer(&[doubtful, busy], true, false, &mut rng), Some(0));
-    assert_eq!(steer(&[doubtful, busy], false, false, &mut rng), Some(1));
+    assert_eq!(choose_by_cost(&[doubtful, busy], true, false, &mut rng), Some(0));
+    assert_eq!(choose_by_cost(&[doubtful, busy], false, false, &mut rng), Some(1));
 }
 
 #[test]
@@ -69,7 +69,9 @@
     let mut rng = StdRng::seed_from_u64(1);
     let mut counts = [0; 3];
     for _ in 0..3_000 {
-        counts[steer(&[SOUND; 3], true, false, &mut rng).expect("a choice is available")] += 1;
+        counts
+            [choose_by_cost(&[SOUND; 3], true, false, &mut rng).expect("a choice is available")] +=
+            1;
     }
     assert!(counts.iter().all(|count| (900..1_100).contains(count)), "{counts:?}");
 }
