--- a/crates/leverstream-limit/src/arbiter.rs
+++ b/crates/leverstream-limit/src/arbiter.rs
@@ -14,7 +14,7 @@
 pub const STAND_IN_BURST: f64 = 1.0;
 
 /// The largest rate of consents of a stand-in, per second. Together with the consents of three
-/// arbiters this is exactly the tolerance in four seconds. A small limit is only partly used
+/// arbiters this is exactly what is acceptable in four seconds. A small limit is only partly used
 /// through a stand-in while membership is unsettled.
 pub const STAND_IN_PER_S: f64 = 0.5;
 
@@ -51,7 +51,7 @@
 /// An arbiter's answer to a request for a permit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// The arbiter buckets.
+    /// The arbiter consents.
     Granted,
     /// No consent is left.
     Denied {
@@ -123,7 +123,7 @@
 /// The rate and the burst of a bucket.
 #[derive(Clone, Copy, Debug)]
 struct Allowance {
-    /// ConsentBucket gained per second.
+    /// Consents gained per second.
     rate_per_s: f64,
     /// The largest number of consents that accumulate.
     burst: f64,
--- a/crates/leverstream-limit/src/lib.rs
+++ b/crates/leverstream-limit/src/lib.rs
@@ -10,11 +10,11 @@
 //! * A VM sends nothing without consent, so its limit without messages from other VMs is zero.
 //! * An arbiter is a token bucket: it grants at most [`ARBITER_BURST`] consents at once and then
 //!   slightly fewer than the limit, so no window depends on more than `limit * window +
-//!   ARBITER_BURST` of its buckets. A stand-in grants at most [`STAND_IN_PER_S`] consents per
+//!   ARBITER_BURST` of its consents. A stand-in grants at most [`STAND_IN_PER_S`] consents per
 //!   second. A process starts with an empty bucket, so it adds nothing to what the previous process
 //!   granted.
-//! * Each request uses two buckets. In whatever order they are asked, the three arbiters and the
-//!   stand-in permit at most half the sum of their buckets: in four seconds, one and a half times
+//! * Each request uses two consents. In whatever order they are asked, the three arbiters and the
+//!   stand-in permit at most half the sum of their consents: in four seconds, one and a half times
 //!   the limit and four and a half requests. Five are acceptable. In the usual order every request
 //!   needs the first arbiter, which bounds this to the limit and two requests.
 //! * A VM that doesn't see a majority of the VMs grants nothing, so of two partitions of a fleet at
--- a/crates/leverstream-limit/src/round.rs
+++ b/crates/leverstream-limit/src/round.rs
@@ -28,8 +28,8 @@
 
 /// Returns how many arbiters must consent in a fleet of `vms` VMs.
 ///
-/// Two of three arbiters are a quorum: any two quorums have a member in common. The only VM of a fleet
-/// decides alone. A VM that has not yet heard from the other VMs of its fleet decides nothing.
+/// Two of three arbiters are a quorum: any two quorums have a member in common. The only VM of a
+/// fleet decides alone. A VM that has not yet heard from the other VMs of its fleet decides nothing.
 pub fn consents_needed(vms: usize) -> usize {
     vms.clamp(1, 2)
 }
--- a/crates/leverstream-route/src/loan_requests.rs
+++ b/crates/leverstream-route/src/asking.rs
@@ -71,7 +71,8 @@
         self.pending.values().any(|(_, asked_ms)| now_ms < asked_ms + ANSWER_WAIT_MS)
     }
 
-    /// Returns whether the last rounds brought a loan, or none were needed yet.
+    /// Returns whether other VMs are expected to lend: the last round or the one before it brought a
+    /// loan, or there was no earlier one.
     pub fn expects_loans(&self) -> bool {
         self.interval_ms <= 2 * MIN_INTERVAL_MS
     }
--- a/crates/leverstream-route/src/fleet_budget.rs
+++ b/crates/leverstream-route/src/fleet_budget.rs
@@ -53,8 +53,8 @@
 /// loan expires.
 const MIN_LOAN_REPEATS: f64 = 0.5;
 
-/// The fraction of its own slack that a VM lends at least, if that is less than
-/// [`MIN_LOAN_REPEATS`].
+/// The smallest loan as a fraction of the lender's share of the slack, which applies if it is less
+/// than [`MIN_LOAN_REPEATS`].
 ///
 /// With many VMs the share of each is small, and a borrower adds up the loans of several.
 const MIN_LOAN_FRACTION: f64 = 0.5;
@@ -244,8 +244,7 @@
         least
     }
 
-    /// Spends up to `wanted` repeats from loans, those that expire first before others, and returns
-    /// how many.
+    /// Spends up to `wanted` repeats from loans, earliest expiry first, and returns how many.
     fn spend_loans(&mut self, wanted: f64) -> f64 {
         self.loans.sort_by_key(|loan| loan.expires_ms);
         let mut missing = wanted;
--- a/crates/leverstream-route/tests/fleet/vm.rs
+++ b/crates/leverstream-route/tests/fleet/vm.rs
@@ -14,7 +14,7 @@
 
 /// The fraction of its share of the slack that a VM uses itself while callers are not assigned to
 /// it.
-const STRAY_PART: f64 = 0.15;
+const STRAY_FRACTION: f64 = 0.15;
 
 /// A message between VMs.
 #[derive(Clone, Debug)]
@@ -75,16 +75,16 @@
     /// Counts a request.
     pub fn request(&mut self, now_ms: u64) {
         let now_ms = now_ms - self.started_ms;
-        let part = self.own_part(now_ms);
-        self.budget.request(part, now_ms);
+        let share = self.own_share(now_ms);
+        self.budget.request(share, now_ms);
     }
 
     /// Spends one repeat if one is allowed.
     pub fn take(&mut self, now_ms: u64) -> bool {
         let now_ms = now_ms - self.started_ms;
         self.wants_repeat = true;
-        let part = self.own_part(now_ms);
-        self.budget.take(part, now_ms)
+        let share = self.own_share(now_ms);
+        self.budget.take(share, now_ms)
     }
 
     /// Does periodic work; returns messages with their receivers.
@@ -106,10 +106,10 @@
             let to = others[turn % others.len()];
             out.push((to, Message::KnownVms(self.slack.known_vms())));
         }
-        let part = self.own_part(now_ms);
-        let headroom = self.budget.headroom(part, now_ms);
+        let share = self.own_share(now_ms);
+        let headroom = self.budget.headroom(share, now_ms);
         if std::mem::take(&mut self.wants_repeat) && self.loan_requests.is_due(headroom, now_ms) {
-            for _ in 0..self.part(now_ms).lenders_to_ask(WANTED) {
+            for _ in 0..self.share(now_ms).lenders_to_ask(WANTED) {
                 self.next_lender += 1;
                 self.number += 1;
                 let to = others[self.next_lender % others.len()];
@@ -128,11 +128,11 @@
         now_ms: u64,
     ) -> Vec<(usize, Message)> {
         let now_ms = now_ms - self.started_ms;
-        let part = self.part(now_ms);
+        let share = self.share(now_ms);
         match *message {
             Message::KnownVms(vms) => self.slack.record_report(vms, now_ms),
             Message::LoanRequest(number) => {
-                let loan = self.budget.lend(WANTED, part, now_ms);
+                let loan = self.budget.lend(WANTED, share, now_ms);
                 return (loan > 0.0)
                     .then_some((from, Message::Loan(number, loan)))
                     .into_iter()
@@ -148,13 +148,13 @@
     }
 
     /// Returns its share of the allowance.
-    fn part(&self, now_ms: u64) -> RetryAllowance {
+    fn share(&self, now_ms: u64) -> RetryAllowance {
         self.allowance.with_slack_share(self.slack.share(self.allowance.window_ms, now_ms))
     }
 
     /// Returns the part of its share that it uses itself.
-    fn own_part(&self, now_ms: u64) -> RetryAllowance {
+    fn own_share(&self, now_ms: u64) -> RetryAllowance {
         let is_placed = self.view.placed.contains(&self.view.me);
-        self.part(now_ms).with_slack_share(if is_placed { 1.0 } else { STRAY_PART })
+        self.share(now_ms).with_slack_share(if is_placed { 1.0 } else { STRAY_FRACTION })
     }
 }
--- a/crates/leverstream-route/tests/fleet_budget.rs
+++ b/crates/leverstream-route/tests/fleet_budget.rs
@@ -15,16 +15,16 @@
 #[test]
 fn no_window_holds_more_repeats_than_allowed() {
     let allowance = RetryAllowance { ratio: 0.2, slack: 30.0, window_ms: WINDOW_MS };
-    let part = allowance.with_slack_share(0.5);
+    let vm_allowance = allowance.with_slack_share(0.5);
     let mut budget = FleetBudget::default();
     let (mut repeats, mut requests) = (Vec::new(), Vec::new());
     for now_ms in (0..60_000).step_by(20) {
         // Requests arrive in every other 10 s; repeats are attempted all the time.
         if now_ms % 20_000 < 10_000 {
-            budget.request(part, now_ms);
+            budget.request(vm_allowance, now_ms);
             requests.push(now_ms);
         }
-        if budget.take(part, now_ms) {
+        if budget.take(vm_allowance, now_ms) {
             repeats.push(now_ms);
         }
     }
@@ -41,7 +41,7 @@
 #[test]
 fn fleet_stays_within_allowance_when_one_vm_replaces_another() {
     let allowance = RetryAllowance { ratio: 0.2, slack: 60.0, window_ms: WINDOW_MS };
-    let part = allowance.with_slack_share(1.0 / 3.0);
+    let vm_allowance = allowance.with_slack_share(1.0 / 3.0);
     let mut vms = [FleetBudget::default(), FleetBudget::default(), FleetBudget::default()];
     let mut repeats: Vec<u64> = Vec::new();
     for now_ms in (0..40_000).step_by(10) {
@@ -49,13 +49,13 @@
         let (busy, idle) = if now_ms < 15_000 { ([0, 2], 1) } else { ([1, 2], 0) };
         for vm in busy {
             if now_ms % 50 == 0 {
-                vms[vm].request(part, now_ms);
+                vms[vm].request(vm_allowance, now_ms);
             }
-            if vms[vm].headroom(part, now_ms).is_low() {
-                let loan = vms[idle].lend(2.0, part, now_ms);
+            if vms[vm].headroom(vm_allowance, now_ms).is_low() {
+                let loan = vms[idle].lend(2.0, vm_allowance, now_ms);
                 vms[vm].borrow(loan, now_ms);
             }
-            if vms[vm].take(part, now_ms) {
+            if vms[vm].take(vm_allowance, now_ms) {
                 repeats.push(now_ms);
             }
         }
@@ -85,17 +85,18 @@
 
 #[test]
 fn loan_counts_as_spent_by_lender_until_it_expires() {
-    let part = RetryAllowance { ratio: 0.2, slack: 3.0, window_ms: WINDOW_MS };
+    let vm_allowance = RetryAllowance { ratio: 0.2, slack: 3.0, window_ms: WINDOW_MS };
     let mut lender = FleetBudget::default();
-    let loan = lender.lend(2.5, part, 1_000);
+    let loan = lender.lend(2.5, vm_allowance, 1_000);
     assert!(loan > 2.4);
-    let allows_repeat = |lender: &mut FleetBudget, now_ms| lender.headroom(part, now_ms).has_one();
+    let allows_repeat =
+        |lender: &mut FleetBudget, now_ms| lender.headroom(vm_allowance, now_ms).has_one();
     assert!(!allows_repeat(&mut lender, 1_000));
     assert!(!allows_repeat(&mut lender, 1_000 + LOAN_TTL_MS + WINDOW_MS - 1));
     assert!(allows_repeat(&mut lender, 1_000 + LOAN_TTL_MS + WINDOW_MS + 250));
     let mut borrower = FleetBudget::default();
     borrower.borrow(loan, 1_000);
-    let none = part.with_slack_share(0.0);
+    let none = vm_allowance.with_slack_share(0.0);
     assert!(borrower.take(none, 1_000 + LOAN_TTL_MS - 1));
     assert!(!borrower.take(none, 1_000 + LOAN_TTL_MS), "the loan has expired");
 }
@@ -132,24 +133,24 @@
 
 #[test]
 fn requests_leave_the_window_by_arrival_time() {
-    let part = RetryAllowance { ratio: 0.2, slack: 0.0, window_ms: WINDOW_MS };
+    let vm_allowance = RetryAllowance { ratio: 0.2, slack: 0.0, window_ms: WINDOW_MS };
     let mut budget = FleetBudget::default();
     for now_ms in (10_000..20_000).step_by(100) {
-        budget.request(part, now_ms);
+        budget.request(vm_allowance, now_ms);
     }
-    assert_eq!(budget.headroom(part, 19_999).requests, 100);
-    assert_eq!(budget.headroom(part, 25_000).requests, 50);
-    assert_eq!(budget.headroom(part, 31_000).requests, 0);
+    assert_eq!(budget.headroom(vm_allowance, 19_999).requests, 100);
+    assert_eq!(budget.headroom(vm_allowance, 25_000).requests, 50);
+    assert_eq!(budget.headroom(vm_allowance, 31_000).requests, 0);
 }
 
 #[test]
 fn budget_memory_is_bounded_without_reads() {
-    let part = RetryAllowance { ratio: 0.2, slack: 10.0, window_ms: WINDOW_MS };
+    let vm_allowance = RetryAllowance { ratio: 0.2, slack: 10.0, window_ms: WINDOW_MS };
     let mut budget = FleetBudget::default();
     let mut run = |from: u64, to: u64| {
         for at_s in from..to {
-            budget.request(part, at_s * 1_000);
-            budget.lend(1.0, part, at_s * 1_000);
+            budget.request(vm_allowance, at_s * 1_000);
+            budget.lend(1.0, vm_allowance, at_s * 1_000);
         }
         format!("{budget:?}").len()
     };
@@ -166,20 +167,20 @@
     const BUSY: usize = 35;
     const WANTED: f64 = 2.0;
     let allowance = RetryAllowance { ratio: 0.2, slack: 1_040.0, window_ms: WINDOW_MS };
-    let part = allowance.with_slack_share(1.0 / vms as f64);
+    let vm_allowance = allowance.with_slack_share(1.0 / vms as f64);
     let mut budgets = vec![FleetBudget::default(); vms];
     let mut loan_requests = vec![LoanRequests::<usize>::default(); BUSY];
     let (mut rng, mut lent) = (StdRng::seed_from_u64(1), 0.0);
     for now_ms in (20_000..29_000).step_by(25) {
         for vm in 0..BUSY {
-            budgets[vm].request(part, now_ms);
-            let headroom = budgets[vm].headroom(part, now_ms);
+            budgets[vm].request(vm_allowance, now_ms);
+            let headroom = budgets[vm].headroom(vm_allowance, now_ms);
             if loan_requests[vm].is_due(headroom, now_ms) {
-                for _ in 0..part.lenders_to_ask(WANTED) {
+                for _ in 0..vm_allowance.lenders_to_ask(WANTED) {
                     let lender = rng.random_range(BUSY..vms);
                     let number = rng.random();
                     loan_requests[vm].record(number, lender, now_ms);
-                    let loan = budgets[lender].lend(WANTED, part, now_ms);
+                    let loan = budgets[lender].lend(WANTED, vm_allowance, now_ms);
                     if loan > 0.0 && loan_requests[vm].accept(number, lender, now_ms).is_some() {
                         budgets[vm].borrow(loan, now_ms);
                         lent += loan;
@@ -187,7 +188,7 @@
                 }
             }
             if now_ms % 50 == 0 {
-                budgets[vm].take(part, now_ms);
+                budgets[vm].take(vm_allowance, now_ms);
             }
         }
     }
