--- a/crates/leverstream-limit/tests/fleet/mod.rs
+++ b/crates/leverstream-limit/tests/fleet/mod.rs
@@ -145,8 +145,8 @@
     split_until_ms: u64,
     /// From when it serves requests even if no other VM has sent it the list of backend servers.
     serves_from_ms: u64,
-    /// The number of its process.
-    process: u32,
+    /// Its epoch, which increases with each start of its process.
+    epoch: u32,
     /// The number of requests that it sent.
     sent: usize,
 }
@@ -155,11 +155,11 @@
 #[derive(Clone, Debug)]
 enum Action {
     /// A request has been answered.
-    Answer { vm: usize, process: u32, sent_ms: u64 },
+    Answer { vm: usize, epoch: u32, sent_ms: u64 },
     /// A VM receives a question for its consent.
-    Question { from: usize, to: usize, process: u32, permit: u64, per_s: Option<f64>, age_ms: i64 },
+    Question { from: usize, to: usize, epoch: u32, permit: u64, per_s: Option<f64>, age_ms: i64 },
     /// A VM receives an arbiter's answer.
-    Verdict { from: usize, to: usize, process: u32, permit: u64, verdict: Verdict },
+    Verdict { from: usize, to: usize, epoch: u32, permit: u64, verdict: Verdict },
     /// A VM that has started fetches the list of backend servers from another.
     FetchList { to: usize },
     /// A VM receives the limit, this long after the request whose response announced it was sent.
@@ -212,7 +212,7 @@
 }
 
 /// Returns a VM that has just started, with the whole fleet or alone.
-fn start(vms: usize, process: u32, now_ms: u64, with_fleet: bool) -> Vm {
+fn start(vms: usize, epoch: u32, now_ms: u64, with_fleet: bool) -> Vm {
     Vm {
         arbiter: Arbiter::default(),
         unresponsive: UnresponsiveArbiters::default(),
@@ -227,7 +227,7 @@
         no_inbound_until_ms: 0,
         split_until_ms: 0,
         serves_from_ms: if with_fleet { 0 } else { now_ms + FETCH_TIMEOUT_MS },
-        process,
+        epoch,
         sent: 0,
     }
 }
@@ -272,8 +272,8 @@
             let vm = &mut self.vms[at];
             match event {
                 Event::Kill(for_ms) => {
-                    let (process, sent) = (vm.process + 1, vm.sent);
-                    *vm = start(self.scenario.vms, process, now_ms + for_ms, false);
+                    let (epoch, sent) = (vm.epoch + 1, vm.sent);
+                    *vm = start(self.scenario.vms, epoch, now_ms + for_ms, false);
                     vm.sent = sent;
                     (vm.sees[at], vm.known[at]) = (true, true);
                     self.schedule(now_ms + for_ms, Action::FetchList { to: at });
@@ -290,8 +290,8 @@
     fn run_due(&mut self, now_ms: u64) {
         while self.due.peek().is_some_and(|Reverse((at_ms, _))| *at_ms <= now_ms) {
             let Some(Reverse((_, number))) = self.due.pop() else { return };
-            let Some(due) = self.actions.remove(&number) else { return };
-            let to = match due {
+            let Some(action) = self.actions.remove(&number) else { return };
+            let to = match action {
                 Action::Answer { vm, .. } => vm,
                 Action::Question { to, .. }
                 | Action::Verdict { to, .. }
@@ -300,21 +300,19 @@
             };
             let down_until_ms = self.vms[to].down_until_ms;
             if down_until_ms > now_ms {
-                self.schedule(down_until_ms, due);
+                self.schedule(down_until_ms, action);
                 continue;
             }
-            match due {
-                Action::Answer { vm, process, sent_ms } => {
-                    self.answer(vm, process, sent_ms, now_ms)
-                }
-                Action::Question { from, to, process, permit, per_s, age_ms } => {
+            match action {
+                Action::Answer { vm, epoch, sent_ms } => self.answer(vm, epoch, sent_ms, now_ms),
+                Action::Question { from, to, epoch, permit, per_s, age_ms } => {
                     self.record_limit(to, (per_s, now_ms as i64 - age_ms));
                     let verdict = self.verdict(to, from, now_ms);
-                    let answer = Action::Verdict { from: to, to: from, process, permit, verdict };
+                    let answer = Action::Verdict { from: to, to: from, epoch, permit, verdict };
                     self.datagram(to, from, &answer, now_ms);
                 }
-                Action::Verdict { from, to, process, permit, verdict }
-                    if self.vms[to].process == process =>
+                Action::Verdict { from, to, epoch, permit, verdict }
+                    if self.vms[to].epoch == epoch =>
                 {
                     if let Some(permit) = self.vms[to].permits.get_mut(&permit) {
                         permit.record_verdict(from, verdict, now_ms);
@@ -426,11 +424,11 @@
                     }
                 }
                 Step::Ask(to) => {
-                    let (process, (per_s, sent_ms)) = (vm.process, vm.known_limit);
+                    let (epoch, (per_s, sent_ms)) = (vm.epoch, vm.known_limit);
                     let age_ms = now_ms as i64 - sent_ms;
                     self.recording.bytes += QUESTION_BYTES;
                     let question =
-                        Action::Question { from: at, to, process, permit: number, per_s, age_ms };
+                        Action::Question { from: at, to, epoch, permit: number, per_s, age_ms };
                     self.datagram(at, to, &question, now_ms);
                 }
             }
@@ -495,13 +493,13 @@
         if self.vms[at].known_limit.0.is_some() {
             self.recording.aware.push(now_ms);
         }
-        let process = self.vms[at].process;
-        self.schedule(now_ms + WORK_MS, Action::Answer { vm: at, process, sent_ms: now_ms });
+        let epoch = self.vms[at].epoch;
+        self.schedule(now_ms + WORK_MS, Action::Answer { vm: at, epoch, sent_ms: now_ms });
     }
 
     /// Processes a response; the other VMs are told if it changes the limit.
-    fn answer(&mut self, at: usize, process: u32, sent_ms: u64, now_ms: u64) {
-        if self.vms[at].process != process {
+    fn answer(&mut self, at: usize, epoch: u32, sent_ms: u64, now_ms: u64) {
+        if self.vms[at].epoch != epoch {
             return;
         }
         let before = self.vms[at].known_limit.0;
@@ -530,13 +528,13 @@
     }
 
     /// Sends a datagram, which may be lost, delayed or duplicated.
-    fn datagram(&mut self, from: usize, to: usize, due: &Action, now_ms: u64) {
+    fn datagram(&mut self, from: usize, to: usize, action: &Action, now_ms: u64) {
         let copies = 1 + usize::from(self.rng.random_bool(self.scenario.duplicate_rate));
         for _ in 0..copies {
             let is_lost = self.rng.random_bool(self.scenario.loss_rate);
             let at_ms = now_ms + self.rng.random_range(1..=self.scenario.max_delay_ms);
             if !is_lost && self.passes(from, to, at_ms) {
-                self.schedule(at_ms, due.clone());
+                self.schedule(at_ms, action.clone());
             }
         }
     }
@@ -555,10 +553,10 @@
     }
 
     /// Schedules an action.
-    fn schedule(&mut self, at_ms: u64, due: Action) {
+    fn schedule(&mut self, at_ms: u64, action: Action) {
         self.count += 1;
         self.due.push(Reverse((at_ms, self.count)));
-        self.actions.insert(self.count, due);
+        self.actions.insert(self.count, action);
     }
 }
 
--- a/crates/leverstream-route/tests/repeats_fleet.rs
+++ b/crates/leverstream-route/tests/repeats_fleet.rs
@@ -48,9 +48,9 @@
 fn rolling_restart(at_ms: u64, count: usize, gap_ms: u64) -> Vec<(u64, usize, Event)> {
     let roll = |number: usize| {
         let from_ms = at_ms + gap_ms * number as u64;
-        let (leave, kill) =
+        let (drain, kill) =
             ((from_ms, number, Event::Drain), (from_ms + 4_500, number, Event::Kill));
-        [leave, kill, (from_ms + 5_000, number, Event::Start)]
+        [drain, kill, (from_ms + 5_000, number, Event::Start)]
     };
     (0..count).flat_map(roll).collect()
 }
