--- a/crates/leverstream-core/src/fleet/backend_state.rs
+++ b/crates/leverstream-core/src/fleet/backend_state.rs
@@ -218,11 +218,11 @@
             is_cold: now_ms < self.cold_until_ms,
             failure_chance,
             slowness: self.faded_slowness(now_ms),
-            unseen_chance: episodes.unseen_failure_chance(),
+            unobserved_failure_chance: episodes.unseen_failure_chance(),
             standing: self.floor_standing(now_ms),
             claim: Claim::None,
             is_tried: asker.tried.contains(&key),
-            stands_for: 1.0,
+            sample_weight: 1.0,
         }
     }
 
--- a/crates/leverstream-core/src/floor.rs
+++ b/crates/leverstream-core/src/floor.rs
@@ -81,9 +81,9 @@
         let is_counted = |standing: &FloorStanding| standing.is_steady || !steady_only;
         let (mut used, mut counted) = (0.0, 0.0);
         for choice in sound(choices).filter(|choice| is_counted(&choice.standing)) {
-            counted += choice.stands_for;
+            counted += choice.sample_weight;
             if choice.standing.unused_ms < CLAIMS_ONCE_MS {
-                used += choice.stands_for;
+                used += choice.sample_weight;
             }
         }
         if used == counted { 1.0 } else { used / counted }
@@ -93,7 +93,7 @@
 
 /// How many of them are sound, with those that they stand for.
 fn sound_count(choices: &[Choice]) -> f64 {
-    sound(choices).map(|choice| choice.stands_for).sum()
+    sound(choices).map(|choice| choice.sample_weight).sum()
 }
 
 /// Those that are sound.
--- a/crates/leverstream-core/src/select.rs
+++ b/crates/leverstream-core/src/select.rs
@@ -70,7 +70,7 @@
     };
     let mut choices: Vec<Choice> =
         keys.iter().map(|key| fleet.choice(*key, &asker, now_ms)).collect();
-    choices.iter_mut().skip(known).for_each(|choice| choice.stands_for = stands_for);
+    choices.iter_mut().skip(known).for_each(|choice| choice.sample_weight = stands_for);
     let floor = Floor {
         share: want.floor_share,
         requests_fail: want.requests_fail,
--- a/crates/leverstream-core/tests/floor.rs
+++ b/crates/leverstream-core/tests/floor.rs
@@ -16,11 +16,11 @@
     is_cold: false,
     failure_chance: 0.03,
     slowness: 1.0,
-    unseen_chance: 0.3,
+    unobserved_failure_chance: 0.3,
     standing: FloorStanding { is_sound: true, is_steady: true, unused_ms: 100 },
     claim: Claim::None,
     is_tried: false,
-    stands_for: 1.0,
+    sample_weight: 1.0,
 };
 
 /// One that a request reached so long ago.
@@ -94,7 +94,7 @@
     assert_eq!(claimed(&[USED, USED, USED, USED, in_question], FAILING, true), Claim::Owed);
     assert_eq!(claimed(&[USED, USED, USED, USED, in_question], FAILING, false), Claim::None);
     // Nothing was heard of it, and most of the others fail.
-    let unseen = Choice { unseen_chance: 0.6, ..doubtful };
+    let unseen = Choice { unobserved_failure_chance: 0.6, ..doubtful };
     assert_eq!(claimed(&[USED, USED, USED, USED, unseen], ATTEMPTS, false), Claim::None);
 }
 
--- a/crates/leverstream-route/src/cost.rs
+++ b/crates/leverstream-route/src/cost.rs
@@ -58,7 +58,7 @@
     pub slowness: f64,
     /// The chance that a request fails at a backend server of the service that has not been
     /// observed for long.
-    pub unseen_chance: f64,
+    pub unobserved_failure_chance: f64,
     /// Its state with regard to the floor.
     pub standing: FloorStanding,
     /// What the floor requires for it.
@@ -66,7 +66,7 @@
     /// Whether this request was already sent there.
     pub is_tried: bool,
     /// The number of unobserved backend servers that it represents; 1 if only itself.
-    pub stands_for: f64,
+    pub sample_weight: f64,
 }
 
 /// The state of a backend server with regard to the floor, the share of sound backend servers that
@@ -123,7 +123,7 @@
     pub fn is_in_doubt(&self, is_repeatable: bool) -> bool {
         let avoid_from =
             if is_repeatable { AVOID_FROM_REPEATABLE } else { AVOID_FROM_UNREPEATABLE };
-        self.failure_chance >= avoid_from.max(self.unseen_chance + AVOID_MARGIN)
+        self.failure_chance >= avoid_from.max(self.unobserved_failure_chance + AVOID_MARGIN)
     }
 
     /// Returns whether it is in another data hall than the VM.
--- a/crates/leverstream-route/tests/cost.rs
+++ b/crates/leverstream-route/tests/cost.rs
@@ -13,11 +13,11 @@
     is_cold: false,
     failure_chance: 0.02,
     slowness: 1.0,
-    unseen_chance: 0.1,
+    unobserved_failure_chance: 0.1,
     standing: FloorStanding { is_sound: true, is_steady: true, unused_ms: 0 },
     claim: Claim::None,
     is_tried: false,
-    stands_for: 1.0,
+    sample_weight: 1.0,
 };
 
 /// The same with a high chance of failure.
@@ -80,8 +80,8 @@
 fn unobserved_backend_is_not_avoided() {
     // If servers spend two fifths of the time in failure episodes, an unobserved one may well be in
     // one.
-    let unseen = Choice { failure_chance: 0.36, unseen_chance: 0.36, ..SOUND };
+    let unseen = Choice { failure_chance: 0.36, unobserved_failure_chance: 0.36, ..SOUND };
     assert!(!unseen.is_avoided(false));
     assert!(Choice { failure_chance: 0.42, ..unseen }.is_avoided(false));
-    assert!(Choice { unseen_chance: 0.1, ..unseen }.is_avoided(false));
+    assert!(Choice { unobserved_failure_chance: 0.1, ..unseen }.is_avoided(false));
 }
