--- a/crates/leverstream-core/tests/floor.rs
+++ b/crates/leverstream-core/tests/floor.rs
@@ -4,7 +4,7 @@
 //! start and many fail, as seen on a day with trouble; callers bring 170 requests a second.
 
 use leverstream_core::{Demand, Floor, claim, used_share};
-use leverstream_route::{Choice, Claim, FloorStanding, steer};
+use leverstream_route::{Choice, Claim, FloorStanding, choose_by_cost};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -16,11 +16,11 @@
     is_cold: false,
     failure_chance: 0.03,
     slowness: 1.0,
-    unseen_chance: 0.3,
+    unobserved_failure_chance: 0.3,
     standing: FloorStanding { is_sound: true, is_steady: true, unused_ms: 100 },
     claim: Claim::None,
     is_tried: false,
-    stands_for: 1.0,
+    sample_weight: 1.0,
 };
 
 /// One that a request reached so long ago.
@@ -94,7 +94,7 @@
     assert_eq!(claimed(&[USED, USED, USED, USED, in_question], FAILING, true), Claim::Owed);
     assert_eq!(claimed(&[USED, USED, USED, USED, in_question], FAILING, false), Claim::None);
     // Nothing was heard of it, and most of the others fail.
-    let unseen = Choice { unseen_chance: 0.6, ..doubtful };
+    let unseen = Choice { unobserved_failure_chance: 0.6, ..doubtful };
     assert_eq!(claimed(&[USED, USED, USED, USED, unseen], ATTEMPTS, false), Claim::None);
 }
 
@@ -161,7 +161,8 @@
         // One request in three may run again.
         let is_repeatable = (now_ms / 6).is_multiple_of(3);
         claim(&mut choices, FAILING, is_repeatable);
-        let at = steer(&choices, is_repeatable, false, &mut rng).expect("there are free slots");
+        let at =
+            choose_by_cost(&choices, is_repeatable, false, &mut rng).expect("there are free slots");
         works[at].push(now_ms + if is_new(at) { 3_000 } else { 250 });
         reached_ms[at] = now_ms;
         if now_ms > 3_000 {
--- a/crates/leverstream-gateway/src/repeats.rs
+++ b/crates/leverstream-gateway/src/repeats.rs
@@ -6,7 +6,7 @@
 
 use leverstream_peer::packet::Body;
 use leverstream_peer::{Loan, LoanQuestion, Packet};
-use leverstream_route::{Asking, FleetBudget, RetryAllowance, Room, SlackPart};
+use leverstream_route::{FleetBudget, Headroom, LoanRequests, RetryAllowance, SlackShare};
 use tracing::{debug, info};
 
 use crate::Settings;
@@ -27,7 +27,7 @@
     /// What all VMs together may repeat for each service.
     allowance: RetryAllowance,
     /// This VM's part of the slack.
-    slack: RefCell<SlackPart>,
+    slack: RefCell<SlackShare>,
     /// Whether callers are sent to this VM.
     is_placed: Cell<bool>,
     /// Its part for each service.
@@ -40,7 +40,7 @@
     /// Its part.
     budget: FleetBudget,
     /// Its questions to others.
-    asking: Asking<SocketAddr>,
+    asking: LoanRequests<SocketAddr>,
 }
 
 impl Repeats {
@@ -48,7 +48,7 @@
     pub fn open(settings: &Settings) -> Repeats {
         let me = settings.listen.peers;
         let expects_others = settings.peers.seeds.iter().any(|seed| *seed != me);
-        let slack = SlackPart::open(settings.peers.is_first_start, expects_others);
+        let slack = SlackShare::open(settings.peers.is_first_start, expects_others);
         Repeats {
             allowance: settings.allowance(),
             slack: RefCell::new(slack),
@@ -59,13 +59,13 @@
 
     /// Takes over how many VMs this one knows of, and whether callers are sent to it.
     pub fn place(&self, vms: usize, is_placed: bool) {
-        self.slack.borrow_mut().know(vms as u32);
+        self.slack.borrow_mut().set_known_vms(vms as u32);
         self.is_placed.set(is_placed);
     }
 
     /// How many VMs this one knows of, for the others.
     pub fn known_vms(&self) -> u32 {
-        self.slack.borrow().known()
+        self.slack.borrow().known_vms()
     }
 
     /// How many VMs there are, as far as this one knows or was told.
@@ -75,7 +75,7 @@
 
     /// Takes in how many VMs another one knows of.
     pub fn hear_vms(&self, count: u32, now_ms: u64) {
-        self.slack.borrow_mut().hear(count, now_ms);
+        self.slack.borrow_mut().record_report(count, now_ms);
     }
 
     /// Counts a request for a service.
@@ -84,14 +84,14 @@
     }
 
     /// What may be repeated for a service.
-    pub fn room(&self, service: &str, now_ms: u64) -> Room {
-        self.with(service, now_ms, |state, part| state.budget.room(part, now_ms))
+    pub fn room(&self, service: &str, now_ms: u64) -> Headroom {
+        self.with(service, now_ms, |state, part| state.budget.headroom(part, now_ms))
     }
 
     /// Takes one repeat, if there is room; returns whether there was, and the room before.
-    pub fn take(&self, service: &str, now_ms: u64) -> (bool, Room) {
+    pub fn take(&self, service: &str, now_ms: u64) -> (bool, Headroom) {
         self.with(service, now_ms, |state, part| {
-            let room = state.budget.room(part, now_ms);
+            let room = state.budget.headroom(part, now_ms);
             (state.budget.take(part, now_ms), room)
         })
     }
@@ -102,24 +102,27 @@
     /// few requests has so little of its own that each hedge would seem to use it up.
     pub fn used_part(&self, service: &str, sharers: usize, now_ms: u64) -> f64 {
         self.with(service, now_ms, |state, part| {
-            let others =
-                if state.asking.is_lent() { self.allowance.slack / sharers as f64 } else { 0.0 };
-            state.budget.room(part, now_ms).used_part(others)
+            let others = if state.asking.expects_loans() {
+                self.allowance.slack / sharers as f64
+            } else {
+                0.0
+            };
+            state.budget.headroom(part, now_ms).used_share(others)
         })
     }
 
     /// Asks other VMs for what they can spare, if little is left.
     pub fn ask(&self, service: &str, mesh: &Mesh, meters: &Meters, now_ms: u64) {
         // Others have as much of the slack as this VM, however much of that it uses itself.
-        let asked_at_once = self.part(now_ms).asked_at_once(f64::from(WANTED));
+        let asked_at_once = self.part(now_ms).lenders_to_ask(f64::from(WANTED));
         self.with(service, now_ms, |state, part| {
-            if !state.asking.is_due(state.budget.room(part, now_ms), now_ms) {
+            if !state.asking.is_due(state.budget.headroom(part, now_ms), now_ms) {
                 return;
             }
             let turn = rand::random_range(0..usize::from(u16::MAX));
             for to in mesh.by_turns(turn, asked_at_once) {
                 let number = rand::random();
-                state.asking.ask(number, to, now_ms);
+                state.asking.record(number, to, now_ms);
                 let asked = LoanQuestion { number, service: service.to_owned(), wanted: WANTED };
                 let packet = Packet { body: Some(Body::LoanQuestion(asked)), ..Packet::default() };
                 mesh.send(meters, &packet, &[to]);
@@ -129,7 +132,7 @@
 
     /// Tells whether what others lend for a service may come any moment.
     pub fn is_loan_awaited(&self, service: &str, now_ms: u64) -> bool {
-        self.with(service, now_ms, |state, _| state.asking.is_awaited(now_ms))
+        self.with(service, now_ms, |state, _| state.asking.is_loan_awaited(now_ms))
     }
 
     /// What another VM is lent in answer to its question, if there is something to spare.
@@ -150,7 +153,7 @@
     pub fn borrow(&self, from: SocketAddr, loan: &Loan, now_ms: u64) {
         let Loan { number, service, repeats } = loan;
         self.with(service, now_ms, |state, _| {
-            let Some(asked_ms) = state.asking.answer(*number, from, now_ms) else {
+            let Some(asked_ms) = state.asking.accept(*number, from, now_ms) else {
                 debug!(%from, service, repeats, "a loan that was not asked for, or came late");
                 return;
             };
@@ -163,8 +166,8 @@
 
     /// This VM's part of what all VMs may repeat.
     fn part(&self, now_ms: u64) -> RetryAllowance {
-        let slack = self.slack.borrow().part(self.allowance.window_ms, now_ms);
-        self.allowance.with_part(slack)
+        let slack = self.slack.borrow().share(self.allowance.window_ms, now_ms);
+        self.allowance.with_slack_share(slack)
     }
 
     /// Does something with what this VM itself may repeat for a service.
@@ -175,7 +178,7 @@
         work: impl FnOnce(&mut ServiceRepeats, RetryAllowance) -> T,
     ) -> T {
         let own_use = if self.is_placed.get() { 1.0 } else { STRAY_PART };
-        let part = self.part(now_ms).with_part(own_use);
+        let part = self.part(now_ms).with_slack_share(own_use);
         let mut services = self.services.borrow_mut();
         match services.get_mut(service) {
             Some(state) => work(state, part),
--- a/crates/leverstream-route/src/lib.rs
+++ b/crates/leverstream-route/src/lib.rs
@@ -1,21 +1,22 @@
-//! Where a request goes and when: pickers, the queue, the budget of retries.
+//! Chooses the backend server and the time of each request: pickers, the queue and the retry
+//! budgets.
 //!
-//! Pickers register themselves by name; [`picker`] finds them. All is pure: loads, deadlines and
-//! the present time are arguments.
+//! Pickers register themselves by name; [`picker`] finds them. The crate does no I/O: loads,
+//! deadlines and the present time are arguments.
 
 mod asking;
 mod budget;
+mod cost;
 mod fleet_budget;
 mod pick;
 mod pickers;
 mod queue;
 mod slack;
-mod steer;
 
-pub use asking::Asking;
+pub use asking::LoanRequests;
 pub use budget::RetryBudget;
-pub use fleet_budget::{FleetBudget, LOAN_HOLDS_MS, LONGEST_WINDOW_MS, RetryAllowance, Room};
-pub use pick::{Candidate, Pick, Request, Turn, choose, picker, pickers};
-pub use queue::{Arrival, Place, Queue};
-pub use slack::SlackPart;
-pub use steer::{Choice, Claim, FloorStanding, steer};
+pub use cost::{Choice, Claim, FloorStanding, choose_by_cost};
+pub use fleet_budget::{FleetBudget, Headroom, LOAN_TTL_MS, MAX_WINDOW_MS, RetryAllowance};
+pub use pick::{Candidate, PickContext, Picker, Request, choose, picker, pickers};
+pub use queue::{Arrival, Queue, QueuePosition};
+pub use slack::SlackShare;
