--- a/crates/leverstream-member/src/audience.rs
+++ b/crates/leverstream-member/src/audience.rs
@@ -1,3 +1,5 @@
+//! The receivers of a message, grouped by data hall.
+
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -6,20 +8,20 @@
 
 use crate::{Identity, Member};
 
-/// Where the VMs listen that one VM tells something, by data hall.
+/// The peer addresses of the VMs that receive a message from one VM, by data hall.
 ///
-/// What a VM sends to other halls is paid for and must not grow with their VMs: it tells one of each, which tells its own
-/// hall where that matters.
+/// Traffic between halls costs money and must not grow with the number of their VMs. A VM therefore
+/// sends to one VM of each other hall, which forwards within its own hall where needed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Audience {
-    /// Those of the VM's own hall.
+    /// The VMs of the sender's own hall.
     pub near: Vec<SocketAddr>,
-    /// Those of each other hall.
+    /// The VMs of each other hall.
     pub far: Vec<Vec<SocketAddr>>,
 }
 
 impl Audience {
-    /// All of some members but the VM itself.
+    /// Groups the given members by hall, without the sender itself.
     pub fn of<'a>(me: &Identity, members: impl IntoIterator<Item = &'a Member>) -> Audience {
         let mut halls: BTreeMap<&str, Vec<SocketAddr>> = BTreeMap::new();
         let others = members.into_iter().map(|member| &member.identity);
@@ -30,17 +32,18 @@
         Audience { near, far: halls.into_values().collect() }
     }
 
-    /// All of them, the near ones first.
+    /// Returns all addresses, those of the own hall first.
     pub fn all(&self) -> Vec<SocketAddr> {
         self.near.iter().chain(self.far.iter().flatten()).copied().collect()
     }
 
-    /// One of each other hall, chosen by chance.
+    /// Returns one random address of each other hall.
     pub fn relays(&self, rng: &mut impl Rng) -> Vec<SocketAddr> {
         self.far.iter().filter_map(|hall| hall.choose(rng).copied()).collect()
     }
 
-    /// All if there are no more than so many; else so many near ones, chosen by chance, and one of each other hall.
+    /// Returns all addresses if there are at most `limit`; otherwise `limit` random ones of the own
+    /// hall and one of each other hall.
     pub fn some(&self, limit: usize, rng: &mut impl Rng) -> Vec<SocketAddr> {
         let all = self.all();
         if all.len() <= limit {
--- a/crates/leverstream-member/src/entry_set.rs
+++ b/crates/leverstream-member/src/entry_set.rs
@@ -1,3 +1,5 @@
+//! The choice of the VMs that serve a service or watch the store, by rendezvous hashing.
+
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
@@ -5,29 +7,31 @@
 
 use crate::Member;
 
-/// How many slots of backend servers one VM of an entry set looks after.
+/// How many backend server slots one VM of an entry set handles.
 ///
-/// Few VMs a service keep what each knows of the slots in use close to the truth.
-const SLOTS_A_VM: u32 = 8;
+/// With few VMs per service, each VM's view of the slots in use stays accurate.
+const SLOTS_PER_VM: u32 = 8;
 
-/// How many VMs a hall watch the platform's store.
-const WATCHERS_A_HALL: usize = 2;
+/// How many VMs per hall watch the platform's store.
+const WATCHERS_PER_HALL: usize = 2;
 
-/// Returns how many VMs serve a service with so many usable slots.
+/// Returns how many VMs serve a service with this number of usable slots.
 ///
-/// `asked` is the row's own number, or 0 to let the slots decide; there is at least one VM a hall.
+/// `asked` is the number configured for the service, or 0 to derive it from the slots. Derived sets
+/// have at least one VM per hall and at least two in total.
 pub fn entry_set_size(asked: u16, slots: u32, halls: usize) -> usize {
     if asked > 0 {
         return usize::from(asked);
     }
-    (slots.div_ceil(SLOTS_A_VM) as usize).max(halls).max(2)
+    (slots.div_ceil(SLOTS_PER_VM) as usize).max(halls).max(2)
 }
 
 /// Chooses the VMs of a service among the members, spread over the halls.
 ///
-/// The choice depends on the members' addresses, not on their processes, so that a VM replaced at
-/// its address keeps its services. The halls take turns; within a hall the highest score goes
-/// first, so that a member which comes or goes moves only its own places.
+/// The choice depends on the addresses of the members, not on their process ids, so that a process
+/// restarted at the same address keeps its services. Halls are picked from in turn and, within a
+/// hall, members by descending score, so that a member that joins or leaves moves only its own
+/// places.
 pub fn entry_set<'a>(
     service: &str,
     members: impl IntoIterator<Item = &'a Member>,
@@ -54,7 +58,8 @@
         .collect()
 }
 
-/// Chooses the VMs of a hall that watch the store: of the strongest, as all others of the hall fetch from them what is new.
+/// Chooses the VMs of a hall that watch the store. The VMs of highest capacity are preferred, as
+/// all others of the hall fetch changes from them.
 pub fn watchers<'a>(hall: &str, members: impl IntoIterator<Item = &'a Member>) -> Vec<&'a Member> {
     let watch_hash = xxh3_64(b"leverstream/watch");
     let can_watch = |member: &&Member| member.identity.hall == hall && member.is_placed();
@@ -63,11 +68,11 @@
         let score = score(watch_hash, member.address_hash);
         Reverse((member.identity.capacity_per_s, score, member.identity.id))
     });
-    members.truncate(WATCHERS_A_HALL);
+    members.truncate(WATCHERS_PER_HALL);
     members
 }
 
-/// The members with the highest scores, the highest first.
+/// Returns the `count` members with the highest scores in descending order.
 fn highest(mut members: Vec<(u64, &Member)>, count: usize) -> Vec<(u64, &Member)> {
     let by_score = |entry: &(u64, &Member)| Reverse((entry.0, entry.1.identity.id));
     if count < members.len() {
@@ -78,7 +83,7 @@
     members
 }
 
-/// The rendezvous score of a member or hall for a service.
+/// Computes the rendezvous score of a member or hall for a service.
 pub(crate) fn score(service_hash: u64, other_hash: u64) -> u64 {
     xxh3_64_with_seed(&other_hash.to_le_bytes(), service_hash)
 }
--- a/crates/leverstream-member/src/lib.rs
+++ b/crates/leverstream-member/src/lib.rs
@@ -1,4 +1,4 @@
-//! Who is in the fleet, who serves which service, and how news travels between VMs.
+//! Fleet membership, the assignment of services to VMs, and gossip between VMs.
 //!
 //! [`Swim`] is a pure state machine of the SWIM protocol with suspicion and incarnations (Das,
 //! Gupta and Motivala, 2002): it takes packets and the present time and returns packets to send.
@@ -6,14 +6,14 @@
 
 mod audience;
 mod entry_set;
+mod gossip_queue;
 mod member;
-mod news;
 mod placement;
 mod swim;
 
 pub use audience::Audience;
 pub use entry_set::{entry_set, entry_set_size, watchers};
+pub use gossip_queue::GossipQueue;
 pub use member::{Identity, Member, MemberKey, MemberState};
-pub use news::News;
 pub use placement::Placement;
 pub use swim::{Outgoing, Swim, SwimSettings};
--- a/crates/leverstream-member/src/member.rs
+++ b/crates/leverstream-member/src/member.rs
@@ -1,3 +1,5 @@
+//! Members of the fleet: their identity, their state, and their form in peer messages.
+
 use std::net::SocketAddr;
 
 use leverstream_peer::{MemberUpdate, State};
@@ -7,53 +9,53 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MemberKey(pub(crate) usize);
 
-/// What a process tells of itself.
+/// The properties that a process announces about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// The process; random, new at each start.
+    /// The process id; random and new at each start.
     pub id: u64,
-    /// Where its peers' listener is.
+    /// The address on which it listens for other VMs.
     pub peer_address: SocketAddr,
-    /// Where its callers' listener is.
+    /// The address on which it listens for callers.
     pub caller_address: SocketAddr,
-    /// The hall it stands in.
+    /// The data hall of its VM.
     pub hall: String,
-    /// How many requests a second it can take; 0 if it does not say.
+    /// Its capacity in requests per second; 0 if unknown.
     pub capacity_per_s: u32,
 }
 
-/// What is held of a member's state.
+/// The state of a member. Of two updates with the same incarnation the later variant overrides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It answers.
+    /// It answers pings.
     Alive,
-    /// It is stopping as planned; it still serves.
+    /// It is shutting down as planned and still serves.
     Leaving,
-    /// It did not answer and has not yet refuted that.
+    /// It did not answer a ping and has not refuted the suspicion yet.
     Suspect,
-    /// It is gone.
+    /// It has failed or has been replaced.
     Dead,
 }
 
 /// A member as one process knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// What it told of itself.
+    /// The properties that it announced.
     pub identity: Identity,
-    /// Its state.
+    /// Its state as known here.
     pub state: MemberState,
-    /// Raised by the member itself to refute a suspicion or to say that it leaves.
+    /// Raised by the member itself to refute a suspicion or to announce that it leaves.
     pub incarnation: u32,
-    /// Since when it has been in this state, on the local clock.
+    /// When it entered this state, on the local clock.
     pub since_ms: u64,
-    /// The fingerprint of the table that it had in force when last heard from.
+    /// The fingerprint of the routing table that it used when last heard from; 0 if it has none.
     pub table: u64,
-    /// The hash of its peer address, from which its score for each service is made.
+    /// The hash of its peer address, from which its rendezvous score for each service is computed.
     pub address_hash: u64,
 }
 
 impl Member {
-    /// A member that is alive as far as known.
+    /// Creates a member that is presumed alive.
     pub fn new(identity: Identity, now_ms: u64) -> Member {
         let address_hash = xxh3_64(identity.peer_address.to_string().as_bytes());
         Member {
@@ -66,26 +68,26 @@
         }
     }
 
-    /// Tells whether callers may be sent to it.
+    /// Returns whether callers may be sent to it.
     pub fn takes_callers(&self) -> bool {
         self.state == MemberState::Alive
     }
 
-    /// Tells whether it counts when entry sets are chosen.
+    /// Returns whether it is considered for entry sets.
     ///
-    /// A suspect keeps its place, so that a short cut moves nothing.
+    /// A suspect stays in its sets, so that a short network failure moves no service.
     pub fn is_placed(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect)
     }
 
-    /// Tells whether it counts when the VMs of a service are chosen.
+    /// Returns whether it is considered for the VMs of a service.
     ///
-    /// A process that has just started has no table yet and could not serve anyone.
+    /// A process that has just started has no routing table yet and can't serve any request.
     pub fn may_serve(&self) -> bool {
         self.is_placed() && self.table != 0
     }
 
-    /// Reads a member out of a message.
+    /// Decodes a member from a peer message.
     pub(crate) fn from_update(update: &MemberUpdate, now_ms: u64) -> Option<Member> {
         let identity = Identity {
             id: update.id,
@@ -104,7 +106,7 @@
         Some(Member { state, incarnation, table, ..Member::new(identity, now_ms) })
     }
 
-    /// Writes the member into a message.
+    /// Encodes the member for a peer message.
     pub fn to_update(&self) -> MemberUpdate {
         let state = match self.state {
             MemberState::Alive => State::Alive,
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Tells whether news about the member overrides what is held.
+    /// Returns whether an update with this incarnation and state overrides the known state.
     pub(crate) fn is_overridden_by(&self, incarnation: u32, state: MemberState) -> bool {
         if self.state == MemberState::Dead && state == MemberState::Dead {
             return false;
--- a/crates/leverstream-member/src/placement.rs
+++ b/crates/leverstream-member/src/placement.rs
@@ -1,17 +1,19 @@
+//! The VMs chosen for a service, with a cheap test whether a membership change affects them.
+
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::Member;
 use crate::entry_set::{entry_set, score};
 
-/// The VMs chosen for one service, with what it takes to see whether a change moves them.
+/// The VMs chosen for one service, with the data to test whether a change affects them.
 ///
-/// Rendezvous hashing moves few places when a member comes or goes. Seeing that a change moves none
-/// costs one hash, against one for each member when the set is chosen anew.
+/// Rendezvous hashing moves few places when a member joins or leaves. Testing that a change moves
+/// none costs one hash, whereas choosing the set again costs one hash per member.
 #[derive(Clone, Debug, Default)]
 pub struct Placement {
     /// The hash of the service's name.
     service_hash: u64,
-    /// How many VMs are wanted.
+    /// The requested number of VMs.
     size: usize,
     /// The VMs chosen.
     chosen: Vec<Chosen>,
@@ -20,16 +22,16 @@
 /// A VM chosen for a service.
 #[derive(Clone, Debug)]
 struct Chosen {
-    /// The process.
+    /// The process id.
     id: u64,
-    /// Its hall.
+    /// Its data hall.
     hall: String,
-    /// Its score for the service.
+    /// Its rendezvous score for the service.
     score: u64,
 }
 
 impl Placement {
-    /// Chooses the VMs of a service and returns them with what was chosen.
+    /// Chooses the VMs of a service and returns them together with their placement.
     pub fn choose<'a>(
         service: &str,
         members: &'a [Member],
@@ -45,7 +47,7 @@
         (Placement { service_hash, size, chosen: chosen.collect() }, set)
     }
 
-    /// Tells whether the set may look different now that a member has changed.
+    /// Returns whether the set may differ now that a member has changed.
     pub fn is_moved_by(&self, member: &Member) -> bool {
         if self.chosen.iter().any(|chosen| chosen.id == member.identity.id) {
             return true;
@@ -59,13 +61,13 @@
         self.chosen.len() < self.size || beats_one || self.has_fewer(&member.identity.hall)
     }
 
-    /// Tells whether a hall has fewer places than another, so that a newcomer may get one.
+    /// Returns whether a hall has fewer places than another, so that a new member may get one.
     fn has_fewer(&self, hall: &str) -> bool {
         let places = self.of_hall(hall).count();
         self.chosen.iter().any(|chosen| self.of_hall(&chosen.hall).count() > places)
     }
 
-    /// The VMs chosen in a hall.
+    /// Returns the VMs chosen in a hall.
     fn of_hall<'a>(&'a self, hall: &'a str) -> impl Iterator<Item = &'a Chosen> {
         self.chosen.iter().filter(move |chosen| chosen.hall == hall)
     }
--- a/crates/leverstream-member/src/swim.rs
+++ b/crates/leverstream-member/src/swim.rs
@@ -1,3 +1,5 @@
+//! The SWIM protocol as a state machine: pings, suspicion, and gossip about members and versions.
+
 mod gossip;
 mod probe;
 mod roll;
@@ -10,64 +12,69 @@
 use rand::rngs::StdRng;
 use slab::Slab;
 
-use roll::Rolls;
+use roll::RollSchedule;
 
-use crate::{Identity, Member, MemberKey, MemberState, News};
+use crate::{GossipQueue, Identity, Member, MemberKey, MemberState};
 
-/// How many other members are asked to try a ping that was not answered.
+/// How many other members are asked to ping a member that did not answer.
 const INDIRECT_PINGS: usize = 3;
 
-/// The most updates about members in one packet.
-const UPDATES_A_PACKET: usize = 6;
+/// The maximum number of member updates in one packet.
+const UPDATES_PER_PACKET: usize = 6;
 
-/// The most news in one packet.
-const NEWS_A_PACKET: usize = 4;
+/// The maximum number of service versions, and of leaving backend servers, in one packet.
+const VERSIONS_PER_PACKET: usize = 4;
 
-/// How many members hear at once of news that a process has just learned.
-const NEWS_FANOUT: usize = 4;
+/// How many members receive an item of gossip at once when a process has just learned it.
+const GOSSIP_FANOUT: usize = 4;
 
-/// After so many unanswered pings in a row a process doubts itself, not the others.
+/// After this many unanswered pings in a row a process considers itself isolated and suspects
+/// nobody else.
 const ISOLATED_AFTER: u32 = 3;
 
-/// The most updates in a packet that welcomes a process; each takes up to 90 bytes.
-const UPDATES_A_WELCOME: usize = 12;
+/// The maximum number of member updates in one packet of a join reply; each takes up to 90 bytes.
+const UPDATES_PER_JOIN_REPLY: usize = 12;
 
-/// How many young processes a second one tells of many members; more are told of a few, who tell them of the rest. Where a
-/// fleet starts as a whole, all look for the same three: without a bound each of these sent 2.4 MB in ten seconds at 300 VMs
-/// and 6.2 MB at 600.
-const WELCOMES_PER_S: f64 = 48.0;
+/// How many full join replies a process sends per second. Beyond that, a joining process gets one
+/// packet and learns the rest from the members listed there. Where a whole fleet starts, all
+/// processes contact the same three seed addresses: without this limit each of those three sent
+/// 2.4 MB in ten seconds at 300 VMs and 6.2 MB at 600.
+const FULL_JOIN_REPLIES_PER_S: f64 = 48.0;
 
-/// How long a member counts as young after it has become known, in milliseconds.
-const YOUNG_MS: u64 = 2_000;
+/// How long a member counts as joining after it has become known, in milliseconds.
+const JOINING_MS: u64 = 2_000;
 
-/// The most packets that welcome a young process: enough for 144 members, who know the rest. One that has been known for
-/// longer and still looks for others gets one: where 300 VMs have all started anew each looks for hundreds, and all that could be
-/// told each time was 7 MB a second.
-const WELCOME_PACKETS: usize = 12;
+/// The maximum number of packets of a full join reply: enough for 144 members, who know the rest. A
+/// process that has been known for longer and still looks for others gets one packet: where 300 VMs
+/// have all restarted, each looks for hundreds of members, and full replies added up to 7 MB per
+/// second.
+const JOIN_REPLY_PACKETS: usize = 12;
 
-/// How long after its start a process tells those it knows that it is there, in milliseconds: first when the
-/// first welcome has come, then when those who started with it are known.
+/// How long after its start a process announces itself to the members that it knows, in
+/// milliseconds: once when the first join reply has arrived, and again when the processes that
+/// started with it are known.
 const ANNOUNCE_AFTER_MS: [u64; 2] = [300, 1_200];
 
-/// The most members of its data hall that hear of it at once: all of a fleet of a hundred, whatever hall.
-const ANNOUNCE_TO: usize = 128;
+/// The maximum number of members of its own data hall that a starting process announces itself to.
+/// A fleet with no more members than that is told as a whole, whatever their halls.
+const ANNOUNCE_LIMIT: usize = 128;
 
-/// How many times the logarithm of the fleet's size an update is told.
-const RETELL_FACTOR: u32 = 3;
+/// How often an update is sent, as a multiple of the logarithm of the fleet's size.
+const RETRANSMIT_FACTOR: u32 = 3;
 
-/// The times of the protocol.
+/// The settings of the protocol.
 #[derive(Clone, Copy, Debug)]
 pub struct SwimSettings {
     /// The time between two pings of one process.
     pub period_ms: u64,
-    /// How long a direct answer is waited for before others are asked to ping.
+    /// How long to wait for a direct answer before other members are asked to ping.
     pub ack_ms: u64,
-    /// How long a suspect has to refute.
+    /// How long a suspect has to refute the suspicion.
     pub suspicion_ms: u64,
-    /// How long the dead are remembered, so that late news does not revive them.
+    /// How long dead members are remembered, so that late updates do not revive them.
     pub remember_dead_ms: u64,
-    /// One ping in so many goes to another data hall, the rest to members of this one, who tell all
-    /// others of what they find; 1 if halls do not matter.
+    /// One in this many pings goes to another data hall. The others go to members of the own hall,
+    /// which spread what they find. 1 treats all halls alike.
     pub far_one_in: u32,
 }
 
@@ -86,79 +93,80 @@
 /// A packet to send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing {
-    /// Where to.
+    /// The destination.
     pub to: SocketAddr,
-    /// What.
+    /// The packet.
     pub packet: Packet,
 }
 
-/// One process's view of the fleet.
+/// The view that one process has of the fleet.
 pub struct Swim {
     /// This process, as a member.
     me: Member,
-    /// The others.
+    /// The other members.
     members: Slab<Member>,
-    /// The others by process.
+    /// The other members by process id.
     by_id: HashMap<u64, MemberKey>,
-    /// The times.
+    /// The settings of the protocol.
     settings: SwimSettings,
-    /// The source of choices.
+    /// The source of random choices.
     rng: StdRng,
-    /// Members of this data hall still to be pinged in this round, or all members if halls do not matter.
+    /// Members of the own data hall still to be pinged in this round, or all members if halls are
+    /// treated alike.
     near_round: Vec<u64>,
     /// Members of other data halls still to be pinged in this round.
     far_round: Vec<u64>,
-    /// Pings so far.
+    /// The number of pings sent so far.
     pings: u32,
-    /// Pings that are not answered yet, by sequence number.
+    /// Pings without an answer yet, by sequence number.
     pending: HashMap<u64, Pending>,
     /// The last sequence number.
     sequence: u64,
     /// When the next ping is due.
     next_ping_ms: u64,
-    /// Pings in a row that were not answered.
-    unanswered: u32,
-    /// Updates to tell, with how often each was told.
+    /// The number of consecutive pings without an answer.
+    unanswered_pings: u32,
+    /// Process ids of members to send updates about, with how often each was sent.
     updates: VecDeque<(u64, u32)>,
-    /// Versions of services to tell.
-    news: News,
-    /// Leaving backend servers to tell.
-    leaving: News,
-    /// Leaving backend servers heard of and not yet handed out.
-    heard_leaving: Vec<LeavingBackend>,
-    /// Versions heard of and not yet handed out.
-    heard: Vec<(SocketAddr, ServiceVersion)>,
-    /// How many more processes may be told of many members.
-    welcomes: Bucket,
-    /// Addresses where a member is said to be.
-    hints: Vec<SocketAddr>,
-    /// The members whose state has changed since the last look.
+    /// Versions of services to send.
+    news: GossipQueue,
+    /// Leaving backend servers to send.
+    leaving: GossipQueue,
+    /// Leaving backend servers received since the last `take_leaving`.
+    received_leaving: Vec<LeavingBackend>,
+    /// Service versions received, with their sender, since the last `take_heard`.
+    received_versions: Vec<(SocketAddr, ServiceVersion)>,
+    /// The token bucket that limits full join replies.
+    join_reply_bucket: Bucket,
+    /// Addresses at which members may be found.
+    seeds: Vec<SocketAddr>,
+    /// The members that have changed since the last `take_changed`.
     changed: Vec<Member>,
     /// When this process started.
-    opened_ms: u64,
-    /// How often it has told those it knows that it is there.
-    announced: usize,
-    /// When it compares whom it holds with another.
-    rolls: Rolls,
+    started_ms: u64,
+    /// How many of its start announcements it has sent.
+    announcements_sent: usize,
+    /// The schedule of the rolls that this process sends.
+    roll_schedule: RollSchedule,
 }
 
-/// A ping that is not answered yet.
+/// A ping without an answer yet.
 #[derive(Clone, Debug)]
 enum Pending {
-    /// A ping of this process's own.
+    /// A ping of this process itself.
     Own {
         /// The member pinged.
         id: u64,
         /// When it was sent.
         sent_ms: u64,
-        /// Whether others were asked to try.
+        /// Whether other members were asked to ping as well.
         is_indirect: bool,
     },
-    /// A ping made for another process.
-    For {
-        /// Who asked.
+    /// A ping sent on behalf of another process.
+    Relayed {
+        /// The process that asked for it.
         asker: SocketAddr,
-        /// The sequence number it waits for.
+        /// The sequence number that the asking process expects.
         sequence: u64,
         /// When it was sent.
         sent_ms: u64,
@@ -166,7 +174,7 @@
 }
 
 impl Swim {
-    /// Opens the view of a process that has just started and knows nobody.
+    /// Creates the view of a process that has just started and knows no other member.
     pub fn open(identity: Identity, settings: SwimSettings, rng: StdRng, now_ms: u64) -> Swim {
         let me = Member::new(identity, now_ms);
         Swim {
@@ -180,46 +188,50 @@
             pending: HashMap::new(),
             sequence: 0,
             next_ping_ms: now_ms,
-            unanswered: 0,
+            unanswered_pings: 0,
             updates: VecDeque::new(),
-            news: News::default(),
-            leaving: News::default(),
-            heard_leaving: Vec::new(),
-            heard: Vec::new(),
-            welcomes: Bucket::open(WELCOMES_PER_S, WELCOMES_PER_S, now_ms),
-            hints: Vec::new(),
+            news: GossipQueue::default(),
+            leaving: GossipQueue::default(),
+            received_leaving: Vec::new(),
+            received_versions: Vec::new(),
+            join_reply_bucket: Bucket::open(
+                FULL_JOIN_REPLIES_PER_S,
+                FULL_JOIN_REPLIES_PER_S,
+                now_ms,
+            ),
+            seeds: Vec::new(),
             changed: vec![me.clone()],
-            opened_ms: now_ms,
-            announced: 0,
-            rolls: Rolls::default(),
+            started_ms: now_ms,
+            announcements_sent: 0,
+            roll_schedule: RollSchedule::default(),
             me,
         }
     }
 
-    /// This process as a member.
+    /// Returns this process as a member.
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// All members that are not dead, this process first.
+    /// Returns all members that are not dead, this process first.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.remembered().filter(|member| member.state != MemberState::Dead)
     }
 
-    /// How many VMs there are or were, those that are gone as long as they are remembered: processes that took each
-    /// other's place count once.
+    /// Returns the number of VMs, including dead ones that are still remembered. Processes that
+    /// followed each other at one address count once.
     pub fn vm_count(&self) -> usize {
         let addresses = self.remembered().map(|member| member.identity.peer_address);
         addresses.collect::<HashSet<_>>().len()
     }
 
-    /// All members, this process first, with the dead that are still remembered.
+    /// Returns all members, this process first, including dead ones that are still remembered.
     pub fn remembered(&self) -> impl Iterator<Item = &Member> {
         let others = self.members.iter().map(|(_, member)| member);
         std::iter::once(&self.me).chain(others)
     }
 
-    /// Finds a member by its process, dead ones too.
+    /// Finds a member by its process id, dead ones included.
     pub fn member(&self, id: u64) -> Option<&Member> {
         if id == self.me.identity.id {
             return Some(&self.me);
@@ -227,22 +239,23 @@
         self.by_id.get(&id).map(|key| &self.members[key.0])
     }
 
-    /// Tells whether pings have gone unanswered for long, so that this process may be cut off.
+    /// Returns whether so many pings went unanswered that this process may be cut off.
     pub fn is_isolated(&self) -> bool {
-        self.unanswered >= ISOLATED_AFTER
+        self.unanswered_pings >= ISOLATED_AFTER
     }
 
-    /// Takes the members that have changed since the last call, as they are now.
+    /// Takes the members that have changed since the last call, each as of its change.
     pub fn take_changed(&mut self) -> Vec<Member> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Takes the versions heard of since the last call, each with who told it.
+    /// Takes the versions received since the last call, each with its sender.
     pub fn take_heard(&mut self) -> Vec<(SocketAddr, ServiceVersion)> {
-        std::mem::take(&mut self.heard)
+        std::mem::take(&mut self.received_versions)
     }
 
-    /// Notes the fingerprint of the table in force here, and tells some members of the first one.
+    /// Sets the fingerprint of the routing table in use here and announces the first one to some
+    /// members.
     pub fn set_table(&mut self, table: u64) -> Vec<Outgoing> {
         let is_first = self.me.table == 0 && table != 0;
         self.me.table = table;
@@ -250,39 +263,40 @@
             return Vec::new();
         }
         self.changed.push(self.me.clone());
-        self.tell_some()
+        self.gossip_to_some()
     }
 
-    /// Notes addresses where members are said to be; they are pinged until known.
+    /// Sets addresses at which members may be found; each is pinged until a member there is known.
     pub fn hint(&mut self, addresses: Vec<SocketAddr>) {
-        self.hints = addresses;
+        self.seeds = addresses;
     }
 
-    /// Takes in a list of members from another process.
+    /// Merges a list of members from another process.
     pub fn merge(&mut self, updates: &[MemberUpdate], now_ms: u64) {
         for update in updates {
-            self.learn(update, now_ms);
+            self.apply_update(update, now_ms);
         }
     }
 
-    /// Tells a service's new version to some members at once and to others with later packets.
+    /// Announces a service's new version, to some members at once and to others with later packets.
     pub fn announce(&mut self, service: &str, version: u64) -> Vec<Outgoing> {
         self.news.add(service, version);
-        self.tell_some()
+        self.gossip_to_some()
     }
 
-    /// Tells that a backend server leaves, to some members at once and to others later.
+    /// Announces that a backend server leaves, to some members at once and to others with later
+    /// packets.
     pub fn announce_leaving(&mut self, address: SocketAddr, marked_s: u64) -> Vec<Outgoing> {
         self.leaving.add(&address.to_string(), marked_s);
-        self.tell_some()
+        self.gossip_to_some()
     }
 
-    /// Takes the leaving backend servers heard of since the last call.
+    /// Takes the leaving backend servers received since the last call.
     pub fn take_leaving(&mut self) -> Vec<LeavingBackend> {
-        std::mem::take(&mut self.heard_leaving)
+        std::mem::take(&mut self.received_leaving)
     }
 
-    /// Says that this process leaves as planned, to some members at once.
+    /// Announces to some members that this process leaves as planned.
     pub fn leave(&mut self, now_ms: u64) -> Vec<Outgoing> {
         self.me.state = MemberState::Leaving;
         self.me.incarnation += 1;
@@ -293,33 +307,33 @@
         targets.into_iter().map(|to| self.outgoing(to, 0, Body::Ack(Ack {}))).collect()
     }
 
-    /// Chooses a random live member's peer address, such as one to compare tables with.
+    /// Chooses the peer address of a random live member, such as one to compare tables with.
     pub fn choose(&mut self) -> Option<SocketAddr> {
         self.choose_addresses(1, None).pop()
     }
 
-    /// Does what is due by now.
+    /// Runs all periodic work that is due and returns the packets to send.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Outgoing> {
-        let mut out = self.follow_up(now_ms);
-        self.bury(now_ms);
+        let mut out = self.check_pending(now_ms);
+        self.expire_members(now_ms);
         if now_ms >= self.next_ping_ms {
             self.next_ping_ms = now_ms + self.settings.period_ms;
             out.extend(self.ping_next(now_ms));
-            out.extend(self.ping_hints());
+            out.extend(self.ping_unknown_address());
         }
-        let opened_ms = self.opened_ms;
+        let started_ms = self.started_ms;
         let is_due = |after_ms: Option<&u64>| {
-            after_ms.is_some_and(|after_ms| now_ms >= opened_ms + after_ms)
+            after_ms.is_some_and(|after_ms| now_ms >= started_ms + after_ms)
         };
-        if is_due(ANNOUNCE_AFTER_MS.get(self.announced)) {
-            self.announced += 1;
-            out.extend(self.tell_start());
+        if is_due(ANNOUNCE_AFTER_MS.get(self.announcements_sent)) {
+            self.announcements_sent += 1;
+            out.extend(self.announce_start());
         }
-        out.extend(self.call_roll(now_ms));
+        out.extend(self.send_due_roll(now_ms));
         out
     }
 
-    /// Takes in a packet.
+    /// Handles a packet and returns the packets to send.
     pub fn receive(&mut self, from: SocketAddr, packet: &Packet, now_ms: u64) -> Vec<Outgoing> {
         let Some(sender) = &packet.from else { return Vec::new() };
         if sender.id == self.me.identity.id {
@@ -327,38 +341,41 @@
         }
         let is_new = !self.by_id.contains_key(&sender.id);
         self.replace_at_address(sender, now_ms);
-        self.learn(sender, now_ms);
-        let is_trusted = self.member(sender.id).is_some_and(|member| {
+        self.apply_update(sender, now_ms);
+        let is_sender_trusted = self.member(sender.id).is_some_and(|member| {
             matches!(member.state, MemberState::Alive | MemberState::Leaving)
         });
         for update in &packet.updates {
-            // Whoever is cut off holds all others for dead; its word on them counts for nothing. Its
-            // word on this process is always answered, or two sides of a cut would never meet again.
+            // An isolated process holds all others for dead, so its accusations are ignored. An
+            // accusation against this process is always handled, as two sides of a network
+            // partition would never rejoin otherwise.
             let is_accusation = Member::from_update(update, now_ms)
                 .is_some_and(|member| member.state > MemberState::Leaving);
-            if is_trusted || !is_accusation || update.id == self.me.identity.id {
-                self.learn(update, now_ms);
+            if is_sender_trusted || !is_accusation || update.id == self.me.identity.id {
+                self.apply_update(update, now_ms);
             }
         }
-        self.heard.extend(packet.news.iter().map(|news| (from, news.clone())));
-        self.heard_leaving.extend(packet.leaving.iter().cloned());
+        self.received_versions.extend(packet.news.iter().map(|news| (from, news.clone())));
+        self.received_leaving.extend(packet.leaving.iter().cloned());
         match &packet.body {
             Some(Body::Ping(_)) => {
                 let mut out = vec![self.outgoing(from, packet.sequence, Body::Ack(Ack {}))];
-                // Without a number it looks for members at an address from its settings, or of a dead one.
+                // A ping without a sequence number goes to a seed address or to the address of a
+                // dead member: its sender looks for members.
                 if is_new || packet.sequence == 0 {
-                    let is_full = self.is_young(sender.id, now_ms) && self.welcomes.take(now_ms);
-                    let packets = if is_full { WELCOME_PACKETS } else { 1 };
-                    out.extend(self.welcome(from, sender.id, packets));
+                    let is_full_reply =
+                        self.is_joining(sender.id, now_ms) && self.join_reply_bucket.take(now_ms);
+                    let packets = if is_full_reply { JOIN_REPLY_PACKETS } else { 1 };
+                    out.extend(self.join_reply(from, sender.id, packets));
                 }
                 out
             }
-            Some(Body::Ack(_)) => self.acknowledge(packet.sequence, now_ms),
+            Some(Body::Ack(_)) => self.handle_ack(packet.sequence, now_ms),
             Some(Body::PingRequest(request)) => {
-                self.ping_for(from, packet.sequence, request, now_ms)
+                self.relay_ping(from, packet.sequence, request, now_ms)
             }
             Some(Body::Roll(roll)) => self.answer_roll(from, roll),
-            // These are no part of the members' protocol.
+            // Other components handle these.
             Some(
                 Body::Evidence(_)
                 | Body::LeaseQuestion(_)
@@ -375,18 +392,18 @@
         }
     }
 
-    /// Tells whether a member has become known, or changed, a short while ago.
-    fn is_young(&self, id: u64, now_ms: u64) -> bool {
+    /// Returns whether a member has become known, or has changed, within `JOINING_MS`.
+    fn is_joining(&self, id: u64, now_ms: u64) -> bool {
         let age_ms = |member: &Member| now_ms.saturating_sub(member.since_ms);
-        self.member(id).is_some_and(|member| age_ms(member) < YOUNG_MS)
+        self.member(id).is_some_and(|member| age_ms(member) < JOINING_MS)
     }
 
-    /// The others that are alive.
+    /// Returns the other members that are alive.
     fn alive(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().map(|(_, member)| member).filter(|member| member.takes_callers())
     }
 
-    /// The next sequence number.
+    /// Returns the next sequence number.
     fn next_sequence(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
--- a/crates/leverstream-member/src/swim/gossip.rs
+++ b/crates/leverstream-member/src/swim/gossip.rs
@@ -1,4 +1,4 @@
-//! What members tell each other of members, and what is believed of it.
+//! Gossip about members: what a process sends, and how it applies the updates that it receives.
 
 use std::net::SocketAddr;
 
@@ -7,64 +7,69 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 
 use super::{
-    ANNOUNCE_TO, NEWS_A_PACKET, NEWS_FANOUT, Outgoing, RETELL_FACTOR, Swim, UPDATES_A_PACKET,
-    UPDATES_A_WELCOME,
+    ANNOUNCE_LIMIT, GOSSIP_FANOUT, Outgoing, RETRANSMIT_FACTOR, Swim, UPDATES_PER_JOIN_REPLY,
+    UPDATES_PER_PACKET, VERSIONS_PER_PACKET,
 };
 use crate::{Audience, Member, MemberKey, MemberState};
 
 impl Swim {
-    /// Tells a process that looks for members who is there.
+    /// Lists live members to a process that looks for members.
     ///
-    /// Whoever has just started knows nobody, and gossip would take seconds to bring it all the others.
-    pub(super) fn welcome(&mut self, to: SocketAddr, id: u64, packets: usize) -> Vec<Outgoing> {
+    /// A process that has just started knows nobody, and gossip would take seconds to bring it the
+    /// whole fleet.
+    pub(super) fn join_reply(&mut self, to: SocketAddr, id: u64, packets: usize) -> Vec<Outgoing> {
         let others = self.alive().filter(|member| member.identity.id != id);
         let updates = others.map(Member::to_update).collect();
-        self.list(to, updates, packets)
+        self.member_packets(to, updates, packets)
     }
 
-    /// Tells of members in so many packets at the most.
-    pub(super) fn list(
+    /// Builds up to `packets` packets that list members.
+    pub(super) fn member_packets(
         &mut self,
         to: SocketAddr,
         mut updates: Vec<MemberUpdate>,
         packets: usize,
     ) -> Vec<Outgoing> {
-        // Others tell of others.
+        // In random order, so that different processes list different members.
         updates.shuffle(&mut self.rng);
-        let parts = updates.chunks(UPDATES_A_WELCOME).take(packets);
-        let packets =
-            parts.map(|part| Packet { updates: part.to_vec(), ..self.bare(Body::Ack(Ack {})) });
+        let parts = updates.chunks(UPDATES_PER_JOIN_REPLY).take(packets);
+        let packets = parts.map(|part| Packet {
+            updates: part.to_vec(),
+            ..self.packet_without_gossip(Body::Ack(Ack {}))
+        });
         packets.map(|packet| Outgoing { to, packet }).collect()
     }
 
-    /// A packet that tells nothing besides what it is for.
-    pub(super) fn bare(&self, body: Body) -> Packet {
+    /// Builds a packet without queued gossip.
+    pub(super) fn packet_without_gossip(&self, body: Body) -> Packet {
         Packet { from: Some(self.me.to_update()), body: Some(body), ..Packet::default() }
     }
 
-    /// Sends what there is to tell to some members at once.
-    pub(super) fn tell_some(&mut self) -> Vec<Outgoing> {
-        let targets = self.choose_addresses(NEWS_FANOUT, None);
-        self.tell(targets)
+    /// Sends queued gossip to some members at once.
+    pub(super) fn gossip_to_some(&mut self) -> Vec<Outgoing> {
+        let targets = self.choose_addresses(GOSSIP_FANOUT, None);
+        self.gossip_to(targets)
     }
 
-    /// Tells members that this process has started: all of a small fleet, else many of its own data hall and one of each
-    /// other, as bytes between halls are paid for and they tell their own.
-    pub(super) fn tell_start(&mut self) -> Vec<Outgoing> {
+    /// Announces the start of this process: to all members of a small fleet, otherwise to many of
+    /// its own data hall and one of each other, since traffic between halls costs money and that
+    /// member informs its own hall.
+    pub(super) fn announce_start(&mut self) -> Vec<Outgoing> {
         let audience = Audience::of(&self.me.identity, self.alive());
-        let mut targets = audience.some(ANNOUNCE_TO, &mut self.rng);
-        // Each is told a few of the others, in turn; halls must not all get the same ones.
+        let mut targets = audience.some(ANNOUNCE_LIMIT, &mut self.rng);
+        // Consecutive packets carry different updates; the shuffle keeps any hall from always
+        // receiving the same ones.
         targets.shuffle(&mut self.rng);
-        self.tell(targets)
+        self.gossip_to(targets)
     }
 
-    /// Sends what there is to tell to some addresses at once.
-    fn tell(&mut self, targets: Vec<SocketAddr>) -> Vec<Outgoing> {
+    /// Sends queued gossip to the given addresses at once.
+    fn gossip_to(&mut self, targets: Vec<SocketAddr>) -> Vec<Outgoing> {
         targets.into_iter().map(|to| self.outgoing(to, 0, Body::Ack(Ack {}))).collect()
     }
 
-    /// Takes in an update about a member, or refutes one about this process.
-    pub(super) fn learn(&mut self, update: &MemberUpdate, now_ms: u64) {
+    /// Applies an update about a member, or refutes one about this process.
+    pub(super) fn apply_update(&mut self, update: &MemberUpdate, now_ms: u64) {
         let Some(heard) = Member::from_update(update, now_ms) else { return };
         if heard.identity.id == self.me.identity.id {
             self.refute(&heard);
@@ -92,11 +97,11 @@
             }
         }
         self.changed.push(changed);
-        self.updates.retain(|(told, _)| *told != id);
+        self.updates.retain(|(queued, _)| *queued != id);
         self.updates.push_front((id, 0));
     }
 
-    /// Raises this process's incarnation when others hold it for worse than it is.
+    /// Raises the incarnation of this process when others hold it for worse than it is.
     fn refute(&mut self, heard: &Member) {
         let is_worse = heard.state > self.me.state && heard.incarnation >= self.me.incarnation;
         if is_worse {
@@ -104,7 +109,7 @@
         }
     }
 
-    /// Declares dead the process that used to be at a sender's address.
+    /// Declares dead the process that was at a sender's address before.
     pub(super) fn replace_at_address(&mut self, sender: &MemberUpdate, now_ms: u64) {
         if self.by_id.contains_key(&sender.id) {
             return;
@@ -119,19 +124,19 @@
             .map(|member| member.identity.id)
             .collect();
         for id in replaced {
-            self.accuse(id, MemberState::Dead, now_ms);
+            self.mark_failed(id, MemberState::Dead, now_ms);
         }
     }
 
-    /// Holds a member for suspect or dead and tells the others.
-    pub(super) fn accuse(&mut self, id: u64, state: MemberState, now_ms: u64) {
+    /// Marks a member as suspect or dead and queues the update.
+    pub(super) fn mark_failed(&mut self, id: u64, state: MemberState, now_ms: u64) {
         let Some(member) = self.member(id) else { return };
         let mut update = Member { state, ..member.clone() }.to_update();
         update.incarnation = member.incarnation;
-        self.learn(&update, now_ms);
+        self.apply_update(&update, now_ms);
     }
 
-    /// Chooses random live members' addresses.
+    /// Chooses the peer addresses of random live members.
     pub(super) fn choose_addresses(
         &mut self,
         count: usize,
@@ -142,23 +147,23 @@
         others.choose_multiple(&mut self.rng, count).copied().collect()
     }
 
-    /// Builds a packet with what there is to tell.
+    /// Builds a packet that carries queued gossip.
     pub(super) fn outgoing(&mut self, to: SocketAddr, sequence: u64, body: Body) -> Outgoing {
-        let limit = self.retell_limit();
+        let limit = self.retransmit_limit();
         let mut updates = self.update_about_receiver(to);
-        let room = UPDATES_A_PACKET.saturating_sub(updates.len()).min(self.updates.len());
+        let room = UPDATES_PER_PACKET.saturating_sub(updates.len()).min(self.updates.len());
         for _ in 0..room {
-            let Some((id, told)) = self.updates.pop_front() else { break };
+            let Some((id, sent_count)) = self.updates.pop_front() else { break };
             if let Some(member) = self.member(id) {
                 updates.push(member.to_update());
             }
-            if told + 1 < limit {
-                self.updates.push_back((id, told + 1));
+            if sent_count + 1 < limit {
+                self.updates.push_back((id, sent_count + 1));
             }
         }
-        let news = self.news.take(NEWS_A_PACKET, limit).into_iter();
+        let news = self.news.take(VERSIONS_PER_PACKET, limit).into_iter();
         let news = news.map(|(service, version)| ServiceVersion { service, version }).collect();
-        let leaving = self.leaving.take(NEWS_A_PACKET, limit).into_iter();
+        let leaving = self.leaving.take(VERSIONS_PER_PACKET, limit).into_iter();
         let leaving =
             leaving.map(|(address, marked_s)| LeavingBackend { address, marked_s }).collect();
         let from = Some(self.me.to_update());
@@ -175,10 +180,12 @@
         Outgoing { to, packet }
     }
 
-    /// Tells a receiver what is held of it, when that is for it to refute.
+    /// Returns the update about the receiver itself if it is held for suspect or dead, so that it
+    /// can refute that.
     ///
-    /// Of several processes that were at its address one after the other, the last that was accused: told of one before
-    /// it, it would have nothing to refute, be held for dead by all and be greeted by all, some 11 kB each time.
+    /// If several processes were at its address one after the other, this is the one accused last.
+    /// An update about an earlier one would give the receiver nothing to refute: all members would
+    /// go on holding it for dead, and each would send it join replies, some 11 kB each time.
     fn update_about_receiver(&self, to: SocketAddr) -> Vec<MemberUpdate> {
         let accused = self.members.iter().map(|(_, member)| member).filter(|member| {
             member.identity.peer_address == to && member.state > MemberState::Leaving
@@ -187,9 +194,9 @@
         last.map(Member::to_update).into_iter().collect()
     }
 
-    /// How often an update is told: a multiple of the logarithm of the fleet's size.
-    fn retell_limit(&self) -> u32 {
+    /// Returns how often an update is sent: a multiple of the logarithm of the fleet's size.
+    fn retransmit_limit(&self) -> u32 {
         let size = u32::try_from(self.members.len()).unwrap_or(u32::MAX).saturating_add(2);
-        RETELL_FACTOR * (u32::BITS - size.leading_zeros())
+        RETRANSMIT_FACTOR * (u32::BITS - size.leading_zeros())
     }
 }
--- a/crates/leverstream-member/src/swim/probe.rs
+++ b/crates/leverstream-member/src/swim/probe.rs
@@ -1,4 +1,4 @@
-//! Pings: who is pinged next, and what follows when no answer comes.
+//! Pings: which member is pinged next, and what follows when it does not answer.
 
 use std::net::SocketAddr;
 
@@ -9,15 +9,17 @@
 use super::{INDIRECT_PINGS, Outgoing, Pending, Swim};
 use crate::{Member, MemberState};
 
-/// How many VMs of a data hall send as many pings to other halls as one of a small hall would.
-const NEAR_A_FAR_PING: usize = 32;
+/// The size of a data hall up to which each VM sends its full rate of pings to other halls. VMs of
+/// larger halls send proportionally fewer, so that the total does not grow with the hall.
+const FULL_RATE_HALL_SIZE: usize = 32;
 
 impl Swim {
-    /// Pings the next member of the round, or of that of other data halls if it is their turn.
+    /// Pings the next member of the current round. One in `far_ping_interval` pings goes to a
+    /// member of another data hall.
     pub(super) fn ping_next(&mut self, now_ms: u64) -> Option<Outgoing> {
         self.pings = self.pings.wrapping_add(1);
-        let far_one_in = self.far_one_in();
-        let is_far_turn = far_one_in > 1 && self.pings.is_multiple_of(far_one_in);
+        let interval = self.far_ping_interval();
+        let is_far_turn = interval > 1 && self.pings.is_multiple_of(interval);
         let id = self.next_of_round(is_far_turn).or_else(|| self.next_of_round(!is_far_turn))?;
         let to = self.member(id)?.identity.peer_address;
         let sequence = self.next_sequence();
@@ -25,16 +27,17 @@
         Some(self.outgoing(to, sequence, Body::Ping(Ping {})))
     }
 
-    /// One ping in how many goes to another data hall: in a large hall each sends fewer, as all of them tell each other.
-    fn far_one_in(&self) -> u32 {
+    /// Returns one in how many pings goes to another data hall. Each VM of a large hall sends
+    /// fewer, as the VMs of a hall share what they find.
+    fn far_ping_interval(&self) -> u32 {
         let hall = &self.me.identity.hall;
         let members = self.members.iter().map(|(_, member)| member);
         let near = members.filter(|member| member.identity.hall == *hall).count();
-        let times = (near / NEAR_A_FAR_PING).max(1);
+        let times = (near / FULL_RATE_HALL_SIZE).max(1);
         self.settings.far_one_in.saturating_mul(times as u32)
     }
 
-    /// Takes the next member of a round; a round that is over begins anew.
+    /// Takes the next member of a round and begins a new round when it is over.
     fn next_of_round(&mut self, is_far: bool) -> Option<u64> {
         let is_empty = if is_far { self.far_round.is_empty() } else { self.near_round.is_empty() };
         if is_empty {
@@ -45,7 +48,7 @@
         if is_far { self.far_round.pop() } else { self.near_round.pop() }
     }
 
-    /// The members that a round takes in.
+    /// Returns the members of a new round.
     fn new_round(&self, is_far: bool) -> Vec<u64> {
         let hall = &self.me.identity.hall;
         let is_in_round = |member: &&Member| {
@@ -56,15 +59,14 @@
         known.filter(is_in_round).map(|member| member.identity.id).collect()
     }
 
-    /// Pings an address where a member is said to be, or was, and no live one is known. Those of other data halls take
-    /// their turn as with members: whoever answers tells of others.
-    pub(super) fn ping_hints(&mut self) -> Option<Outgoing> {
-        let far_one_in = self.far_one_in();
+    /// Pings an address without a known live member: a seed address or that of a dead member.
+    /// Addresses of dead members in other data halls are tried only when a ping to another hall is
+    /// due; whoever answers lists other members.
+    pub(super) fn ping_unknown_address(&mut self) -> Option<Outgoing> {
+        let interval = self.far_ping_interval();
         let hall = &self.me.identity.hall;
         let is_turn = |member: &&Member| {
-            member.identity.hall == *hall
-                || far_one_in <= 1
-                || self.pings.is_multiple_of(far_one_in)
+            member.identity.hall == *hall || interval <= 1 || self.pings.is_multiple_of(interval)
         };
         let known = |address: &SocketAddr| {
             *address == self.me.identity.peer_address
@@ -76,21 +78,22 @@
         let dead = members.filter(|member| member.state == MemberState::Dead).filter(is_turn);
         let dead = dead.map(|member| &member.identity.peer_address);
         let unknown: Vec<SocketAddr> =
-            self.hints.iter().chain(dead).filter(|address| !known(address)).copied().collect();
+            self.seeds.iter().chain(dead).filter(|address| !known(address)).copied().collect();
         let to = *unknown.choose(&mut self.rng)?;
         Some(self.outgoing(to, 0, Body::Ping(Ping {})))
     }
 
-    /// Asks others to try, or suspects, where a ping was not answered in time.
-    pub(super) fn follow_up(&mut self, now_ms: u64) -> Vec<Outgoing> {
+    /// Handles pings without an answer: asks other members to ping, and suspects the member after a
+    /// whole period.
+    pub(super) fn check_pending(&mut self, now_ms: u64) -> Vec<Outgoing> {
         let settings = self.settings;
         let mut late = Vec::new();
-        let mut silent = Vec::new();
+        let mut timed_out = Vec::new();
         self.pending.retain(|sequence, pending| match pending {
             Pending::Own { id, sent_ms, is_indirect } => {
                 let age_ms = now_ms.saturating_sub(*sent_ms);
                 if age_ms >= settings.period_ms {
-                    silent.push(*id);
+                    timed_out.push(*id);
                     return false;
                 }
                 if age_ms >= settings.ack_ms && !*is_indirect {
@@ -99,19 +102,23 @@
                 }
                 true
             }
-            Pending::For { sent_ms, .. } => now_ms.saturating_sub(*sent_ms) < settings.period_ms,
+            Pending::Relayed { sent_ms, .. } => {
+                now_ms.saturating_sub(*sent_ms) < settings.period_ms
+            }
         });
-        for id in silent {
-            self.unanswered += 1;
+        for id in timed_out {
+            self.unanswered_pings += 1;
             if !self.is_isolated() {
-                self.accuse(id, MemberState::Suspect, now_ms);
+                self.mark_failed(id, MemberState::Suspect, now_ms);
             }
         }
-        late.into_iter().flat_map(|(sequence, id)| self.ask_others(sequence, id)).collect()
+        late.into_iter()
+            .flat_map(|(sequence, id)| self.request_indirect_pings(sequence, id))
+            .collect()
     }
 
-    /// Asks some members to ping another.
-    fn ask_others(&mut self, sequence: u64, id: u64) -> Vec<Outgoing> {
+    /// Asks some other members to ping a member.
+    fn request_indirect_pings(&mut self, sequence: u64, id: u64) -> Vec<Outgoing> {
         let Some(target) = self.member(id).map(|member| member.identity.peer_address) else {
             return Vec::new();
         };
@@ -123,8 +130,8 @@
             .collect()
     }
 
-    /// Pings a member for another process.
-    pub(super) fn ping_for(
+    /// Pings a member on behalf of another process.
+    pub(super) fn relay_ping(
         &mut self,
         asker: SocketAddr,
         sequence: u64,
@@ -138,26 +145,26 @@
             return Vec::new();
         }
         let own = self.next_sequence();
-        self.pending.insert(own, Pending::For { asker, sequence, sent_ms: now_ms });
+        self.pending.insert(own, Pending::Relayed { asker, sequence, sent_ms: now_ms });
         vec![self.outgoing(target, own, Body::Ping(Ping {}))]
     }
 
-    /// Notes an answer, or hands it on to the process that asked for the ping.
-    pub(super) fn acknowledge(&mut self, sequence: u64, now_ms: u64) -> Vec<Outgoing> {
+    /// Handles an answer, or forwards it to the process that asked for the ping.
+    pub(super) fn handle_ack(&mut self, sequence: u64, now_ms: u64) -> Vec<Outgoing> {
         match self.pending.remove(&sequence) {
             Some(Pending::Own { id, .. }) => {
-                self.unanswered = 0;
+                self.unanswered_pings = 0;
                 self.clear_own_suspicion(id, now_ms);
                 Vec::new()
             }
-            Some(Pending::For { asker, sequence, .. }) => {
+            Some(Pending::Relayed { asker, sequence, .. }) => {
                 vec![self.outgoing(asker, sequence, Body::Ack(Ack {}))]
             }
             None => Vec::new(),
         }
     }
 
-    /// Trusts a suspect again that has answered, until others tell otherwise.
+    /// Marks a suspect that has answered as alive again, until another member reports otherwise.
     fn clear_own_suspicion(&mut self, id: u64, now_ms: u64) {
         let Some(key) = self.by_id.get(&id) else { return };
         let member = &mut self.members[key.0];
@@ -168,8 +175,9 @@
         }
     }
 
-    /// Declares suspects dead whose time to refute is over, and forgets those long dead.
-    pub(super) fn bury(&mut self, now_ms: u64) {
+    /// Declares suspects dead that did not refute in time, and forgets members that have been dead
+    /// for long.
+    pub(super) fn expire_members(&mut self, now_ms: u64) {
         let settings = self.settings;
         let age_ms = |member: &Member| now_ms.saturating_sub(member.since_ms);
         let overdue: Vec<u64> = self
@@ -181,7 +189,7 @@
             .collect();
         if !self.is_isolated() {
             for id in overdue {
-                self.accuse(id, MemberState::Dead, now_ms);
+                self.mark_failed(id, MemberState::Dead, now_ms);
             }
         }
         let by_id = &mut self.by_id;
