--- a/crates/leverstream-bench/src/capacity.rs
+++ b/crates/leverstream-bench/src/capacity.rs
@@ -304,7 +304,7 @@
         let (placement, entry) = members.place(&docs[7]);
         let newcomer = member(nodes + 1, TARGET.halls);
         let look_us = time_us(20_000, || {
-            std::hint::black_box(placement.is_moved_by(&newcomer));
+            std::hint::black_box(placement.is_affected_by(&newcomer));
         });
         let moved = TARGET.services as f64 * entry.len() as f64 / nodes as f64;
         let change_ms = (look_us * TARGET.services as f64 + moved * one_us) / 1e3;
@@ -356,7 +356,7 @@
             let Some((_, to, from, packet)) = in_flight.pop_front() else { break };
             let node = &mut fleet[to];
             sent.extend(node.receive(from, &packet, now_ms).into_iter().map(|out| (to, out)));
-            let news = node.take_heard();
+            let news = node.take_received_versions();
             if !news.is_empty() && !has_it[to] {
                 has_it[to] = true;
                 sent.extend(node.announce("service-1", 2).into_iter().map(|out| (to, out)));
--- a/crates/leverstream-gateway/src/mesh.rs
+++ b/crates/leverstream-gateway/src/mesh.rs
@@ -98,7 +98,7 @@
             ..SwimSettings::default()
         };
         let mut swim = Swim::open(identity, swim_settings, rng, now_ms);
-        swim.hint(settings.peers.seeds.clone());
+        swim.set_seeds(settings.peers.seeds.clone());
         Ok(Mesh {
             swim: RefCell::new(swim),
             key: FleetKey::derive(&settings.peers.key),
@@ -262,7 +262,7 @@
 
     /// Names addresses where other VMs may be.
     pub fn hint(&self, seeds: Vec<SocketAddr>) {
-        self.swim.borrow_mut().hint(seeds);
+        self.swim.borrow_mut().set_seeds(seeds);
     }
 
     /// Says that there is something to tell of backend servers.
--- a/crates/leverstream-member/src/placement.rs
+++ b/crates/leverstream-member/src/placement.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns whether the set may differ now that a member has changed.
-    pub fn is_moved_by(&self, member: &Member) -> bool {
+    pub fn is_affected_by(&self, member: &Member) -> bool {
         if self.chosen.iter().any(|chosen| chosen.id == member.identity.id) {
             return true;
         }
--- a/crates/leverstream-member/src/swim.rs
+++ b/crates/leverstream-member/src/swim.rs
@@ -134,7 +134,7 @@
     leaving: GossipQueue,
     /// Leaving backend servers received since the last `take_leaving`.
     received_leaving: Vec<LeavingBackend>,
-    /// Service versions received, with their sender, since the last `take_heard`.
+    /// Service versions received, with their sender, since the last `take_received_versions`.
     received_versions: Vec<(SocketAddr, ServiceVersion)>,
     /// The token bucket that limits full join replies.
     join_reply_bucket: Bucket,
@@ -250,7 +250,7 @@
     }
 
     /// Takes the versions received since the last call, each with its sender.
-    pub fn take_heard(&mut self) -> Vec<(SocketAddr, ServiceVersion)> {
+    pub fn take_received_versions(&mut self) -> Vec<(SocketAddr, ServiceVersion)> {
         std::mem::take(&mut self.received_versions)
     }
 
@@ -267,7 +267,7 @@
     }
 
     /// Sets addresses at which members may be found; each is pinged until a member there is known.
-    pub fn hint(&mut self, addresses: Vec<SocketAddr>) {
+    pub fn set_seeds(&mut self, addresses: Vec<SocketAddr>) {
         self.seeds = addresses;
     }
 
@@ -308,7 +308,7 @@
     }
 
     /// Chooses the peer address of a random live member, such as one to compare tables with.
-    pub fn choose(&mut self) -> Option<SocketAddr> {
+    pub fn choose_peer(&mut self) -> Option<SocketAddr> {
         self.choose_addresses(1, None).pop()
     }
 
--- a/crates/leverstream-member/tests/entry_set.rs
+++ b/crates/leverstream-member/tests/entry_set.rs
@@ -71,7 +71,7 @@
     members[id].table = 0;
     let (_, without) = Placement::choose("service-1", &members, 3);
     assert!(without.iter().all(|member| member.identity.id != id as u64));
-    assert!(placement.is_moved_by(&members[id]));
+    assert!(placement.is_affected_by(&members[id]));
 }
 
 #[test]
@@ -111,7 +111,7 @@
         }
         members.retain(|member| member.identity.id != new.identity.id);
         members.push(new.clone());
-        if !placement.is_moved_by(&new) {
+        if !placement.is_affected_by(&new) {
             prop_assert_eq!(ids(service, &members, size), before);
         }
     }
--- a/crates/leverstream-member/tests/growth.rs
+++ b/crates/leverstream-member/tests/growth.rs
@@ -92,7 +92,7 @@
             SwimSettings { period_ms: 400, ack_ms: 133, far_one_in: 4, ..SwimSettings::default() };
         let rng = StdRng::seed_from_u64(self.starts);
         let mut node = Swim::open(identity, settings, rng, self.now_ms);
-        node.hint((0..SEEDS).map(address).collect());
+        node.set_seeds((0..SEEDS).map(address).collect());
         node
     }
 
--- a/crates/leverstream-member/tests/swim.rs
+++ b/crates/leverstream-member/tests/swim.rs
@@ -63,7 +63,7 @@
             now_ms: 0,
             far_packets: 0,
         };
-        net.nodes.iter_mut().for_each(|node| node.hint((0..hints).map(address).collect()));
+        net.nodes.iter_mut().for_each(|node| node.set_seeds((0..hints).map(address).collect()));
         net
     }
 
@@ -195,7 +195,7 @@
 fn a_new_process_at_the_address_takes_the_old_ones_place() {
     let mut net = Net::settled(6);
     net.nodes[2] = open(100, 2, net.now_ms);
-    net.nodes[2].hint((0..6).map(address).collect());
+    net.nodes[2].set_seeds((0..6).map(address).collect());
     net.run(15_000);
     for number in 0..6 {
         assert_eq!(net.state_at(number, 100), Some(MemberState::Alive), "node {number}");
@@ -216,7 +216,7 @@
     net.run(60_000);
     assert_eq!((net.alive_at(0), net.alive_at(8)), (3, 6));
     // The platform's list need not be there: the dead are remembered and tried.
-    net.nodes.iter_mut().for_each(|node| node.hint(Vec::new()));
+    net.nodes.iter_mut().for_each(|node| node.set_seeds(Vec::new()));
     net.cut.clear();
     net.run(30_000);
     for number in 0..9 {
@@ -245,7 +245,7 @@
     for _ in 0..10 {
         net.run(500);
         for number in 1..10 {
-            for (_, news) in net.nodes[number].take_heard() {
+            for (_, news) in net.nodes[number].take_received_versions() {
                 assert_eq!((news.service.as_str(), news.version), ("shop", 7));
                 if heard.insert(number) {
                     net.nodes[number].announce("shop", 7);
@@ -268,7 +268,7 @@
 fn one_that_joins_knows_all_and_is_known_to_all_at_once() {
     let mut net = Net::settled(30);
     let mut newcomer = open(99, 30, net.now_ms);
-    newcomer.hint(vec![address(4)]);
+    newcomer.set_seeds(vec![address(4)]);
     net.nodes.push(newcomer);
     net.run(400);
     let known: Vec<usize> = (0..31).map(|number| net.alive_at(number)).collect();
@@ -321,7 +321,7 @@
     let mut net = Net::settled(6);
     for id in [100, 101] {
         net.nodes[2] = open(id, 2, net.now_ms);
-        net.nodes[2].hint(vec![address(0)]);
+        net.nodes[2].set_seeds(vec![address(0)]);
         net.run(3_000);
     }
     let ways: Vec<(usize, usize)> = (0..6).flat_map(|other| [(2, other), (other, 2)]).collect();
--- a/crates/leverstream-node/src/control.rs
+++ b/crates/leverstream-node/src/control.rs
@@ -263,7 +263,7 @@
         let moves_all = self.members.halls != halls;
         let is_moved = |doc: &&Arc<ServiceDoc>| {
             let placement = self.placements.get(&doc.service);
-            let by = |member: &Member| placement.is_none_or(|held| held.is_moved_by(member));
+            let by = |member: &Member| placement.is_none_or(|held| held.is_affected_by(member));
             moves_all || changed.iter().any(by)
         };
         let docs: Vec<Arc<ServiceDoc>> =
@@ -377,7 +377,7 @@
         let listed_age_ms = self.listed_ms.map(|listed_ms| now_ms.saturating_sub(listed_ms));
         let list_after_ms = MEMBERS_MS.max(self.members.list.len() as u64 * MEMBERS_MS_EACH);
         if listed_age_ms.is_none_or(|age_ms| age_ms >= list_after_ms)
-            && let Some(peer) = self.swim.choose()
+            && let Some(peer) = self.swim.choose_peer()
         {
             self.listed_ms = Some(now_ms);
             peers::list_members(&self.channels, peer, Questions::to(&context.address()));
--- a/crates/leverstream-node/src/control/handlers.rs
+++ b/crates/leverstream-node/src/control/handlers.rs
@@ -25,7 +25,7 @@
 
     fn started(&mut self, context: &mut Context<Control>) {
         context.set_mailbox_capacity(4_096);
-        self.swim.hint(self.settings.peers.seeds.clone());
+        self.swim.set_seeds(self.settings.peers.seeds.clone());
         context.run_interval(Duration::from_millis(TICK_MS), Control::tick);
     }
 }
@@ -38,7 +38,7 @@
         self.peer_heard_ms = Some(now_ms);
         let out = self.swim.receive(message.from, &message.packet, now_ms);
         self.send(out);
-        for (from, news) in self.swim.take_heard() {
+        for (from, news) in self.swim.take_received_versions() {
             self.fetch(from, &[news], context);
         }
         for leaving in self.swim.take_leaving() {
@@ -106,7 +106,7 @@
 
     fn handle(&mut self, mut message: Hints, _: &mut Context<Control>) {
         message.addresses.extend(&self.settings.peers.seeds);
-        self.swim.hint(message.addresses);
+        self.swim.set_seeds(message.addresses);
         let marked_s = Clock::unix_ms() / 1_000;
         for address in message.leaving {
             self.take_leaving(address, marked_s);
