--- a/crates/leverstream-gateway/src/mesh.rs
+++ b/crates/leverstream-gateway/src/mesh.rs
@@ -9,7 +9,7 @@
 use leverstream_core::choose_entry;
 use leverstream_limit::{ARBITERS, Role, STAND_INS};
 use leverstream_member::{
-    Audience, Identity, Member, MemberState, Outgoing, Swim, SwimSettings, entry_set,
+    Identity, Member, MemberState, Outgoing, PeersByHall, Swim, SwimSettings, entry_set,
 };
 use leverstream_peer::packet::Body;
 use leverstream_peer::{FleetKey, PACKET_LIMIT_BYTES, Packet};
@@ -150,8 +150,8 @@
     }
 
     /// Where the other VMs that share the traffic listen.
-    pub fn audience(&self) -> Audience {
-        Audience::of(&self.swim.borrow().me().identity, self.sharing.entry().iter())
+    pub fn audience(&self) -> PeersByHall {
+        PeersByHall::of(&self.swim.borrow().me().identity, self.sharing.entry().iter())
     }
 
     /// Where all other VMs listen.
@@ -165,8 +165,8 @@
     /// Where those of them listen that one VM tells of something at once; of larger fleets the rest hear it from those.
     pub fn told_at_once(&self) -> Vec<SocketAddr> {
         let swim = self.swim.borrow();
-        let all = Audience::of(&swim.me().identity, swim.members());
-        all.some(TOLD_AT_ONCE, &mut rand::rng())
+        let all = PeersByHall::of(&swim.me().identity, swim.members());
+        all.sample(TOLD_AT_ONCE, &mut rand::rng())
     }
 
     /// Where the other VMs that share the traffic listen.
--- a/crates/leverstream-member/src/lib.rs
+++ b/crates/leverstream-member/src/lib.rs
@@ -4,16 +4,16 @@
 //! Gupta and Motivala, 2002): it takes packets and the present time and returns packets to send.
 //! [`entry_set()`] chooses the VMs of a service by rendezvous hashing over the live members.
 
-mod audience;
 mod entry_set;
 mod gossip_queue;
 mod member;
+mod peers_by_hall;
 mod placement;
 mod swim;
 
-pub use audience::Audience;
 pub use entry_set::{entry_set, entry_set_size, watchers};
 pub use gossip_queue::GossipQueue;
 pub use member::{Identity, Member, MemberKey, MemberState};
+pub use peers_by_hall::PeersByHall;
 pub use placement::Placement;
 pub use swim::{Outgoing, Swim, SwimSettings};
--- a/crates/leverstream-member/src/audience.rs
+++ b/crates/leverstream-member/src/peers_by_hall.rs
@@ -13,23 +13,23 @@
 /// Traffic between halls costs money and must not grow with the number of their VMs. A VM therefore
 /// sends to one VM of each other hall, which forwards within its own hall where needed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Audience {
+pub struct PeersByHall {
     /// The VMs of the sender's own hall.
     pub near: Vec<SocketAddr>,
     /// The VMs of each other hall.
     pub far: Vec<Vec<SocketAddr>>,
 }
 
-impl Audience {
+impl PeersByHall {
     /// Groups the given members by hall, without the sender itself.
-    pub fn of<'a>(me: &Identity, members: impl IntoIterator<Item = &'a Member>) -> Audience {
+    pub fn of<'a>(me: &Identity, members: impl IntoIterator<Item = &'a Member>) -> PeersByHall {
         let mut halls: BTreeMap<&str, Vec<SocketAddr>> = BTreeMap::new();
         let others = members.into_iter().map(|member| &member.identity);
         for other in others.filter(|other| other.id != me.id) {
             halls.entry(&other.hall).or_default().push(other.peer_address);
         }
         let near = halls.remove(me.hall.as_str()).unwrap_or_default();
-        Audience { near, far: halls.into_values().collect() }
+        PeersByHall { near, far: halls.into_values().collect() }
     }
 
     /// Returns all addresses, those of the own hall first.
@@ -44,14 +44,14 @@
 
     /// Returns all addresses if there are at most `limit`; otherwise `limit` random ones of the own
     /// hall and one of each other hall.
-    pub fn some(&self, limit: usize, rng: &mut impl Rng) -> Vec<SocketAddr> {
+    pub fn sample(&self, limit: usize, rng: &mut impl Rng) -> Vec<SocketAddr> {
         let all = self.all();
         if all.len() <= limit {
             return all;
         }
         let near = self.near.choose_multiple(rng, limit).copied();
-        let mut some: Vec<SocketAddr> = near.collect();
-        some.extend(self.relays(rng));
-        some
+        let mut sample: Vec<SocketAddr> = near.collect();
+        sample.extend(self.relays(rng));
+        sample
     }
 }
--- a/crates/leverstream-member/src/swim/gossip.rs
+++ b/crates/leverstream-member/src/swim/gossip.rs
@@ -10,7 +10,7 @@
     ANNOUNCE_LIMIT, GOSSIP_FANOUT, Outgoing, RETRANSMIT_FACTOR, Swim, UPDATES_PER_JOIN_REPLY,
     UPDATES_PER_PACKET, VERSIONS_PER_PACKET,
 };
-use crate::{Audience, Member, MemberKey, MemberState};
+use crate::{Member, MemberKey, MemberState, PeersByHall};
 
 impl Swim {
     /// Lists live members to a process that looks for members.
@@ -55,8 +55,8 @@
     /// its own data hall and one of each other, since traffic between halls costs money and that
     /// member informs its own hall.
     pub(super) fn announce_start(&mut self) -> Vec<Outgoing> {
-        let audience = Audience::of(&self.me.identity, self.alive());
-        let mut targets = audience.some(ANNOUNCE_LIMIT, &mut self.rng);
+        let peers = PeersByHall::of(&self.me.identity, self.alive());
+        let mut targets = peers.sample(ANNOUNCE_LIMIT, &mut self.rng);
         // Consecutive packets carry different updates; the shuffle keeps any hall from always
         // receiving the same ones.
         targets.shuffle(&mut self.rng);
--- a/crates/leverstream-member/tests/audience.rs
+++ b/crates/leverstream-member/tests/audience.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use leverstream_member::{Audience, Identity, Member};
+use leverstream_member::{Identity, Member, PeersByHall};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -39,7 +39,7 @@
         let members = members(count);
         let mut rng = StdRng::seed_from_u64(1);
         for me in members.iter().take(7) {
-            let audience = Audience::of(&me.identity, &members);
+            let audience = PeersByHall::of(&me.identity, &members);
             let relays = audience.relays(&mut rng);
             assert_eq!(relays.len(), HALLS - 1, "{count} sharers");
             let mut heard: BTreeMap<_, usize> = BTreeMap::new();
@@ -48,7 +48,7 @@
             for relay in &relays {
                 let relay = members.iter().find(|member| member.identity.peer_address == *relay);
                 let relay = &relay.expect("it is a member").identity;
-                Audience::of(relay, &members).near.into_iter().for_each(&mut hear);
+                PeersByHall::of(relay, &members).near.into_iter().for_each(&mut hear);
             }
             assert_eq!(heard.len(), count - 1);
             assert!(heard.values().all(|times| *times == 1));
@@ -59,7 +59,7 @@
 #[test]
 fn relays_are_others_each_time() {
     let members = members(50);
-    let audience = Audience::of(&members[0].identity, &members);
+    let audience = PeersByHall::of(&members[0].identity, &members);
     let mut rng = StdRng::seed_from_u64(1);
     let mut chosen: BTreeMap<_, usize> = BTreeMap::new();
     for _ in 0..400 {
@@ -76,14 +76,14 @@
 fn a_change_is_told_to_all_of_a_small_fleet_and_to_the_own_hall_of_a_large_one() {
     for count in [3, 44, 161] {
         let members = members(count);
-        let audience = Audience::of(&members[0].identity, &members);
-        assert_eq!(audience.some(LIMIT, &mut StdRng::seed_from_u64(1)).len(), count - 1);
+        let audience = PeersByHall::of(&members[0].identity, &members);
+        assert_eq!(audience.sample(LIMIT, &mut StdRng::seed_from_u64(1)).len(), count - 1);
     }
     for count in [300, 1_000, 2_000, 7_000] {
         let members = members(count);
-        let audience = Audience::of(&members[0].identity, &members);
+        let audience = PeersByHall::of(&members[0].identity, &members);
         let mut rng = StdRng::seed_from_u64(1);
-        let (first, second) = (audience.some(LIMIT, &mut rng), audience.some(LIMIT, &mut rng));
+        let (first, second) = (audience.sample(LIMIT, &mut rng), audience.sample(LIMIT, &mut rng));
         let far = first.iter().filter(|address| !audience.near.contains(address)).count();
         assert_eq!(far, HALLS - 1, "{count}");
         assert_eq!(first.len() - far, audience.near.len().min(LIMIT));
