--- a/crates/leverstream-workspace/src/allotment.rs
+++ b/crates/leverstream-workspace/src/allotment.rs
@@ -1,128 +1,140 @@
+//! Allotments of workspaces: a token bucket per workspace that all VMs of the fleet share.
+
 use std::collections::HashMap;
 
-use crate::level::Level;
+use crate::token_bucket::TokenBucket;
 use crate::{Allotment, Hearing, WorkspaceId};
 
-/// The part of the slack that is given to callers as more burst; the rest covers what VMs let in before they hear of
-/// each other.
-const SLACK_AS_BURST: f64 = 0.5;
+/// The fraction of the slack that is added to the burst. The rest covers what VMs admit before they
+/// receive each other's reports.
+const SLACK_BURST_FRACTION: f64 = 0.5;
 
-/// The part of a burst with which a process begins that cannot know what was let in before it started.
+/// The fraction of a burst that a process starts with if it can't know what was admitted before its
+/// start.
 ///
-/// After a loss of all VMs the window still holds what the last ones let in: the rate and up to one burst. Half
-/// a burst more stays below a tenth of both and the slack while the fleet takes a second to come back.
-const FIRST_PART: f64 = 0.5;
+/// After a loss of all VMs the window still holds what they admitted: the rate and up to one burst.
+/// Half a burst more stays within the allowed excess of a tenth of both plus the slack while the
+/// fleet takes a second to recover.
+const STARTUP_FRACTION: f64 = 0.5;
 
-/// How long after its start a process counts as one that cannot know, in milliseconds: a window of five seconds.
+/// How long after its start a process can't know what was admitted before, in milliseconds: one
+/// window of five seconds.
 pub const FIRST_MS: u64 = 5_000;
 
-/// Below which part of its burst a workspace counts as pressed: each request is then told at once.
-const PRESSED_PART: f64 = 0.6;
+/// The fraction of its capacity below which a workspace's bucket counts as low: each request is
+/// then reported at once.
+const LOW_FRACTION: f64 = 0.6;
 
-/// The part of the slack that may have been let in without being told while no workspace is pressed, over all VMs.
-const UNTOLD_PART: f64 = 0.3;
+/// The fraction of the slack that all VMs together may admit without a report while no bucket is
+/// low.
+const UNREPORTED_FRACTION: f64 = 0.3;
 
-/// How many VMs are assumed to share the traffic where that is divided among them.
-const UNTOLD_VMS: f64 = 6.0;
+/// How many VMs are assumed to share the traffic when that fraction is divided among them.
+const ASSUMED_VMS: f64 = 6.0;
 
-/// After how long without requests a workspace is forgotten, in milliseconds; its burst is whole again by then.
+/// How long after its last request a workspace is dropped, in milliseconds; its bucket is full
+/// again by then.
 const IDLE_MS: u64 = 60_000;
 
-/// The allotments of workspaces over all VMs, as one of these knows them.
+/// The allotments of workspaces across all VMs, as known to one VM.
 ///
-/// Each VM keeps its own copy of one token bucket a workspace: it takes what it lets in itself and what the others
-/// say they let in. What several let in before they heard of each other takes the room below zero, so that it is
-/// paid back before more is let in, and does not add up. A VM that hears less than half of those that share the
-/// traffic lets in no more than its part; the others keep such parts free (see [`Hearing`]).
+/// Each VM keeps its own copy of one token bucket per workspace and takes from it what it admits
+/// itself and what the other VMs report. What several VMs admit before they receive each other's
+/// reports takes the bucket below zero. This debt is paid back before more is admitted, so that the
+/// excess does not accumulate. A VM that hears half or less of the VMs that share the traffic
+/// admits no more than its own fraction, and the other VMs keep such fractions free (see
+/// [`Hearing`]).
 #[derive(Clone, Debug)]
 pub struct Allotments {
-    /// Requests in a window beyond rate and burst that may be let in by mistake.
+    /// How many requests per window may exceed rate and burst by mistake.
     slack: f64,
-    /// The part of a burst with which this process begins.
-    first_part: f64,
-    /// The workspaces that had requests of late.
-    shares: HashMap<WorkspaceId, Share>,
+    /// The fraction of a burst that this process starts with.
+    startup_fraction: f64,
+    /// The workspaces that had requests recently.
+    usages: HashMap<WorkspaceId, Usage>,
 }
 
-/// What is known of one workspace.
+/// What this VM knows about the usage of one workspace.
 #[derive(Clone, Debug)]
-struct Share {
-    /// The room by what all VMs let in.
-    all: Level,
-    /// The room by what this VM lets in, as if it were alone with its part.
-    alone: Level,
-    /// How many requests this VM has let in since it started.
+struct Usage {
+    /// The bucket from which the requests admitted by all VMs are taken.
+    fleet_bucket: TokenBucket,
+    /// The bucket for this VM's own fraction, from which only its own requests are taken.
+    own_bucket: TokenBucket,
+    /// How many requests this VM has admitted since it started.
     total: u64,
-    /// How many of those the others were told.
-    told: u64,
-    /// When it last had a request, here or elsewhere.
-    used_ms: u64,
-    /// When this VM last let one in.
-    spent_ms: u64,
-    /// Whether little room was left then.
-    is_pressed: bool,
-    /// How many each other VM has let in since that one started.
-    others: HashMap<u64, u64>,
+    /// How many of those are reported.
+    reported: u64,
+    /// When its last request, here or reported by another VM, arrived.
+    last_request_ms: u64,
+    /// When this VM last admitted one.
+    last_admitted_ms: u64,
+    /// Whether the bucket was low then.
+    is_low: bool,
+    /// How many requests each other VM has admitted since that VM started.
+    peer_totals: HashMap<u64, u64>,
 }
 
-/// What a VM tells others of a workspace.
+/// What a VM reports to other VMs about a workspace.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Told {
     /// The workspace.
     pub id: WorkspaceId,
-    /// How many of its requests the VM has let in since it started.
+    /// How many of its requests the VM has admitted since it started.
     pub total: u64,
-    /// The room that the VM sees for more.
+    /// How many more requests the VM has room for.
     pub room: f64,
 }
 
-/// Which of two VMs callers are sent to, where one tells the other.
+/// Which of two VMs are in the entry set, to which callers are sent, when one reports to the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Between {
-    /// Both: each hears all that callers are sent to.
+    /// Both. Each receives reports from the whole entry set.
     Placed,
-    /// The one that hears it, which tells the other only what it asks for.
+    /// The receiver only, which reports to the other VM only on request.
     PlacedFromStray,
-    /// The one that tells, or neither.
+    /// The reporter only, or neither.
     StrayFromPlaced,
 }
 
-/// A request that was let in.
+/// An admitted request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spent {
-    /// The room that is left.
+    /// How many more requests there is room for.
     pub room: f64,
-    /// Whether the others should be told at once.
+    /// Whether the other VMs should be told at once.
     pub is_pressed: bool,
 }
 
-/// A request that was not let in.
+/// A rejected request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Denied {
-    /// When there will be room, in milliseconds from now.
+    /// How long until there is room, in milliseconds.
     pub wait_ms: u64,
-    /// The room as known.
+    /// The room as known to this VM.
     pub room: f64,
-    /// Whether the workspace has used up its allotment for sure, or this VM its part while it hears few others.
+    /// Whether the workspace has certainly used up its allotment; otherwise this VM has used up its
+    /// own fraction while it hears few other VMs.
     pub is_certain: bool,
 }
 
 impl Allotments {
-    /// Starts with nothing known.
+    /// Creates allotments without any known usage.
     pub fn open(slack: f64) -> Allotments {
-        Allotments { slack, first_part: FIRST_PART, shares: HashMap::new() }
+        Allotments { slack, startup_fraction: STARTUP_FRACTION, usages: HashMap::new() }
     }
 
-    /// Begins without any part of a burst: all VMs were lost for the second time within a window, whose first loss had it.
+    /// Starts with empty buckets. This is for the second loss of all VMs within a window, as the
+    /// first loss already had its initial fraction of a burst.
     ///
-    /// Each loss would bring half a burst more otherwise: 1,579 requests in a window that may hold 1,307 with six VMs
-    /// killed every half second in simulated time.
+    /// Otherwise each loss would add half a burst: with six VMs killed every half second in
+    /// simulated time, a window that may hold 1,307 requests held 1,579.
     pub fn begin_empty(&mut self) {
-        self.first_part = 0.0;
-        self.shares.values_mut().for_each(|share| share.all.lower(0.0));
+        self.startup_fraction = 0.0;
+        self.usages.values_mut().for_each(|usage| usage.fleet_bucket.lower_to(0.0));
     }
 
-    /// Lets a request in if there is room for it.
+    /// Admits a request if there is room for it.
     pub fn spend(
         &mut self,
         id: WorkspaceId,
@@ -130,33 +142,40 @@
         hearing: Hearing,
         now_ms: u64,
     ) -> Result<Spent, Denied> {
-        let limit = self.limit(allotment);
-        let share = self.share(id, limit, now_ms);
-        share.used_ms = now_ms;
-        let open_part = 1.0 - hearing.unheard_part;
+        let capacity = self.capacity(allotment);
+        let usage = self.usage(id, capacity, now_ms);
+        usage.last_request_ms = now_ms;
+        let heard_fraction = 1.0 - hearing.unheard_part;
         let own_rate = allotment.rate_per_s * hearing.own_part;
-        let rate_per_s = allotment.rate_per_s * open_part;
-        let of_all = share.all.refill(rate_per_s, (limit * open_part).max(1.0), now_ms);
-        let of_own = share.alone.refill(own_rate, limit * hearing.own_part, now_ms);
+        let rate_per_s = allotment.rate_per_s * heard_fraction;
+        let fleet_tokens =
+            usage.fleet_bucket.refill(rate_per_s, (capacity * heard_fraction).max(1.0), now_ms);
+        let own_tokens = usage.own_bucket.refill(own_rate, capacity * hearing.own_part, now_ms);
         let is_certain = hearing.hears_most;
-        let room = if is_certain { of_all } else { of_own };
+        let room = if is_certain { fleet_tokens } else { own_tokens };
         if room < 1.0 {
-            let (level, rate) =
-                if is_certain { (share.all, rate_per_s) } else { (share.alone, own_rate) };
-            return Err(Denied { wait_ms: level.wait_ms(rate), room, is_certain });
+            let (bucket, rate) = if is_certain {
+                (usage.fleet_bucket, rate_per_s)
+            } else {
+                (usage.own_bucket, own_rate)
+            };
+            return Err(Denied { wait_ms: bucket.wait_ms(rate), room, is_certain });
         }
-        share.all.take(1.0);
-        share.alone.take_down_to(1.0, 0.0);
-        share.total += 1;
-        share.spent_ms = now_ms;
-        share.is_pressed = of_all < limit * PRESSED_PART;
-        Ok(Spent { room: room - 1.0, is_pressed: share.is_pressed })
+        usage.fleet_bucket.take(1.0);
+        usage.own_bucket.take_with_floor(1.0, 0.0);
+        usage.total += 1;
+        usage.last_admitted_ms = now_ms;
+        usage.is_low = fleet_tokens < capacity * LOW_FRACTION;
+        Ok(Spent { room: room - 1.0, is_pressed: usage.is_low })
     }
 
-    /// Takes in what another VM tells of a workspace with an allotment.
+    /// Applies another VM's report about a workspace with an allotment.
     ///
-    /// A VM that hears all others counts what each let in. One that callers are not sent to hears only those they
-    /// are sent to, and goes by the room that these see (`between` tells): what other such VMs let in is in it.
+    /// A VM of the entry set receives reports from all VMs and subtracts what each has admitted
+    /// since its previous report. A VM outside it (see `between`) receives reports only from the
+    /// entry set and adopts the room that those report, which already accounts for other VMs
+    /// outside the set. The first report of a VM also has no previous total to compare with, so its
+    /// room is adopted.
     pub fn hear(
         &mut self,
         reporter: u64,
@@ -165,82 +184,84 @@
         between: Between,
         now_ms: u64,
     ) {
-        let limit = self.limit(allotment);
-        let share = self.share(told.id, limit, now_ms);
-        share.all.refill(allotment.rate_per_s, limit, now_ms);
-        share.used_ms = now_ms;
-        match share.others.insert(reporter, told.total) {
+        let capacity = self.capacity(allotment);
+        let usage = self.usage(told.id, capacity, now_ms);
+        usage.fleet_bucket.refill(allotment.rate_per_s, capacity, now_ms);
+        usage.last_request_ms = now_ms;
+        match usage.peer_totals.insert(reporter, told.total) {
             Some(before) if between != Between::StrayFromPlaced => {
-                share.all.take(told.total.saturating_sub(before) as f64);
+                usage.fleet_bucket.take(told.total.saturating_sub(before) as f64);
             }
-            _ => share.all.lower(told.room),
+            _ => usage.fleet_bucket.lower_to(told.room),
         }
     }
 
-    /// Takes what the others are to be told: of pressed workspaces each request, of others once a few were let in,
-    /// and all that had requests since `since_ms` if `is_whole`.
+    /// Takes the reports that are due: on workspaces with a low bucket each request, on others once
+    /// a few requests were admitted, and if `is_whole` on all workspaces with an admitted request
+    /// since `since_ms`.
     pub fn take_due(&mut self, is_whole: bool, since_ms: u64) -> Vec<Told> {
-        let untold_limit = (self.slack * UNTOLD_PART / UNTOLD_VMS).max(1.0);
-        let due = self.shares.iter_mut().filter_map(|(id, share)| {
-            let untold = share.total - share.told;
-            let is_repeated = is_whole && share.total > 0 && share.spent_ms >= since_ms;
-            let presses = share.is_pressed && untold > 0;
-            let is_due = is_repeated || presses || untold as f64 >= untold_limit;
+        let unreported_limit = (self.slack * UNREPORTED_FRACTION / ASSUMED_VMS).max(1.0);
+        let due = self.usages.iter_mut().filter_map(|(id, usage)| {
+            let unreported = usage.total - usage.reported;
+            let is_repeat = is_whole && usage.total > 0 && usage.last_admitted_ms >= since_ms;
+            let is_low = usage.is_low && unreported > 0;
+            let is_due = is_repeat || is_low || unreported as f64 >= unreported_limit;
             if !is_due {
                 return None;
             }
-            share.told = share.total;
-            Some(share.tell(*id))
+            usage.reported = usage.total;
+            Some(usage.report(*id))
         });
         due.collect()
     }
 
-    /// All that this VM has let in, for one that has just begun to ask.
+    /// Returns reports on all known workspaces, for a VM that has just begun to ask.
     pub fn known(&self) -> Vec<Told> {
-        self.shares.iter().map(|(id, share)| share.tell(*id)).collect()
+        self.usages.iter().map(|(id, usage)| usage.report(*id)).collect()
     }
 
-    /// What this VM knows of some workspaces; against one of which it knows nothing it has nothing to say.
+    /// Returns reports on some workspaces. For one without known usage the reported room is
+    /// infinite, so that it limits nothing.
     pub fn word_on(&self, ids: &[WorkspaceId]) -> Vec<Told> {
         let nothing = |id| Told { id, total: 0, room: f64::INFINITY };
         let word = |id: &WorkspaceId| {
-            self.shares.get(id).map_or_else(|| nothing(*id), |share| share.tell(*id))
+            self.usages.get(id).map_or_else(|| nothing(*id), |usage| usage.report(*id))
         };
         ids.iter().map(word).collect()
     }
 
-    /// Forgets workspaces that have had no request for long, and what VMs told that are no longer heard of.
+    /// Drops workspaces without a recent request, and the totals of VMs that are no longer heard.
     pub fn forget(&mut self, is_heard: impl Fn(u64) -> bool, now_ms: u64) {
-        self.shares.retain(|_, share| now_ms.saturating_sub(share.used_ms) < IDLE_MS);
-        for share in self.shares.values_mut() {
-            share.others.retain(|reporter, _| is_heard(*reporter));
+        self.usages.retain(|_, usage| now_ms.saturating_sub(usage.last_request_ms) < IDLE_MS);
+        for usage in self.usages.values_mut() {
+            usage.peer_totals.retain(|reporter, _| is_heard(*reporter));
         }
     }
 
-    /// The most room that a workspace can have.
-    fn limit(&self, allotment: Allotment) -> f64 {
-        allotment.burst + self.slack * SLACK_AS_BURST
+    /// Returns the capacity of a workspace's bucket.
+    fn capacity(&self, allotment: Allotment) -> f64 {
+        allotment.burst + self.slack * SLACK_BURST_FRACTION
     }
 
-    /// What is known of a workspace.
-    fn share(&mut self, id: WorkspaceId, limit: f64, now_ms: u64) -> &mut Share {
-        let part = if now_ms < FIRST_MS { self.first_part } else { 1.0 };
-        self.shares.entry(id).or_insert_with(|| Share {
-            all: Level::open(limit * part, now_ms),
-            alone: Level::open(limit, now_ms),
+    /// Returns the usage of a workspace, which is created if unknown.
+    fn usage(&mut self, id: WorkspaceId, capacity: f64, now_ms: u64) -> &mut Usage {
+        let fraction = if now_ms < FIRST_MS { self.startup_fraction } else { 1.0 };
+        self.usages.entry(id).or_insert_with(|| Usage {
+            fleet_bucket: TokenBucket::open(capacity * fraction, now_ms),
+            own_bucket: TokenBucket::open(capacity, now_ms),
             total: 0,
-            told: 0,
-            used_ms: now_ms,
-            spent_ms: now_ms,
-            is_pressed: false,
-            others: HashMap::new(),
+            reported: 0,
+            last_request_ms: now_ms,
+            last_admitted_ms: now_ms,
+            is_low: false,
+            peer_totals: HashMap::new(),
         })
     }
 }
 
-impl Share {
-    /// What other VMs are told of it, as the workspace of an id.
-    fn tell(&self, id: WorkspaceId) -> Told {
-        Told { id, total: self.total, room: self.all.room() }
+impl Usage {
+    /// Builds the report for other VMs, under the given workspace id.
+    fn report(&self, id: WorkspaceId) -> Told {
+        Told { id, total: self.total, room: self.fleet_bucket.tokens() }
     }
 }
--- a/crates/leverstream-workspace/src/credentials.rs
+++ b/crates/leverstream-workspace/src/credentials.rs
@@ -1,22 +1,24 @@
+//! Credentials of a request: parsing of the `Authorization` header and lookup of the workspace.
+
 use displaydoc::Display;
 
-use crate::{KeyDigest, KeyHasher, WorkspaceKey, Workspaces};
+use crate::{KeyDigest, KeyHasher, WorkspaceIndex, Workspaces};
 
-/// The scheme by which keys are shown (RFC 6750); schemes are compared without regard to case.
+/// The authentication scheme (RFC 6750); schemes are compared case-insensitively.
 const SCHEME: &str = "bearer";
 
-/// What a caller showed to say whose request it is; the key itself is not kept.
+/// The credentials of a request. The key itself is not stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Credentials {
-    /// Nothing.
+    /// The request has no credentials.
     None,
-    /// One key.
+    /// The digest of the request's key.
     Key(KeyDigest),
-    /// Something that is no single key.
+    /// The header is malformed or occurs more than once.
     Malformed,
 }
 
-/// Why credentials are not accepted.
+/// Why credentials are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum Refused {
     /// no key was shown
@@ -28,7 +30,8 @@
 }
 
 impl Credentials {
-    /// Reads the values of the header field; more than one is as good as none, as it would be a guess which counts.
+    /// Parses the values of the `Authorization` header. More than one value is malformed, as it
+    /// would be ambiguous which one counts.
     pub fn read<'a>(values: impl IntoIterator<Item = &'a [u8]>, hasher: &KeyHasher) -> Credentials {
         let mut values = values.into_iter();
         let (first, second) = (values.next(), values.next());
@@ -36,14 +39,14 @@
             (None, _) => Credentials::None,
             (Some(value), None) => {
                 let digest = |key| Credentials::Key(hasher.digest(key));
-                key_of(value).map_or(Credentials::Malformed, digest)
+                parse_key(value).map_or(Credentials::Malformed, digest)
             }
             (Some(_), Some(_)) => Credentials::Malformed,
         }
     }
 
-    /// The workspace whose key was shown.
-    pub fn workspace(self, workspaces: &Workspaces) -> Result<WorkspaceKey, Refused> {
+    /// Finds the workspace that owns the key.
+    pub fn workspace(self, workspaces: &Workspaces) -> Result<WorkspaceIndex, Refused> {
         match self {
             Credentials::None => Err(Refused::Missing),
             Credentials::Malformed => Err(Refused::Malformed),
@@ -52,8 +55,8 @@
     }
 }
 
-/// The key in a value of the form `Bearer KEY`.
-fn key_of(value: &[u8]) -> Option<&[u8]> {
+/// Extracts the key from a value of the form `Bearer KEY`.
+fn parse_key(value: &[u8]) -> Option<&[u8]> {
     let text = std::str::from_utf8(value).ok()?.trim();
     let (scheme, key) = text.split_once(' ')?;
     let key = key.trim_start_matches(' ');
--- a/crates/leverstream-workspace/src/digest.rs
+++ b/crates/leverstream-workspace/src/digest.rs
@@ -1,17 +1,21 @@
+//! Keyed digests of API keys.
+
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// What keys are digested for, so that no other use of the secret yields the same digests.
+/// The key derivation context, which keeps digests distinct from any other use of the fleet's
+/// secret.
 const KEY_CONTEXT: &str = "leverstream 2026-12-02 workspace keys";
 
-/// The length of a digest in bytes: among a million keys, two are alike by chance once in 10^26.
+/// The length of a digest in bytes. Among a million keys, the chance that two digests collide is
+/// about 1 in 10^26.
 const DIGEST_BYTES: usize = 16;
 
-/// Turns keys into digests, the same on all VMs of a fleet.
+/// Computes digests of API keys; all VMs of a fleet compute the same ones.
 #[derive(Clone)]
 pub struct KeyHasher {
-    /// Derived from the fleet's secret.
+    /// The key of the hash, derived from the fleet's secret.
     secret: [u8; 32],
 }
 
@@ -21,7 +25,7 @@
         KeyHasher { secret: blake3::derive_key(KEY_CONTEXT, secret.as_bytes()) }
     }
 
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn digest(&self, key: &[u8]) -> KeyDigest {
         let hash = blake3::keyed_hash(&self.secret, key);
         let mut digest = [0; DIGEST_BYTES];
@@ -30,7 +34,7 @@
     }
 }
 
-/// What a key is known by; the key cannot be had back from it.
+/// The digest by which a key is known; the key can't be recovered from it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
--- a/crates/leverstream-workspace/src/hearing.rs
+++ b/crates/leverstream-workspace/src/hearing.rs
@@ -1,27 +1,32 @@
-/// The part of each allotment that belongs to the VMs that callers are sent to; the others, which get strays, share
-/// the rest.
-const PLACED_PART: f64 = 0.85;
+//! How an allotment is divided among VMs that do not receive each other's reports.
 
-/// The most of each allotment that is kept free for VMs that are not heard.
-const UNHEARD_LIMIT: f64 = 0.75;
+/// The fraction of each allotment that belongs to the entry set, the VMs to which callers are sent.
+/// The other VMs, which get only stray requests, share the rest.
+const PLACED_FRACTION: f64 = 0.85;
 
-/// How much a VM hears of those that share the traffic.
+/// The maximum fraction of each allotment that is kept free for VMs that are not heard.
+const MAX_UNHEARD_FRACTION: f64 = 0.75;
+
+/// How much of the fleet one VM hears, meaning that it receives recent reports, and the fractions
+/// of each allotment that follow from it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Hearing {
-    /// This VM's part of each allotment if it hears few others.
+    /// The fraction of each allotment that this VM may use if it hears few other VMs.
     pub own_part: f64,
-    /// The part of those that it does not hear.
+    /// The fraction that belongs to the VMs that it does not hear.
     pub unheard_part: f64,
-    /// Whether it hears more than half of those that share the traffic.
+    /// Whether it hears more than half of the entry set.
     pub hears_most: bool,
 }
 
 impl Hearing {
-    /// Works out the parts, given the VMs that callers are sent to, which of the others are heard, how many VMs there
-    /// are in all, and how many were heard a short while ago and are held for dead now.
+    /// Computes the fractions. `placed` is the entry set, `is_heard` tells which other VMs are
+    /// heard, `members` is the number of all VMs, and `dead` is the number of VMs that were heard
+    /// recently and are now held for dead.
     ///
-    /// The parts of all VMs add up to the whole, whoever hears whom: two halves of a fleet that is cut in two let in
-    /// no more together than the whole did. A majority may use what no unheard VM can; there is only one.
+    /// The fractions of all VMs add up to one, whoever hears whom: the two sides of a network
+    /// partition together admit no more than the whole fleet did. A majority may use what no
+    /// unheard VM can use, as there is only one majority.
     pub fn of(
         me: u64,
         placed: &[u64],
@@ -30,21 +35,22 @@
         dead: usize,
     ) -> Hearing {
         let places = placed.len().max(1);
-        let place_part = PLACED_PART / places as f64;
+        let place_fraction = PLACED_FRACTION / places as f64;
         let is_placed = placed.contains(&me);
         let strays = members.saturating_sub(places).max(1);
-        let own_part = if is_placed { place_part } else { (1.0 - PLACED_PART) / strays as f64 };
+        let own_part =
+            if is_placed { place_fraction } else { (1.0 - PLACED_FRACTION) / strays as f64 };
         let unheard = placed.iter().filter(|id| **id != me && !is_heard(**id)).count();
         let heard = places.saturating_sub(unheard);
         Hearing {
             own_part,
-            unheard_part: (place_part * (unheard + dead) as f64).min(UNHEARD_LIMIT),
+            unheard_part: (place_fraction * (unheard + dead) as f64).min(MAX_UNHEARD_FRACTION),
             hears_most: heard * 2 > places && (is_placed || heard > 0),
         }
     }
 
-    /// The hearing of the only VM of a fleet.
+    /// Returns the value for the only VM of a fleet.
     pub fn alone() -> Hearing {
-        Hearing { own_part: PLACED_PART, unheard_part: 0.0, hears_most: true }
+        Hearing { own_part: PLACED_FRACTION, unheard_part: 0.0, hears_most: true }
     }
 }
--- a/crates/leverstream-workspace/src/lib.rs
+++ b/crates/leverstream-workspace/src/lib.rs
@@ -1,15 +1,16 @@
-//! Whose request it is: workspaces and their keys, how long knowledge of them may be trusted, and how much each may
-//! send.
+//! Workspaces: their API keys, how long knowledge of keys stays valid, and how many requests each
+//! may send.
 //!
-//! Nothing here does I/O. A gateway asks three questions once a request, between its route and the queue: whose key
-//! is it ([`Workspaces`]), may that still be believed ([`Lease`]), and is there room ([`Allotments`])?
+//! This crate does no I/O. For every request a gateway checks, between routing and queueing: which
+//! workspace owns the key ([`Workspaces`]), whether the known keys are recent enough ([`Lease`]),
+//! and whether the workspace's allotment has room ([`Allotments`]).
 
 mod allotment;
 mod credentials;
 mod digest;
 mod hearing;
 mod lease;
-mod level;
+mod token_bucket;
 mod workspaces;
 
 pub use allotment::{Allotments, Between, Denied, FIRST_MS, Spent, Told};
@@ -17,4 +18,6 @@
 pub use digest::{KeyDigest, KeyHasher};
 pub use hearing::Hearing;
 pub use lease::Lease;
-pub use workspaces::{Allotment, Workspace, WorkspaceError, WorkspaceId, WorkspaceKey, Workspaces};
+pub use workspaces::{
+    Allotment, Workspace, WorkspaceError, WorkspaceId, WorkspaceIndex, Workspaces,
+};
--- a/crates/leverstream-workspace/src/workspaces.rs
+++ b/crates/leverstream-workspace/src/workspaces.rs
@@ -1,3 +1,5 @@
+//! The workspaces of a configuration.
+
 use std::collections::HashMap;
 
 use displaydoc::Display;
@@ -6,26 +8,26 @@
 
 use crate::KeyDigest;
 
-/// The workspaces of a configuration, found by key.
+/// The workspaces of a configuration, indexed by key and by id.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(into = "Vec<Workspace>", try_from = "Vec<Workspace>")]
 pub struct Workspaces {
-    /// The workspaces.
+    /// All workspaces, in the order of the configuration.
     list: Vec<Workspace>,
-    /// Where each key's workspace is in the list.
-    by_key: HashMap<KeyDigest, WorkspaceKey>,
-    /// Where the workspace of each id is in the list.
-    by_id: HashMap<WorkspaceId, WorkspaceKey>,
+    /// The index of the workspace that owns each key.
+    by_key: HashMap<KeyDigest, WorkspaceIndex>,
+    /// The index of the workspace with each id.
+    by_id: HashMap<WorkspaceId, WorkspaceIndex>,
 }
 
-/// The callers who share keys, a rank and an allotment.
+/// A group of callers that share keys, a rank and an allotment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// The name by which backend servers know it.
+    /// The name under which backend servers know it.
     pub name: String,
-    /// The rank of its requests among those that wait, before that of their route; 0 goes first.
+    /// The queueing rank of its requests, compared before that of their route; 0 goes first.
     pub rank: u32,
-    /// How much it may send, if that is bounded.
+    /// The limit on its requests; `None` if unlimited.
     pub allotment: Option<Allotment>,
     /// The digests of its keys.
     pub keys: Vec<KeyDigest>,
@@ -34,37 +36,38 @@
 /// How many requests a workspace may send through all VMs together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Allotment {
-    /// Requests a second.
+    /// The sustained rate in requests per second.
     pub rate_per_s: f64,
-    /// Requests at once besides.
+    /// The number of requests that may exceed the rate at once.
     pub burst: f64,
 }
 
-/// A workspace's place in the [`Workspaces`] of one version.
+/// The index of a workspace in the [`Workspaces`] of one configuration version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct WorkspaceKey(u32);
+pub struct WorkspaceIndex(u32);
 
-/// What a workspace is known by across versions and VMs: a hash of its name.
+/// The id of a workspace across versions and VMs: a hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WorkspaceId(pub u64);
 
-/// Why workspaces cannot be used.
+/// Why a list of workspaces is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum WorkspaceError {
     /// workspace {0}: it has no name
     NoName(usize),
     /// workspace `{0}`: the name stands twice; give each workspace its own
     NameTwice(String),
-    /// workspace `{0}`: one of its keys stands twice, here or at another workspace
+    /// workspace `{0}`: one of its keys is used twice, by this or another workspace
     KeyTwice(String),
-    /// workspace `{0}`: its rate or burst is below zero or no number
+    /// workspace `{0}`: its rate or burst is negative or not finite
     BadAllotment(String),
 }
 
 impl std::error::Error for WorkspaceError {}
 
 impl Workspaces {
-    /// Indexes workspaces, refusing those whose requests could not be told apart.
+    /// Indexes workspaces and rejects lists in which a request's workspace would be ambiguous or an
+    /// allotment is invalid.
     pub fn build(list: Vec<Workspace>) -> Result<Workspaces, WorkspaceError> {
         let mut by_key = HashMap::new();
         let mut by_id = HashMap::new();
@@ -73,15 +76,15 @@
             if workspace.name.trim().is_empty() {
                 return Err(WorkspaceError::NoName(index));
             }
-            let place = WorkspaceKey(index as u32);
-            if by_id.insert(workspace.id(), place).is_some() {
+            let workspace_index = WorkspaceIndex(index as u32);
+            if by_id.insert(workspace.id(), workspace_index).is_some() {
                 return Err(WorkspaceError::NameTwice(name()));
             }
-            if !workspace.allotment.is_none_or(Allotment::is_sound) {
+            if !workspace.allotment.is_none_or(Allotment::is_valid) {
                 return Err(WorkspaceError::BadAllotment(name()));
             }
             for key in &workspace.keys {
-                if by_key.insert(*key, place).is_some() {
+                if by_key.insert(*key, workspace_index).is_some() {
                     return Err(WorkspaceError::KeyTwice(name()));
                 }
             }
@@ -89,38 +92,38 @@
         Ok(Workspaces { list, by_key, by_id })
     }
 
-    /// The workspace that holds a key.
-    pub fn find(&self, key: &KeyDigest) -> Option<WorkspaceKey> {
+    /// Finds the workspace that owns a key.
+    pub fn find(&self, key: &KeyDigest) -> Option<WorkspaceIndex> {
         self.by_key.get(key).copied()
     }
 
-    /// The workspace of an id.
+    /// Returns the workspace with this id.
     pub fn by_id(&self, id: WorkspaceId) -> Option<&Workspace> {
-        self.by_id.get(&id).map(|key| self.get(*key))
+        self.by_id.get(&id).map(|index| self.get(*index))
     }
 
-    /// A workspace by its place.
-    pub fn get(&self, key: WorkspaceKey) -> &Workspace {
-        &self.list[key.0 as usize]
+    /// Returns the workspace at an index.
+    pub fn get(&self, index: WorkspaceIndex) -> &Workspace {
+        &self.list[index.0 as usize]
     }
 
-    /// All workspaces.
+    /// Returns all workspaces.
     pub fn iter(&self) -> impl Iterator<Item = &Workspace> {
         self.list.iter()
     }
 }
 
 impl Workspace {
-    /// What it is known by across versions and VMs.
+    /// Returns its id across versions and VMs.
     pub fn id(&self) -> WorkspaceId {
         WorkspaceId(xxh3_64(self.name.as_bytes()))
     }
 }
 
 impl Allotment {
-    /// Tells whether both figures can be counted with.
-    fn is_sound(self) -> bool {
-        [self.rate_per_s, self.burst].iter().all(|figure| figure.is_finite() && *figure >= 0.0)
+    /// Returns whether rate and burst are finite and not negative.
+    fn is_valid(self) -> bool {
+        [self.rate_per_s, self.burst].iter().all(|number| number.is_finite() && *number >= 0.0)
     }
 }
 
