--- a/crates/leverstream-gateway/src/admission.rs
+++ b/crates/leverstream-gateway/src/admission.rs
@@ -10,7 +10,8 @@
 use leverstream_peer::packet::Body;
 use leverstream_peer::{self as peer, Packet, WorkspaceTally};
 use leverstream_workspace::{
-    Allotment, Allotments, Between, Denied, FIRST_MS, Hearing, Spent, Told, WorkspaceId, Workspaces,
+    Allotment, Allotments, Between, Denied, FIRST_MS, Hearing, Spent, UsageReport, WorkspaceId,
+    Workspaces,
 };
 use tokio::sync::Notify;
 
@@ -169,8 +170,8 @@
             let Some(allotment) = workspace.and_then(|workspace| workspace.allotment) else {
                 continue;
             };
-            let told_of = Told { id, total: tally.total, room: tally.room.into() };
-            allotments.hear(told.reporter, told_of, allotment, between, now_ms);
+            let told_of = UsageReport { id, total: tally.total, room: tally.room.into() };
+            allotments.apply_report(told.reporter, told_of, allotment, between, now_ms);
         }
         if !told.asks {
             return;
@@ -200,13 +201,13 @@
     /// Those that share the traffic hear each other also where there is nothing to tell. The others, which get a request now
     /// and then, tell what they let in and hear answers: where each of 300 such VMs told 24 and heard them for 3 s after a
     /// request, that was 80 % of all bytes between VMs, and with answers alone 3 %.
-    fn take_due(&self, asked: &[WorkspaceId], is_repeat: bool, now_ms: u64) -> Vec<Told> {
+    fn take_due(&self, asked: &[WorkspaceId], is_repeat: bool, now_ms: u64) -> Vec<UsageReport> {
         let since_ms = now_ms.saturating_sub(BEAT_MS * BEATS_A_REPEAT);
         let mut allotments = self.allotments.borrow_mut();
-        let mut due = allotments.take_due(is_repeat, since_ms);
+        let mut due = allotments.take_due_reports(is_repeat, since_ms);
         let is_named = |id: &WorkspaceId| due.iter().any(|told| told.id == *id);
         let unnamed: Vec<WorkspaceId> = asked.iter().copied().filter(|id| !is_named(id)).collect();
-        due.extend(allotments.word_on(&unnamed));
+        due.extend(allotments.reports_on(&unnamed));
         due
     }
 }
@@ -273,16 +274,16 @@
         let allotments = self.admission.allotments.borrow();
         for (from, asked) in askers {
             let told = match asked {
-                Asked::All => allotments.known(),
-                Asked::Some(ids) => allotments.word_on(ids),
+                Asked::All => allotments.all_reports(),
+                Asked::Some(ids) => allotments.reports_on(ids),
             };
             self.tell(&told, false, &[*from]);
         }
     }
 
     /// Tells some VMs of workspaces, also that there is nothing to tell.
-    fn tell(&self, due: &[Told], asks: bool, to: &[SocketAddr]) {
-        let tally = |told: &Told| WorkspaceTally {
+    fn tell(&self, due: &[UsageReport], asks: bool, to: &[SocketAddr]) {
+        let tally = |told: &UsageReport| WorkspaceTally {
             id: told.id.0,
             total: told.total,
             room: told.room as i32,
--- a/crates/leverstream-workspace/src/allotment.rs
+++ b/crates/leverstream-workspace/src/allotment.rs
@@ -77,7 +77,7 @@
 
 /// What a VM reports to other VMs about a workspace.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Told {
+pub struct UsageReport {
     /// The workspace.
     pub id: WorkspaceId,
     /// How many of its requests the VM has admitted since it started.
@@ -176,30 +176,30 @@
     /// entry set and adopts the room that those report, which already accounts for other VMs
     /// outside the set. The first report of a VM also has no previous total to compare with, so its
     /// room is adopted.
-    pub fn hear(
+    pub fn apply_report(
         &mut self,
         reporter: u64,
-        told: Told,
+        report: UsageReport,
         allotment: Allotment,
         between: Between,
         now_ms: u64,
     ) {
         let capacity = self.capacity(allotment);
-        let usage = self.usage(told.id, capacity, now_ms);
+        let usage = self.usage(report.id, capacity, now_ms);
         usage.fleet_bucket.refill(allotment.rate_per_s, capacity, now_ms);
         usage.last_request_ms = now_ms;
-        match usage.peer_totals.insert(reporter, told.total) {
+        match usage.peer_totals.insert(reporter, report.total) {
             Some(before) if between != Between::StrayFromPlaced => {
-                usage.fleet_bucket.take(told.total.saturating_sub(before) as f64);
+                usage.fleet_bucket.take(report.total.saturating_sub(before) as f64);
             }
-            _ => usage.fleet_bucket.lower_to(told.room),
+            _ => usage.fleet_bucket.lower_to(report.room),
         }
     }
 
     /// Takes the reports that are due: on workspaces with a low bucket each request, on others once
     /// a few requests were admitted, and if `is_whole` on all workspaces with an admitted request
     /// since `since_ms`.
-    pub fn take_due(&mut self, is_whole: bool, since_ms: u64) -> Vec<Told> {
+    pub fn take_due_reports(&mut self, is_whole: bool, since_ms: u64) -> Vec<UsageReport> {
         let unreported_limit = (self.slack * UNREPORTED_FRACTION / ASSUMED_VMS).max(1.0);
         let due = self.usages.iter_mut().filter_map(|(id, usage)| {
             let unreported = usage.total - usage.reported;
@@ -216,18 +216,18 @@
     }
 
     /// Returns reports on all known workspaces, for a VM that has just begun to ask.
-    pub fn known(&self) -> Vec<Told> {
+    pub fn all_reports(&self) -> Vec<UsageReport> {
         self.usages.iter().map(|(id, usage)| usage.report(*id)).collect()
     }
 
     /// Returns reports on some workspaces. For one without known usage the reported room is
     /// infinite, so that it limits nothing.
-    pub fn word_on(&self, ids: &[WorkspaceId]) -> Vec<Told> {
-        let nothing = |id| Told { id, total: 0, room: f64::INFINITY };
-        let word = |id: &WorkspaceId| {
-            self.usages.get(id).map_or_else(|| nothing(*id), |usage| usage.report(*id))
+    pub fn reports_on(&self, ids: &[WorkspaceId]) -> Vec<UsageReport> {
+        let no_usage = |id| UsageReport { id, total: 0, room: f64::INFINITY };
+        let report_on = |id: &WorkspaceId| {
+            self.usages.get(id).map_or_else(|| no_usage(*id), |usage| usage.report(*id))
         };
-        ids.iter().map(word).collect()
+        ids.iter().map(report_on).collect()
     }
 
     /// Drops workspaces without a recent request, and the totals of VMs that are no longer heard.
@@ -261,7 +261,7 @@
 
 impl Usage {
     /// Builds the report for other VMs, under the given workspace id.
-    fn report(&self, id: WorkspaceId) -> Told {
-        Told { id, total: self.total, room: self.fleet_bucket.tokens() }
+    fn report(&self, id: WorkspaceId) -> UsageReport {
+        UsageReport { id, total: self.total, room: self.fleet_bucket.tokens() }
     }
 }
--- a/crates/leverstream-workspace/tests/allotments.rs
+++ b/crates/leverstream-workspace/tests/allotments.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use leverstream_workspace::{Allotment, Allotments, Between, Hearing, Told, WorkspaceId};
+use leverstream_workspace::{Allotment, Allotments, Between, Hearing, UsageReport, WorkspaceId};
 use proptest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -133,7 +133,7 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let mut vms: Vec<Vm> = (0..day.rates_per_s.len()).map(|index| vm(index as u64, 0)).collect();
     // Who is told what, when it arrives, and the time at which it was sent.
-    let mut wire: Vec<(u64, usize, u64, Vec<Told>)> = Vec::new();
+    let mut wire: Vec<(u64, usize, u64, Vec<UsageReport>)> = Vec::new();
     let mut outcome = Outcome { let_in_ms: Vec::new(), refused: 0 };
     let mut next_id = vms.len() as u64;
     // What the store holds for each VM.
@@ -212,7 +212,7 @@
 }
 
 /// What a VM tells the others by now, if anything.
-fn tell(vm: &mut Vm, now_ms: u64) -> Option<Vec<Told>> {
+fn tell(vm: &mut Vm, now_ms: u64) -> Option<Vec<UsageReport>> {
     let is_beat = now_ms - vm.told_ms >= BEAT_MS;
     let presses = vm.pressing_ms.is_some_and(|at_ms| now_ms - at_ms >= GATHER_MS);
     if !is_beat && !presses {
@@ -222,17 +222,17 @@
     vm.pressing_ms = None;
     vm.beats += 1;
     let since_ms = (now_ms - vm.started_ms).saturating_sub(1_000);
-    Some(vm.allotments.take_due(vm.beats.is_multiple_of(5), since_ms))
+    Some(vm.allotments.take_due_reports(vm.beats.is_multiple_of(5), since_ms))
 }
 
 /// Hands over what has arrived; what a frozen VM is told waits.
 fn deliver(
     vms: &mut [Vm],
-    wire: &mut Vec<(u64, usize, u64, Vec<Told>)>,
+    wire: &mut Vec<(u64, usize, u64, Vec<UsageReport>)>,
     allotment: Allotment,
     now_ms: u64,
 ) {
-    let arrives = |entry: &(u64, usize, u64, Vec<Told>)| {
+    let arrives = |entry: &(u64, usize, u64, Vec<UsageReport>)| {
         entry.0 <= now_ms && vms[entry.1].frozen_until_ms <= now_ms
     };
     let (due, later): (Vec<_>, Vec<_>) = std::mem::take(wire).into_iter().partition(arrives);
@@ -242,7 +242,7 @@
         vm.heard.insert(from, now_ms);
         let own_ms = now_ms - vm.started_ms;
         for told in told {
-            vm.allotments.hear(from, told, allotment, Between::Placed, own_ms);
+            vm.allotments.apply_report(from, told, allotment, Between::Placed, own_ms);
         }
     }
 }
@@ -357,16 +357,16 @@
 fn a_vm_that_was_forgotten_is_gone_by_for_the_room_it_sees_when_it_is_heard_again() {
     let allotment = Allotment { rate_per_s: 10.0, burst: 10.0 };
     let mut allotments = Allotments::open(SLACK);
-    let told = |total: u64, room: f64| Told { id: WORKSPACE, total, room };
+    let told = |total: u64, room: f64| UsageReport { id: WORKSPACE, total, room };
     let room = |allotments: &mut Allotments, now_ms: u64| {
         allotments.spend(WORKSPACE, allotment, Hearing::alone(), now_ms).map(|spent| spent.room)
     };
-    allotments.hear(1, told(1_000, 20.0), allotment, Between::Placed, 10_000);
+    allotments.apply_report(1, told(1_000, 20.0), allotment, Between::Placed, 10_000);
     allotments.forget(|_| false, 40_000);
     // What it let in over half a minute was let in long ago.
-    allotments.hear(1, told(1_300, 18.0), allotment, Between::Placed, 40_000);
+    allotments.apply_report(1, told(1_300, 18.0), allotment, Between::Placed, 40_000);
     assert_eq!(room(&mut allotments, 40_000), Ok(17.0));
-    allotments.hear(1, told(1_305, 5.0), allotment, Between::Placed, 40_000);
+    allotments.apply_report(1, told(1_305, 5.0), allotment, Between::Placed, 40_000);
     assert_eq!(room(&mut allotments, 40_000), Ok(11.0));
 }
 
