--- a/crates/leverstream-gateway/src/admission.rs
+++ b/crates/leverstream-gateway/src/admission.rs
@@ -10,8 +10,8 @@
 use leverstream_peer::packet::Body;
 use leverstream_peer::{self as peer, Packet, WorkspaceTally};
 use leverstream_workspace::{
-    Allotment, Allotments, Between, Denied, FIRST_MS, Hearing, Spent, UsageReport, WorkspaceId,
-    Workspaces,
+    Allotment, Allotments, Denied, EntryMembership, FIRST_MS, Hearing, Spent, UsageReport,
+    WorkspaceId, Workspaces,
 };
 use tokio::sync::Notify;
 
@@ -159,7 +159,7 @@
         from: SocketAddr,
         told: &peer::Allotments,
         workspaces: Option<&Workspaces>,
-        between: Between,
+        between: EntryMembership,
         now_ms: u64,
     ) {
         self.heard.borrow_mut().insert(told.reporter, (now_ms, told.is_elder));
@@ -179,7 +179,7 @@
         let ids: Vec<WorkspaceId> =
             told.workspaces.iter().map(|tally| WorkspaceId(tally.id)).collect();
         // One that shares the traffic and asks has just begun to, or heard nobody for a while.
-        let wants_all = between == Between::Placed || ids.is_empty();
+        let wants_all = between == EntryMembership::Both || ids.is_empty();
         let asked = if wants_all { Asked::All } else { Asked::Some(ids) };
         self.askers.borrow_mut().push((from, asked));
         self.pressing.notify_one();
--- a/crates/leverstream-gateway/src/mesh.rs
+++ b/crates/leverstream-gateway/src/mesh.rs
@@ -13,7 +13,7 @@
 };
 use leverstream_peer::packet::Body;
 use leverstream_peer::{FleetKey, PACKET_LIMIT_BYTES, Packet};
-use leverstream_workspace::Between;
+use leverstream_workspace::EntryMembership;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use tokio::net::UdpSocket;
@@ -222,12 +222,12 @@
     }
 
     /// Whether callers are sent to this VM and to another that tells it something.
-    fn between(&self, teller: u64) -> Between {
+    fn between(&self, teller: u64) -> EntryMembership {
         let is_placed = |id| self.sharing.entry().iter().any(|member| member.identity.id == id);
         match (self.takes_callers(), is_placed(teller)) {
-            (true, true) => Between::Placed,
-            (true, false) => Between::PlacedFromStray,
-            (false, _) => Between::StrayFromPlaced,
+            (true, true) => EntryMembership::Both,
+            (true, false) => EntryMembership::ReceiverOnly,
+            (false, _) => EntryMembership::ReceiverOutside,
         }
     }
 
--- a/crates/leverstream-workspace/src/allotment.rs
+++ b/crates/leverstream-workspace/src/allotment.rs
@@ -88,13 +88,13 @@
 
 /// Which of two VMs are in the entry set, to which callers are sent, when one reports to the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Between {
+pub enum EntryMembership {
     /// Both. Each receives reports from the whole entry set.
-    Placed,
+    Both,
     /// The receiver only, which reports to the other VM only on request.
-    PlacedFromStray,
+    ReceiverOnly,
     /// The reporter only, or neither.
-    StrayFromPlaced,
+    ReceiverOutside,
 }
 
 /// An admitted request.
@@ -172,7 +172,7 @@
     /// Applies another VM's report about a workspace with an allotment.
     ///
     /// A VM of the entry set receives reports from all VMs and subtracts what each has admitted
-    /// since its previous report. A VM outside it (see `between`) receives reports only from the
+    /// since its previous report. A VM outside it (see `membership`) receives reports only from the
     /// entry set and adopts the room that those report, which already accounts for other VMs
     /// outside the set. The first report of a VM also has no previous total to compare with, so its
     /// room is adopted.
@@ -181,7 +181,7 @@
         reporter: u64,
         report: UsageReport,
         allotment: Allotment,
-        between: Between,
+        membership: EntryMembership,
         now_ms: u64,
     ) {
         let capacity = self.capacity(allotment);
@@ -189,7 +189,7 @@
         usage.fleet_bucket.refill(allotment.rate_per_s, capacity, now_ms);
         usage.last_request_ms = now_ms;
         match usage.peer_totals.insert(reporter, report.total) {
-            Some(before) if between != Between::StrayFromPlaced => {
+            Some(before) if membership != EntryMembership::ReceiverOutside => {
                 usage.fleet_bucket.take(report.total.saturating_sub(before) as f64);
             }
             _ => usage.fleet_bucket.lower_to(report.room),
--- a/crates/leverstream-workspace/src/lib.rs
+++ b/crates/leverstream-workspace/src/lib.rs
@@ -13,7 +13,7 @@
 mod token_bucket;
 mod workspaces;
 
-pub use allotment::{Allotments, Between, Denied, FIRST_MS, Spent, UsageReport};
+pub use allotment::{Allotments, Denied, EntryMembership, FIRST_MS, Spent, UsageReport};
 pub use credentials::{Credentials, Refused};
 pub use digest::{KeyDigest, KeyHasher};
 pub use hearing::Hearing;
--- a/crates/leverstream-workspace/tests/allotments.rs
+++ b/crates/leverstream-workspace/tests/allotments.rs
@@ -6,7 +6,9 @@
 
 use std::collections::HashMap;
 
-use leverstream_workspace::{Allotment, Allotments, Between, Hearing, UsageReport, WorkspaceId};
+use leverstream_workspace::{
+    Allotment, Allotments, EntryMembership, Hearing, UsageReport, WorkspaceId,
+};
 use proptest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -242,7 +244,7 @@
         vm.heard.insert(from, now_ms);
         let own_ms = now_ms - vm.started_ms;
         for told in told {
-            vm.allotments.apply_report(from, told, allotment, Between::Placed, own_ms);
+            vm.allotments.apply_report(from, told, allotment, EntryMembership::Both, own_ms);
         }
     }
 }
@@ -361,12 +363,12 @@
     let room = |allotments: &mut Allotments, now_ms: u64| {
         allotments.spend(WORKSPACE, allotment, Hearing::alone(), now_ms).map(|spent| spent.room)
     };
-    allotments.apply_report(1, told(1_000, 20.0), allotment, Between::Placed, 10_000);
+    allotments.apply_report(1, told(1_000, 20.0), allotment, EntryMembership::Both, 10_000);
     allotments.forget(|_| false, 40_000);
     // What it let in over half a minute was let in long ago.
-    allotments.apply_report(1, told(1_300, 18.0), allotment, Between::Placed, 40_000);
+    allotments.apply_report(1, told(1_300, 18.0), allotment, EntryMembership::Both, 40_000);
     assert_eq!(room(&mut allotments, 40_000), Ok(17.0));
-    allotments.apply_report(1, told(1_305, 5.0), allotment, Between::Placed, 40_000);
+    allotments.apply_report(1, told(1_305, 5.0), allotment, EntryMembership::Both, 40_000);
     assert_eq!(room(&mut allotments, 40_000), Ok(11.0));
 }
 
