--- a/crates/leverstream-gateway/src/admission.rs
+++ b/crates/leverstream-gateway/src/admission.rs
@@ -10,7 +10,7 @@
 use leverstream_peer::packet::Body;
 use leverstream_peer::{self as peer, Packet, WorkspaceTally};
 use leverstream_workspace::{
-    Allotment, Allotments, Denied, EntryMembership, FIRST_MS, Hearing, Spent, UsageReport,
+    Allotment, Allotments, Denied, EntryMembership, FIRST_MS, PeerVisibility, Spent, UsageReport,
     WorkspaceId, Workspaces,
 };
 use tokio::sync::Notify;
@@ -186,14 +186,14 @@
     }
 
     /// How much this VM hears of the others.
-    fn hearing(&self, mesh: &Mesh, now_ms: u64) -> Hearing {
+    fn hearing(&self, mesh: &Mesh, now_ms: u64) -> PeerVisibility {
         let heard = self.heard.borrow();
         let is_heard = |id: u64| heard.get(&id).is_some_and(|(at_ms, _)| is_fresh(*at_ms, now_ms));
         let placed: Vec<u64> =
             mesh.sharing.entry().iter().map(|member| member.identity.id).collect();
         let is_gone = |id: &u64| !placed.contains(id) && !is_heard(*id) && mesh.is_dead(*id);
         let dead = heard.keys().filter(|id| is_gone(id)).count();
-        Hearing::of(mesh.id(), &placed, is_heard, mesh.member_count(), dead)
+        PeerVisibility::of(mesh.id(), &placed, is_heard, mesh.member_count(), dead)
     }
 
     /// What others are to be told by now, with what they are asked of.
--- a/crates/leverstream-workspace/src/allotment.rs
+++ b/crates/leverstream-workspace/src/allotment.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use crate::token_bucket::TokenBucket;
-use crate::{Allotment, Hearing, WorkspaceId};
+use crate::{Allotment, PeerVisibility, WorkspaceId};
 
 /// The fraction of the slack that is added to the burst. The rest covers what VMs admit before they
 /// receive each other's reports.
@@ -43,7 +43,7 @@
 /// reports takes the bucket below zero. This debt is paid back before more is admitted, so that the
 /// excess does not accumulate. A VM that hears half or less of the VMs that share the traffic
 /// admits no more than its own fraction, and the other VMs keep such fractions free (see
-/// [`Hearing`]).
+/// [`PeerVisibility`]).
 #[derive(Clone, Debug)]
 pub struct Allotments {
     /// How many requests per window may exceed rate and burst by mistake.
@@ -139,19 +139,20 @@
         &mut self,
         id: WorkspaceId,
         allotment: Allotment,
-        hearing: Hearing,
+        visibility: PeerVisibility,
         now_ms: u64,
     ) -> Result<Spent, Denied> {
         let capacity = self.capacity(allotment);
         let usage = self.usage(id, capacity, now_ms);
         usage.last_request_ms = now_ms;
-        let heard_fraction = 1.0 - hearing.unheard_part;
-        let own_rate = allotment.rate_per_s * hearing.own_part;
+        let heard_fraction = 1.0 - visibility.unheard_fraction;
+        let own_rate = allotment.rate_per_s * visibility.own_fraction;
         let rate_per_s = allotment.rate_per_s * heard_fraction;
         let fleet_tokens =
             usage.fleet_bucket.refill(rate_per_s, (capacity * heard_fraction).max(1.0), now_ms);
-        let own_tokens = usage.own_bucket.refill(own_rate, capacity * hearing.own_part, now_ms);
-        let is_certain = hearing.hears_most;
+        let own_tokens =
+            usage.own_bucket.refill(own_rate, capacity * visibility.own_fraction, now_ms);
+        let is_certain = visibility.hears_most;
         let room = if is_certain { fleet_tokens } else { own_tokens };
         if room < 1.0 {
             let (bucket, rate) = if is_certain {
--- a/crates/leverstream-workspace/src/lib.rs
+++ b/crates/leverstream-workspace/src/lib.rs
@@ -8,16 +8,16 @@
 mod allotment;
 mod credentials;
 mod digest;
-mod hearing;
 mod lease;
+mod peer_visibility;
 mod token_bucket;
 mod workspaces;
 
 pub use allotment::{Allotments, Denied, EntryMembership, FIRST_MS, Spent, UsageReport};
 pub use credentials::{Credentials, Refused};
 pub use digest::{KeyDigest, KeyHasher};
-pub use hearing::Hearing;
 pub use lease::Lease;
+pub use peer_visibility::PeerVisibility;
 pub use workspaces::{
     Allotment, Workspace, WorkspaceError, WorkspaceId, WorkspaceIndex, Workspaces,
 };
--- a/crates/leverstream-workspace/src/hearing.rs
+++ b/crates/leverstream-workspace/src/peer_visibility.rs
@@ -10,16 +10,16 @@
 /// How much of the fleet one VM hears, meaning that it receives recent reports, and the fractions
 /// of each allotment that follow from it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Hearing {
+pub struct PeerVisibility {
     /// The fraction of each allotment that this VM may use if it hears few other VMs.
-    pub own_part: f64,
+    pub own_fraction: f64,
     /// The fraction that belongs to the VMs that it does not hear.
-    pub unheard_part: f64,
+    pub unheard_fraction: f64,
     /// Whether it hears more than half of the entry set.
     pub hears_most: bool,
 }
 
-impl Hearing {
+impl PeerVisibility {
     /// Computes the fractions. `placed` is the entry set, `is_heard` tells which other VMs are
     /// heard, `members` is the number of all VMs, and `dead` is the number of VMs that were heard
     /// recently and are now held for dead.
@@ -33,24 +33,24 @@
         is_heard: impl Fn(u64) -> bool,
         members: usize,
         dead: usize,
-    ) -> Hearing {
+    ) -> PeerVisibility {
         let places = placed.len().max(1);
         let place_fraction = PLACED_FRACTION / places as f64;
         let is_placed = placed.contains(&me);
         let strays = members.saturating_sub(places).max(1);
-        let own_part =
+        let own_fraction =
             if is_placed { place_fraction } else { (1.0 - PLACED_FRACTION) / strays as f64 };
         let unheard = placed.iter().filter(|id| **id != me && !is_heard(**id)).count();
         let heard = places.saturating_sub(unheard);
-        Hearing {
-            own_part,
-            unheard_part: (place_fraction * (unheard + dead) as f64).min(MAX_UNHEARD_FRACTION),
+        PeerVisibility {
+            own_fraction,
+            unheard_fraction: (place_fraction * (unheard + dead) as f64).min(MAX_UNHEARD_FRACTION),
             hears_most: heard * 2 > places && (is_placed || heard > 0),
         }
     }
 
     /// Returns the value for the only VM of a fleet.
-    pub fn alone() -> Hearing {
-        Hearing { own_part: PLACED_FRACTION, unheard_part: 0.0, hears_most: true }
+    pub fn alone() -> PeerVisibility {
+        PeerVisibility { own_fraction: PLACED_FRACTION, unheard_fraction: 0.0, hears_most: true }
     }
 }
--- a/crates/leverstream-workspace/tests/allotments.rs
+++ b/crates/leverstream-workspace/tests/allotments.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 
 use leverstream_workspace::{
-    Allotment, Allotments, EntryMembership, Hearing, UsageReport, WorkspaceId,
+    Allotment, Allotments, EntryMembership, PeerVisibility, UsageReport, WorkspaceId,
 };
 use proptest::prelude::*;
 use rand::rngs::StdRng;
@@ -204,7 +204,7 @@
 fn ask(vm: &mut Vm, placed: &[u64], allotment: Allotment, now_ms: u64) -> bool {
     let heard = &vm.heard;
     let is_heard = |id: u64| heard.get(&id).is_some_and(|at_ms| now_ms - at_ms < UNHEARD_MS);
-    let hearing = Hearing::of(vm.id, placed, is_heard, placed.len(), 0);
+    let hearing = PeerVisibility::of(vm.id, placed, is_heard, placed.len(), 0);
     let own_ms = now_ms - vm.started_ms;
     let spent = vm.allotments.spend(WORKSPACE, allotment, hearing, own_ms);
     if spent.is_ok_and(|spent| spent.is_pressed) {
@@ -321,15 +321,15 @@
         let ids: Vec<u64> = (0..members as u64).collect();
         let group = |id: u64| groups[id as usize];
         let hearing = |me: u64| {
-            Hearing::of(me, &ids[..placed], |other| group(other) == group(me), members, 0)
+            PeerVisibility::of(me, &ids[..placed], |other| group(other) == group(me), members, 0)
         };
         let of_group = |wanted: usize| {
             let (most, few): (Vec<u64>, Vec<u64>) = ids
                 .iter()
                 .filter(|id| group(**id) == wanted)
                 .partition(|id| hearing(**id).hears_most);
-            let together = most.first().map_or(0.0, |id| 1.0 - hearing(*id).unheard_part);
-            together + few.iter().map(|id| hearing(*id).own_part).sum::<f64>()
+            let together = most.first().map_or(0.0, |id| 1.0 - hearing(*id).unheard_fraction);
+            together + few.iter().map(|id| hearing(*id).own_fraction).sum::<f64>()
         };
         let sum: f64 = (0..4).map(of_group).sum();
         // What strays have in groups of their own comes on top of a majority's whole: a part, and of the overage.
@@ -361,7 +361,9 @@
     let mut allotments = Allotments::open(SLACK);
     let told = |total: u64, room: f64| UsageReport { id: WORKSPACE, total, room };
     let room = |allotments: &mut Allotments, now_ms: u64| {
-        allotments.spend(WORKSPACE, allotment, Hearing::alone(), now_ms).map(|spent| spent.room)
+        allotments
+            .spend(WORKSPACE, allotment, PeerVisibility::alone(), now_ms)
+            .map(|spent| spent.room)
     };
     allotments.apply_report(1, told(1_000, 20.0), allotment, EntryMembership::Both, 10_000);
     allotments.forget(|_| false, 40_000);
