--- a/crates/leverstream-gateway/src/admission.rs
+++ b/crates/leverstream-gateway/src/admission.rs
@@ -10,8 +10,8 @@
 use leverstream_peer::packet::Body;
 use leverstream_peer::{self as peer, Packet, WorkspaceTally};
 use leverstream_workspace::{
-    Allotment, Allotments, Denied, EntryMembership, FIRST_MS, PeerVisibility, Spent, UsageReport,
-    WorkspaceId, Workspaces,
+    Allotment, Allotments, Denied, EntryMembership, Granted, PeerVisibility, STARTUP_WINDOW_MS,
+    UsageReport, WorkspaceId, Workspaces,
 };
 use tokio::sync::Notify;
 
@@ -109,7 +109,7 @@
 
     /// Begins with nothing but the rate.
     pub fn begin_empty(&self) {
-        self.allotments.borrow_mut().begin_empty();
+        self.allotments.borrow_mut().start_empty();
     }
 
     /// Notes that it is decided how this VM begins.
@@ -124,7 +124,7 @@
         allotment: Allotment,
         mesh: &Mesh,
         clock: Clock,
-    ) -> Result<Spent, Denied> {
+    ) -> Result<Granted, Denied> {
         let began_ms = clock.now_ms();
         if !self.hearing(mesh, began_ms).hears_most {
             let mut asks = self.asks.borrow_mut();
@@ -147,7 +147,7 @@
         let now_ms = clock.now_ms();
         let hearing = self.hearing(mesh, now_ms);
         let result = self.allotments.borrow_mut().spend(id, allotment, hearing, now_ms);
-        if result.is_ok_and(|spent| spent.is_pressed) {
+        if result.is_ok_and(|spent| spent.is_urgent) {
             self.pressing.notify_one();
         }
         result
@@ -293,7 +293,7 @@
         let first = parts.next().unwrap_or_default();
         for part in std::iter::once(first).chain(parts) {
             let reporter = self.mesh.id();
-            let is_elder = self.clock.now_ms() >= FIRST_MS;
+            let is_elder = self.clock.now_ms() >= STARTUP_WINDOW_MS;
             let body = peer::Allotments { reporter, workspaces: part.to_vec(), asks, is_elder };
             let packet = Packet { body: Some(Body::Allotments(body)), ..Packet::default() };
             self.mesh.send(&self.meters, &packet, to);
--- a/crates/leverstream-gateway/src/authorize.rs
+++ b/crates/leverstream-gateway/src/authorize.rs
@@ -3,7 +3,9 @@
 use leverstream_catalog::{Catalog, Route};
 use leverstream_error::Kind;
 use leverstream_pace::Clock;
-use leverstream_workspace::{Credentials, Denied, Refused, Workspace, WorkspaceId, Workspaces};
+use leverstream_workspace::{
+    Credentials, CredentialsError, Denied, Workspace, WorkspaceId, Workspaces,
+};
 use tracing::info;
 
 use crate::admission::Admission;
@@ -97,7 +99,7 @@
     }
 
     /// Says why a key is refused.
-    fn refuse_key(&self, refused: Refused, version: u64, id: &str) -> Refusal {
+    fn refuse_key(&self, refused: CredentialsError, version: u64, id: &str) -> Refusal {
         let age_ms = self.leases.age_ms(self.clock.now_ms());
         info!(id, reason = %refused, version, age_ms, "key refused");
         Kind::Unauthorized.into()
--- a/crates/leverstream-gateway/src/starts.rs
+++ b/crates/leverstream-gateway/src/starts.rs
@@ -10,7 +10,7 @@
 
 use leverstream_pace::Clock;
 use leverstream_platform::{Store, StoreError};
-use leverstream_workspace::FIRST_MS;
+use leverstream_workspace::STARTUP_WINDOW_MS;
 use serde::{Deserialize, Serialize};
 use tracing::info;
 
@@ -69,13 +69,13 @@
     /// That rests on the store, which has just told of the workspaces and may be away by the time that the first of their
     /// requests comes: a process that cannot read how the last one began takes a part of each burst once more.
     pub async fn run(self) {
-        while !self.is_due() && self.clock.now_ms() < FIRST_MS {
+        while !self.is_due() && self.clock.now_ms() < STARTUP_WINDOW_MS {
             tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
         }
         let is_asked = self.admission.until_asked();
         // Asked or not, by then it has heard those that have run for longer.
         let _ = tokio::time::timeout(Duration::from_millis(UNASKED_MS), is_asked).await;
-        if !self.is_first_start && self.clock.now_ms() < FIRST_MS {
+        if !self.is_first_start && self.clock.now_ms() < STARTUP_WINDOW_MS {
             let start = self.decide().await;
             info!(?start, after_ms = self.clock.now_ms(), "allotments begin");
             if start == Start::Empty {
@@ -116,7 +116,7 @@
             held.and_then(|item| serde_json::from_value::<Record>(item.content.ok()?).ok());
         // A machine that has started again since has been away for longer than a window.
         let age_ms = record.and_then(|record| now_ms.checked_sub(record.began_machine_ms));
-        if age_ms.is_some_and(|age_ms| age_ms < FIRST_MS) {
+        if age_ms.is_some_and(|age_ms| age_ms < STARTUP_WINDOW_MS) {
             return Start::Empty;
         }
         if let Err(error) = self.note(record.is_some(), now_ms).await {
--- a/crates/leverstream-workspace/src/allotment.rs
+++ b/crates/leverstream-workspace/src/allotment.rs
@@ -19,7 +19,7 @@
 
 /// How long after its start a process can't know what was admitted before, in milliseconds: one
 /// window of five seconds.
-pub const FIRST_MS: u64 = 5_000;
+pub const STARTUP_WINDOW_MS: u64 = 5_000;
 
 /// The fraction of its capacity below which a workspace's bucket counts as low: each request is
 /// then reported at once.
@@ -99,11 +99,11 @@
 
 /// An admitted request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Spent {
+pub struct Granted {
     /// How many more requests there is room for.
     pub room: f64,
     /// Whether the other VMs should be told at once.
-    pub is_pressed: bool,
+    pub is_urgent: bool,
 }
 
 /// A rejected request.
@@ -129,7 +129,7 @@
     ///
     /// Otherwise each loss would add half a burst: with six VMs killed every half second in
     /// simulated time, a window that may hold 1,307 requests held 1,579.
-    pub fn begin_empty(&mut self) {
+    pub fn start_empty(&mut self) {
         self.startup_fraction = 0.0;
         self.usages.values_mut().for_each(|usage| usage.fleet_bucket.lower_to(0.0));
     }
@@ -141,7 +141,7 @@
         allotment: Allotment,
         visibility: PeerVisibility,
         now_ms: u64,
-    ) -> Result<Spent, Denied> {
+    ) -> Result<Granted, Denied> {
         let capacity = self.capacity(allotment);
         let usage = self.usage(id, capacity, now_ms);
         usage.last_request_ms = now_ms;
@@ -167,7 +167,7 @@
         usage.total += 1;
         usage.last_admitted_ms = now_ms;
         usage.is_low = fleet_tokens < capacity * LOW_FRACTION;
-        Ok(Spent { room: room - 1.0, is_pressed: usage.is_low })
+        Ok(Granted { room: room - 1.0, is_urgent: usage.is_low })
     }
 
     /// Applies another VM's report about a workspace with an allotment.
@@ -246,7 +246,7 @@
 
     /// Returns the usage of a workspace, which is created if unknown.
     fn usage(&mut self, id: WorkspaceId, capacity: f64, now_ms: u64) -> &mut Usage {
-        let fraction = if now_ms < FIRST_MS { self.startup_fraction } else { 1.0 };
+        let fraction = if now_ms < STARTUP_WINDOW_MS { self.startup_fraction } else { 1.0 };
         self.usages.entry(id).or_insert_with(|| Usage {
             fleet_bucket: TokenBucket::open(capacity * fraction, now_ms),
             own_bucket: TokenBucket::open(capacity, now_ms),
--- a/crates/leverstream-workspace/src/credentials.rs
+++ b/crates/leverstream-workspace/src/credentials.rs
@@ -20,7 +20,7 @@
 
 /// Why credentials are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
-pub enum Refused {
+pub enum CredentialsError {
     /// no key was shown
     Missing,
     /// what was shown is no single key
@@ -46,11 +46,11 @@
     }
 
     /// Finds the workspace that owns the key.
-    pub fn workspace(self, workspaces: &Workspaces) -> Result<WorkspaceIndex, Refused> {
+    pub fn workspace(self, workspaces: &Workspaces) -> Result<WorkspaceIndex, CredentialsError> {
         match self {
-            Credentials::None => Err(Refused::Missing),
-            Credentials::Malformed => Err(Refused::Malformed),
-            Credentials::Key(digest) => workspaces.find(&digest).ok_or(Refused::Unknown),
+            Credentials::None => Err(CredentialsError::Missing),
+            Credentials::Malformed => Err(CredentialsError::Malformed),
+            Credentials::Key(digest) => workspaces.find(&digest).ok_or(CredentialsError::Unknown),
         }
     }
 }
--- a/crates/leverstream-workspace/src/lib.rs
+++ b/crates/leverstream-workspace/src/lib.rs
@@ -13,8 +13,8 @@
 mod token_bucket;
 mod workspaces;
 
-pub use allotment::{Allotments, Denied, EntryMembership, FIRST_MS, Spent, UsageReport};
-pub use credentials::{Credentials, Refused};
+pub use allotment::{Allotments, Denied, EntryMembership, Granted, STARTUP_WINDOW_MS, UsageReport};
+pub use credentials::{Credentials, CredentialsError};
 pub use digest::{KeyDigest, KeyHasher};
 pub use lease::Lease;
 pub use peer_visibility::PeerVisibility;
--- a/crates/leverstream-workspace/tests/allotments.rs
+++ b/crates/leverstream-workspace/tests/allotments.rs
@@ -124,7 +124,7 @@
         return;
     }
     if last_part_ms.is_some_and(|at_ms| now_ms - at_ms < WINDOW_MS) {
-        vm.allotments.begin_empty();
+        vm.allotments.start_empty();
     } else {
         *last_part_ms = Some(now_ms);
     }
@@ -207,7 +207,7 @@
     let hearing = PeerVisibility::of(vm.id, placed, is_heard, placed.len(), 0);
     let own_ms = now_ms - vm.started_ms;
     let spent = vm.allotments.spend(WORKSPACE, allotment, hearing, own_ms);
-    if spent.is_ok_and(|spent| spent.is_pressed) {
+    if spent.is_ok_and(|spent| spent.is_urgent) {
         vm.pressing_ms.get_or_insert(now_ms);
     }
     spent.is_ok()
--- a/crates/leverstream-workspace/tests/keys.rs
+++ b/crates/leverstream-workspace/tests/keys.rs
@@ -1,6 +1,8 @@
 //! Keys: how they are shown, and how long what is known of them may be trusted.
 
-use leverstream_workspace::{Credentials, KeyHasher, Lease, Refused, Workspace, Workspaces};
+use leverstream_workspace::{
+    Credentials, CredentialsError, KeyHasher, Lease, Workspace, Workspaces,
+};
 use yare::parameterized;
 
 /// Makes digests as one fleet does.
@@ -18,18 +20,18 @@
 #[parameterized(
     as_usual = { &["Bearer the-key"], Ok(()) },
     any_case = { &["bEARER   the-key "], Ok(()) },
-    none = { &[], Err(Refused::Missing) },
-    another_key = { &["Bearer other-key"], Err(Refused::Unknown) },
-    its_start = { &["Bearer the-ke"], Err(Refused::Unknown) },
-    another_scheme = { &["Basic the-key"], Err(Refused::Malformed) },
-    no_scheme = { &["the-key"], Err(Refused::Malformed) },
-    no_key = { &["Bearer "], Err(Refused::Malformed) },
-    two_words = { &["Bearer the-key the-key"], Err(Refused::Malformed) },
-    a_list = { &["Bearer the-key,Bearer the-key"], Err(Refused::Malformed) },
-    twice = { &["Bearer the-key", "Bearer the-key"], Err(Refused::Malformed) },
-    no_text = { &["Bearer the-key\u{7f}"], Err(Refused::Malformed) },
+    none = { &[], Err(CredentialsError::Missing) },
+    another_key = { &["Bearer other-key"], Err(CredentialsError::Unknown) },
+    its_start = { &["Bearer the-ke"], Err(CredentialsError::Unknown) },
+    another_scheme = { &["Basic the-key"], Err(CredentialsError::Malformed) },
+    no_scheme = { &["the-key"], Err(CredentialsError::Malformed) },
+    no_key = { &["Bearer "], Err(CredentialsError::Malformed) },
+    two_words = { &["Bearer the-key the-key"], Err(CredentialsError::Malformed) },
+    a_list = { &["Bearer the-key,Bearer the-key"], Err(CredentialsError::Malformed) },
+    twice = { &["Bearer the-key", "Bearer the-key"], Err(CredentialsError::Malformed) },
+    no_text = { &["Bearer the-key\u{7f}"], Err(CredentialsError::Malformed) },
 )]
-fn a_key_is_shown_once_and_in_whole(values: &[&str], expected: Result<(), Refused>) {
+fn a_key_is_shown_once_and_in_whole(values: &[&str], expected: Result<(), CredentialsError>) {
     let shown = Credentials::read(values.iter().map(|value| value.as_bytes()), &hasher());
     assert_eq!(shown.workspace(&workspaces()).map(|_| ()), expected);
     assert!(!format!("{shown:?}").contains("the-key"));
