--- a/crates/leverstream-workspace/src/credentials.rs
+++ b/crates/leverstream-workspace/src/credentials.rs
@@ -21,11 +21,11 @@
 /// Why credentials are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum CredentialsError {
-    /// no key was shown
+    /// the request has no key
     Missing,
-    /// what was shown is no single key
+    /// the credentials are not a single bearer key
     Malformed,
-    /// no workspace holds the key
+    /// no workspace owns the key
     Unknown,
 }
 
--- a/crates/leverstream-workspace/src/workspaces.rs
+++ b/crates/leverstream-workspace/src/workspaces.rs
@@ -55,7 +55,7 @@
 pub enum WorkspaceError {
     /// workspace {0}: it has no name
     NoName(usize),
-    /// workspace `{0}`: the name stands twice; give each workspace its own
+    /// workspace `{0}`: the name is used twice; give each workspace its own
     NameTwice(String),
     /// workspace `{0}`: one of its keys is used twice, by this or another workspace
     KeyTwice(String),
