--- a/crates/leverstream-member/tests/entry_set.rs
+++ b/crates/leverstream-member/tests/entry_set.rs
@@ -1,4 +1,5 @@
-//! Entry sets: spread, few moves, and placements that know when they move.
+//! Entry sets: even spread, few moves when a member leaves, and placements that detect whether a
+//! change affects them.
 
 use std::collections::HashSet;
 
@@ -7,12 +8,12 @@
 };
 use proptest::prelude::*;
 
-/// Members in halls that take turns.
+/// Creates members that are spread evenly over the halls.
 fn members(count: usize, halls: usize) -> Vec<Member> {
     (0..count).map(|number| member(number, halls)).collect()
 }
 
-/// A numbered member.
+/// Creates the member with this number.
 fn member(number: usize, halls: usize) -> Member {
     let address = format!("10.0.{}.{}:1", number / 200, number % 200).parse().expect("an address");
     let identity = Identity {
@@ -25,14 +26,14 @@
     Member { table: 1, ..Member::new(identity, 0) }
 }
 
-/// The processes of a service's set.
+/// Returns the process ids of a service's entry set.
 fn ids(service: usize, members: &[Member], size: usize) -> HashSet<u64> {
     let set = entry_set(&format!("service-{service}"), members, size);
     set.into_iter().map(|member| member.identity.id).collect()
 }
 
 #[test]
-fn sets_span_the_halls_and_have_their_size() {
+fn entry_sets_span_all_halls_and_have_the_requested_size() {
     let members = members(44, 3);
     for service in 0..100 {
         let set = entry_set(&format!("service-{service}"), &members, 6);
@@ -45,26 +46,26 @@
 }
 
 #[test]
-fn a_member_that_goes_moves_its_own_places_only_where_modulo_moves_most() {
+fn a_leaving_member_moves_only_its_own_places_unlike_modulo_hashing() {
     let all = members(44, 3);
     let fewer: Vec<Member> = all.iter().filter(|m| m.identity.id != 7).cloned().collect();
     let modulo = |service: usize, members: &[Member]| -> HashSet<u64> {
         (0..6).map(|place| members[(service * 6 + place) % members.len()].identity.id).collect()
     };
-    let (mut moved, mut moved_by_modulo, mut held) = (0, 0, 0);
+    let (mut moved, mut moved_by_modulo, mut held_places) = (0, 0, 0);
     for service in 0..500 {
         let (before, after) = (ids(service, &all, 6), ids(service, &fewer, 6));
-        held += usize::from(before.contains(&7));
+        held_places += usize::from(before.contains(&7));
         moved += before.difference(&after).count();
         moved_by_modulo += modulo(service, &all).difference(&modulo(service, &fewer)).count();
     }
     println!("places moved of 3000: {moved} by rendezvous, {moved_by_modulo} by modulo");
-    assert_eq!(moved, held);
+    assert_eq!(moved, held_places);
     assert!(moved * 10 < moved_by_modulo);
 }
 
 #[test]
-fn a_member_without_a_table_serves_nobody_yet() {
+fn a_member_without_a_table_is_not_chosen() {
     let mut members = members(12, 3);
     let (placement, set) = Placement::choose("service-1", &members, 3);
     let id = set[0].identity.id as usize;
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn load_is_even_over_many_services() {
+fn services_are_spread_evenly_over_members() {
     let members = members(44, 4);
     let mut load = [0_u32; 44];
     for service in 0..2_000 {
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn a_suspect_keeps_its_place_and_the_dead_and_leaving_lose_theirs() {
+fn suspects_stay_in_entry_sets_while_dead_and_leaving_members_drop_out() {
     let mut members = members(12, 3);
     let set = ids(1, &members, 3);
     let id = *set.iter().next().expect("a member");
@@ -100,13 +101,13 @@
 
 proptest! {
     #[test]
-    fn a_placement_that_says_it_is_not_moved_is_not(count in 3_usize..60, halls in 1_usize..5, size in 1_usize..9, changed in 0_usize..61, gone: bool, service in 0_usize..50) {
+    fn an_unaffected_placement_keeps_its_entry_set(count in 3_usize..60, halls in 1_usize..5, size in 1_usize..9, changed in 0_usize..61, is_dead: bool, service in 0_usize..50) {
         let name = format!("service-{service}");
         let mut members = members(count, halls);
         let (placement, _) = Placement::choose(&name, &members, size);
         let before = ids(service, &members, size);
         let mut new = member(changed, halls);
-        if gone {
+        if is_dead {
             new.state = MemberState::Dead;
         }
         members.retain(|member| member.identity.id != new.identity.id);
@@ -118,8 +119,9 @@
 }
 
 #[test]
-fn the_strongest_of_a_hall_watch_the_store() {
-    // Two hundred weak VMs and seven strong ones: all others of the hall fetch from the two what is new.
+fn members_of_highest_capacity_watch_the_store() {
+    // 200 VMs without and 7 with a stated capacity: all others of the hall fetch changes from the
+    // two watchers.
     let mut all = members(207, 1);
     let ids = |members: &[Member]| -> Vec<u64> {
         watchers("hall-0", members).iter().map(|member| member.identity.id).collect()
@@ -128,7 +130,7 @@
     let equal = ids(&all);
     (100..107).for_each(|strong| all[strong].identity.capacity_per_s = 2_000);
     assert!(ids(&all).iter().all(|id| (100..107).contains(id)));
-    // Only one of them is left.
+    // Only one VM of high capacity remains.
     all.retain(|member| !(101..107).contains(&member.identity.id));
     let left = ids(&all);
     assert_eq!(left[0], 100);
--- a/crates/leverstream-member/tests/growth.rs
+++ b/crates/leverstream-member/tests/growth.rs
@@ -1,8 +1,9 @@
-//! What VMs tell each other of members as the fleet grows: a whole fleet starts, is lost at once and starts anew.
+//! Membership traffic as the fleet grows: a whole fleet starts, is lost at once and starts anew.
 //!
-//! Seen: at 300 VMs what VMs told each other cost more than all that was served; lists of members and news of starts were 300 of
-//! 1,100 MB in 50 s, and one VM sent 18 times as much as at 100.
-//! Cause: what a VM sent grew with the number of VMs: all were told of each start, and who looked for others was told all.
+//! Guards against traffic per VM that grows with the fleet. When every VM was told of each start,
+//! and each process that looked for members was sent the full list, membership traffic at 300 VMs
+//! exceeded all that was served: lists of members and news of starts were 300 of 1,100 MB in 50 s,
+//! and one VM sent 18 times as much as at 100 VMs.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,64 +13,65 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// How often a process does what is due.
+/// The interval between two ticks of a process.
 const TICK_MS: u64 = 100;
 
-/// How long a datagram takes.
-const WAY_MS: u64 = 2;
+/// The transit time of a datagram.
+const TRANSIT_MS: u64 = 2;
 
-/// How many addresses are known from the settings.
+/// The number of seed addresses.
 const SEEDS: usize = 3;
 
-/// How many data halls there are.
+/// The number of data halls.
 const HALLS: usize = 3;
 
-/// A fleet.
+/// A simulated fleet.
 struct Fleet {
-    /// The processes, at their addresses.
+    /// The processes, by address number.
     nodes: Vec<Swim>,
-    /// What each has sent, in bytes.
+    /// The bytes that each process has sent.
     sent: Vec<usize>,
-    /// What all have sent to other data halls.
+    /// The bytes that all processes have sent to other data halls.
     sent_far: usize,
-    /// Datagrams on their way: when they arrive, from and to.
-    wire: VecDeque<(u64, usize, usize, Packet)>,
-    /// The time.
+    /// Datagrams in transit: arrival time, sender, receiver and packet.
+    in_transit: VecDeque<(u64, usize, usize, Packet)>,
+    /// The simulated time.
     now_ms: u64,
-    /// How many processes there were.
+    /// How many processes have been started.
     starts: u64,
-    /// Measures datagrams.
+    /// Seals packets, to measure the size of datagrams.
     key: FleetKey,
 }
 
-/// What a fleet came to.
+/// The results of a run.
 #[derive(Debug)]
 struct Outcome {
-    /// What the busiest process sent, in kB.
+    /// The bytes sent by the process that sent most, in kB.
     busiest_kb: usize,
-    /// What they sent on average, in kB.
+    /// The mean bytes sent per process, in kB.
     mean_kb: usize,
-    /// How many members each knew three seconds after the fleet was lost, the least.
+    /// The smallest number of members known to any process three seconds after the loss of the
+    /// fleet.
     least_known: usize,
-    /// The same eight seconds after.
+    /// The same eight seconds after the loss.
     least_known_later: usize,
-    /// What they sent to other data halls in all on average, in kB.
+    /// The mean bytes sent to other data halls per process over the whole run, in kB.
     mean_far_kb: usize,
 }
 
-/// The address of a process.
+/// Returns the address with this number.
 fn address(number: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 1))
 }
 
 impl Fleet {
-    /// Processes that have just started.
+    /// Starts a fleet.
     fn start(count: usize) -> Fleet {
         let mut fleet = Fleet {
             nodes: Vec::new(),
             sent: vec![0; count],
             sent_far: 0,
-            wire: VecDeque::new(),
+            in_transit: VecDeque::new(),
             now_ms: 0,
             starts: 0,
             key: FleetKey::derive("growth"),
@@ -78,7 +80,7 @@
         fleet
     }
 
-    /// A process that has just started at an address.
+    /// Starts a process at an address.
     fn open(&mut self, number: usize) -> Swim {
         self.starts += 1;
         let identity = Identity {
@@ -96,18 +98,19 @@
         node
     }
 
-    /// Loses all processes at once; others start at their addresses.
+    /// Replaces all processes at once by new ones at the same addresses.
     fn lose_all(&mut self) {
-        self.wire.clear();
+        self.in_transit.clear();
         self.nodes = (0..self.nodes.len()).map(|number| self.open(number)).collect();
     }
 
-    /// Lets time pass.
+    /// Simulates some milliseconds.
     fn run(&mut self, ms: u64) {
         for _ in 0..ms {
             self.now_ms += 1;
-            while self.wire.front().is_some_and(|(at_ms, ..)| *at_ms <= self.now_ms) {
-                let Some((_, from, to, packet)) = self.wire.pop_front() else { break };
+            while self.in_transit.front().is_some_and(|(arrival_ms, ..)| *arrival_ms <= self.now_ms)
+            {
+                let Some((_, from, to, packet)) = self.in_transit.pop_front() else { break };
                 let out = self.nodes[to].receive(address(from), &packet, self.now_ms);
                 self.send(to, out);
             }
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Sends packets.
+    /// Puts packets in transit.
     fn send(&mut self, from: usize, out: Vec<Outgoing>) {
         for Outgoing { to, packet } in out {
             let bytes = self.key.seal(&packet).len();
@@ -129,13 +132,13 @@
             let [.., high, low] = to.ip().octets();
             let to = usize::from(high) * 250 + usize::from(low);
             self.sent_far += if from % HALLS == to % HALLS { 0 } else { bytes };
-            self.wire.push_back((self.now_ms + WAY_MS, from, to, packet));
+            self.in_transit.push_back((self.now_ms + TRANSIT_MS, from, to, packet));
         }
     }
 }
 
-/// Has a fleet start, be lost and start anew.
-fn play(count: usize) -> Outcome {
+/// Runs a fleet that starts, is lost and starts anew.
+fn simulate(count: usize) -> Outcome {
     let mut fleet = Fleet::start(count);
     fleet.run(4_000);
     fleet.lose_all();
@@ -153,16 +156,18 @@
 }
 
 #[test]
-fn what_a_vm_tells_of_members_hardly_grows_with_the_fleet() {
+fn membership_traffic_per_vm_stays_bounded_as_the_fleet_grows() {
     let sizes = [36, 100, 300, 600];
-    let outcomes = sizes.map(play);
+    let outcomes = sizes.map(simulate);
     for (size, outcome) in sizes.iter().zip(&outcomes) {
         println!("{size} VMs: {outcome:?}");
         assert!(outcome.least_known * 10 >= size * 7, "{size} VMs: {outcome:?}");
-        // Those that share the traffic tell each other of backend servers, so all must know who does.
+        // VMs that share traffic report on backend servers to each other, so each must know all
+        // others.
         assert!(outcome.least_known_later * 1_000 >= size * 995, "{size} VMs: {outcome:?}");
     }
-    // Bytes between data halls are paid for; a fleet that all know at once sends as much as it may.
+    // Traffic between data halls costs money. A fleet of 100 announces each start to all members,
+    // which sets the bound for larger fleets.
     let [_, whole, .., large] = &outcomes;
     assert!(large.mean_far_kb <= whole.mean_far_kb, "{whole:?}, {large:?}");
     let [.., small, large] = outcomes;
--- a/crates/leverstream-workspace/tests/keys.rs
+++ b/crates/leverstream-workspace/tests/keys.rs
@@ -1,16 +1,16 @@
-//! Keys: how they are shown, and how long what is known of them may be trusted.
+//! API keys: how credentials are parsed, and how long knowledge of keys stays valid.
 
 use leverstream_workspace::{
     Credentials, CredentialsError, KeyHasher, Lease, Workspace, Workspaces,
 };
 use yare::parameterized;
 
-/// Makes digests as one fleet does.
+/// Creates the key hasher of one fleet.
 fn hasher() -> KeyHasher {
     KeyHasher::derive("a fleet")
 }
 
-/// One workspace with one key.
+/// Creates one workspace with one key.
 fn workspaces() -> Workspaces {
     let keys = vec![hasher().digest(b"the-key")];
     let workspace = Workspace { name: "one".to_owned(), rank: 0, allotment: None, keys };
@@ -31,17 +31,20 @@
     twice = { &["Bearer the-key", "Bearer the-key"], Err(CredentialsError::Malformed) },
     no_text = { &["Bearer the-key\u{7f}"], Err(CredentialsError::Malformed) },
 )]
-fn a_key_is_shown_once_and_in_whole(values: &[&str], expected: Result<(), CredentialsError>) {
-    let shown = Credentials::read(values.iter().map(|value| value.as_bytes()), &hasher());
-    assert_eq!(shown.workspace(&workspaces()).map(|_| ()), expected);
-    assert!(!format!("{shown:?}").contains("the-key"));
+fn only_a_single_complete_bearer_key_is_accepted(
+    values: &[&str],
+    expected: Result<(), CredentialsError>,
+) {
+    let credentials = Credentials::read(values.iter().map(|value| value.as_bytes()), &hasher());
+    assert_eq!(credentials.workspace(&workspaces()).map(|_| ()), expected);
+    assert!(!format!("{credentials:?}").contains("the-key"));
 }
 
 /// How long a removed key may go on working, in milliseconds.
 const REVOKE_MS: u64 = 5_000;
 
 #[test]
-fn a_lease_ends_before_a_removed_key_must_have_ceased_to_work() {
+fn a_lease_ends_before_the_revocation_deadline() {
     let mut lease = Lease::open(REVOKE_MS);
     assert!(!lease.holds(0));
     assert!(lease.renew(1_000, 0));
@@ -50,18 +53,19 @@
 }
 
 #[test]
-fn an_answer_counts_from_its_question_however_late_it_comes() {
+fn the_age_of_an_answer_counts_from_its_question() {
     let mut lease = Lease::open(REVOKE_MS);
-    // Asked at 1,000, told that the other's knowledge was 300 ms old; the answer was read at 4,000, after a freeze.
+    // Asked at 1,000 ms and told that the other VM's knowledge was 300 ms old; the answer was read
+    // at 4,000 ms, after a freeze.
     assert!(lease.renew(1_000, 300));
     assert_eq!(lease.age_ms(4_000), Some(3_300));
-    // An older answer that comes later changes nothing.
+    // An older answer that arrives later changes nothing.
     assert!(!lease.renew(900, 250));
     assert_eq!(lease.age_ms(4_000), Some(3_300));
 }
 
 #[test]
-fn a_process_that_has_just_started_may_be_told_of_times_before_its_start() {
+fn a_lease_accepts_knowledge_from_before_the_process_start() {
     let mut lease = Lease::open(REVOKE_MS);
     assert!(lease.renew(50, 800));
     assert_eq!(lease.age_ms(60), Some(810));
