--- a/crates/leverstream-workspace/tests/allotments.rs
+++ b/crates/leverstream-workspace/tests/allotments.rs
@@ -466,7 +466,7 @@
 fn window_bound_holds_when_vms_freeze_between_losses() {
     let mut faults = kill_all(6, 1_300);
     faults.extend((0..8).map(|n| (8_300 + n * 1_300, n as usize, Fault::Freeze, 900)));
-    assert_window_bound("frozen", &overload(6, 100.0, faults));
+    assert_window_bound("asleep", &overload(6, 100.0, faults));
 }
 
 #[test]
