--- a/crates/leverstream-member/src/swim/gossip.rs
+++ b/crates/leverstream-member/src/swim/gossip.rs
@@ -70,29 +70,29 @@
 
     /// Applies an update about a member, or refutes one about this process.
     pub(super) fn apply_update(&mut self, update: &MemberUpdate, now_ms: u64) {
-        let Some(heard) = Member::from_update(update, now_ms) else { return };
-        if heard.identity.id == self.me.identity.id {
-            self.refute(&heard);
+        let Some(received) = Member::from_update(update, now_ms) else { return };
+        if received.identity.id == self.me.identity.id {
+            self.refute(&received);
             return;
         }
-        let id = heard.identity.id;
-        let mut changed = heard.clone();
+        let id = received.identity.id;
+        let mut changed = received.clone();
         match self.by_id.get(&id) {
             Some(key) => {
                 let held = &mut self.members[key.0];
-                let gets_table = held.table == 0 && heard.table != 0;
-                if heard.table != 0 {
-                    held.table = heard.table;
+                let gets_table = held.table == 0 && received.table != 0;
+                if received.table != 0 {
+                    held.table = received.table;
                 }
-                if held.is_overridden_by(heard.incarnation, heard.state) {
-                    *held = Member { table: held.table, ..heard };
+                if held.is_overridden_by(received.incarnation, received.state) {
+                    *held = Member { table: held.table, ..received };
                 } else if !gets_table {
                     return;
                 }
                 changed = held.clone();
             }
             None => {
-                let key = self.members.insert(heard);
+                let key = self.members.insert(received);
                 self.by_id.insert(id, MemberKey(key));
             }
         }
@@ -102,10 +102,11 @@
     }
 
     /// Raises the incarnation of this process when others hold it for worse than it is.
-    fn refute(&mut self, heard: &Member) {
-        let is_worse = heard.state > self.me.state && heard.incarnation >= self.me.incarnation;
+    fn refute(&mut self, received: &Member) {
+        let is_worse =
+            received.state > self.me.state && received.incarnation >= self.me.incarnation;
         if is_worse {
-            self.me.incarnation = heard.incarnation + 1;
+            self.me.incarnation = received.incarnation + 1;
         }
     }
 
--- a/crates/leverstream-workspace/src/hearing.rs
+++ b/crates/leverstream-workspace/src/hearing.rs
@@ -37,9 +37,9 @@
         let places = placed.len().max(1);
         let place_fraction = PLACED_FRACTION / places as f64;
         let is_placed = placed.contains(&me);
-        let strays = members.saturating_sub(places).max(1);
+        let outside = members.saturating_sub(places).max(1);
         let own_fraction =
-            if is_placed { place_fraction } else { (1.0 - PLACED_FRACTION) / strays as f64 };
+            if is_placed { place_fraction } else { (1.0 - PLACED_FRACTION) / outside as f64 };
         let unheard = placed.iter().filter(|id| **id != me && !is_heard(**id)).count();
         let heard = places.saturating_sub(unheard);
         PeerVisibility {
--- a/crates/leverstream-workspace/tests/lease_model.rs
+++ b/crates/leverstream-workspace/tests/lease_model.rs
@@ -1,10 +1,10 @@
 //! Model checks all orders of events in a chain of three VMs that renew their leases from each
 //! other while a key is removed.
 //!
-//! The first VM asks the store, the second asks the first, the third asks the second. A question
-//! may be answered, and its answer read, at any later time or never, as when a VM is frozen or a
-//! link is slow. A VM may learn of the removal at any time after it, or not at all. Time advances
-//! in steps of half a second.
+//! The first VM polls the store, the second polls the first, the third polls the second. A poll may
+//! be answered, and its answer read, at any later time or never, as when a VM is frozen or a link
+//! is slow. A VM may learn of the removal at any time after it, or not at all. Time advances in
+//! steps of half a second.
 
 use std::collections::HashSet;
 
@@ -25,15 +25,15 @@
 /// The number of VMs in the chain.
 const VMS: usize = 3;
 
-/// The state of a VM's question.
+/// The state of a VM's poll of the store or of the VM before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Question {
-    /// No question is pending.
+enum Poll {
+    /// No poll is pending.
     None,
-    /// The question is sent; holds its step.
+    /// The poll is sent; holds its step.
     Sent(u64),
-    /// The question is answered and the answer not read yet; holds the step of the question, the
-    /// age of the other side's knowledge, and whether the other side knew of the removal.
+    /// The poll is answered and the answer not read yet; holds the step of the poll, the age of the
+    /// other side's knowledge, and whether the other side knew of the removal.
     Answered(u64, u64, bool),
 }
 
@@ -44,8 +44,8 @@
     as_of: Option<u64>,
     /// Whether it knows of the removal.
     knows_removal: bool,
-    /// The state of its question.
-    question: Question,
+    /// The state of its poll.
+    poll: Poll,
 }
 
 /// The state of the fleet.
@@ -94,18 +94,16 @@
             if source_knows_removal && !vm.knows_removal {
                 next.push(self.with(index, Vm { knows_removal: true, ..vm }));
             }
-            match vm.question {
-                Question::None => {
-                    next.push(self.with(index, Vm { question: Question::Sent(self.now), ..vm }))
-                }
-                Question::Sent(asked) => {
-                    next.push(self.with(index, Vm { question: Question::None, ..vm }));
+            match vm.poll {
+                Poll::None => next.push(self.with(index, Vm { poll: Poll::Sent(self.now), ..vm })),
+                Poll::Sent(asked) => {
+                    next.push(self.with(index, Vm { poll: Poll::None, ..vm }));
                     if let Some(age) = self.source_age(index) {
-                        let question = Question::Answered(asked, age, source_knows_removal);
-                        next.push(self.with(index, Vm { question, ..vm }));
+                        let poll = Poll::Answered(asked, age, source_knows_removal);
+                        next.push(self.with(index, Vm { poll, ..vm }));
                     }
                 }
-                Question::Answered(asked, age, knows_removal) => {
+                Poll::Answered(asked, age, knows_removal) => {
                     next.push(self.with(index, vm.read(asked, age, knows_removal, index)));
                 }
             }
@@ -113,8 +111,7 @@
         next
     }
 
-    /// Returns the age of the knowledge that a VM's question is answered from; the store's is
-    /// always 0.
+    /// Returns the age of the knowledge that answers a VM's poll; the store's is always 0.
     fn source_age(&self, index: usize) -> Option<u64> {
         let Some(source) = index.checked_sub(1) else { return Some(0) };
         let age_ms = lease(self.vms[source].as_of).age_ms(self.now * STEP_MS)?;
@@ -134,7 +131,7 @@
     /// only if this VM knows as much.
     fn read(self, asked: u64, age: u64, knows_removal: bool, index: usize) -> Vm {
         let vm = Vm {
-            question: Question::None,
+            poll: Poll::None,
             knows_removal: self.knows_removal || (knows_removal && index == 0),
             ..self
         };
@@ -152,7 +149,7 @@
 
 #[test]
 fn no_order_of_events_keeps_a_removed_key_working_past_the_deadline() {
-    let vm = Vm { as_of: None, knows_removal: false, question: Question::None };
+    let vm = Vm { as_of: None, knows_removal: false, poll: Poll::None };
     let first = Fleet { now: 0, removed: None, vms: [vm; VMS] };
     let mut seen = HashSet::from([first]);
     let mut unexplored = vec![first];
