--- a/crates/leverstream-gateway/src/admission.rs
+++ b/crates/leverstream-gateway/src/admission.rs
@@ -10,7 +10,8 @@
 use leverstream_peer::packet::Body;
 use leverstream_peer::{self as peer, Packet, WorkspaceTally};
 use leverstream_workspace::{
-    Allotment, Allotments, Between, Denied, FIRST_MS, Hearing, Spent, Told, WorkspaceId, Workspaces,
+    Allotment, Allotments, Denied, EntryMembership, Granted, PeerVisibility, STARTUP_WINDOW_MS,
+    UsageReport, WorkspaceId, Workspaces,
 };
 use tokio::sync::Notify;
 
@@ -108,7 +109,7 @@
 
     /// Begins with nothing but the rate.
     pub fn begin_empty(&self) {
-        self.allotments.borrow_mut().begin_empty();
+        self.allotments.borrow_mut().start_empty();
     }
 
     /// Notes that it is decided how this VM begins.
@@ -123,7 +124,7 @@
         allotment: Allotment,
         mesh: &Mesh,
         clock: Clock,
-    ) -> Result<Spent, Denied> {
+    ) -> Result<Granted, Denied> {
         let began_ms = clock.now_ms();
         if !self.hearing(mesh, began_ms).hears_most {
             let mut asks = self.asks.borrow_mut();
@@ -146,7 +147,7 @@
         let now_ms = clock.now_ms();
         let hearing = self.hearing(mesh, now_ms);
         let result = self.allotments.borrow_mut().spend(id, allotment, hearing, now_ms);
-        if result.is_ok_and(|spent| spent.is_pressed) {
+        if result.is_ok_and(|spent| spent.is_urgent) {
             self.pressing.notify_one();
         }
         result
@@ -158,7 +159,7 @@
         from: SocketAddr,
         told: &peer::Allotments,
         workspaces: Option<&Workspaces>,
-        between: Between,
+        between: EntryMembership,
         now_ms: u64,
     ) {
         self.heard.borrow_mut().insert(told.reporter, (now_ms, told.is_elder));
@@ -169,8 +170,8 @@
             let Some(allotment) = workspace.and_then(|workspace| workspace.allotment) else {
                 continue;
             };
-            let told_of = Told { id, total: tally.total, room: tally.room.into() };
-            allotments.hear(told.reporter, told_of, allotment, between, now_ms);
+            let told_of = UsageReport { id, total: tally.total, room: tally.room.into() };
+            allotments.apply_report(told.reporter, told_of, allotment, between, now_ms);
         }
         if !told.asks {
             return;
@@ -178,21 +179,21 @@
         let ids: Vec<WorkspaceId> =
             told.workspaces.iter().map(|tally| WorkspaceId(tally.id)).collect();
         // One that shares the traffic and asks has just begun to, or heard nobody for a while.
-        let wants_all = between == Between::Placed || ids.is_empty();
+        let wants_all = between == EntryMembership::Both || ids.is_empty();
         let asked = if wants_all { Asked::All } else { Asked::Some(ids) };
         self.askers.borrow_mut().push((from, asked));
         self.pressing.notify_one();
     }
 
     /// How much this VM hears of the others.
-    fn hearing(&self, mesh: &Mesh, now_ms: u64) -> Hearing {
+    fn hearing(&self, mesh: &Mesh, now_ms: u64) -> PeerVisibility {
         let heard = self.heard.borrow();
         let is_heard = |id: u64| heard.get(&id).is_some_and(|(at_ms, _)| is_fresh(*at_ms, now_ms));
         let placed: Vec<u64> =
             mesh.sharing.entry().iter().map(|member| member.identity.id).collect();
         let is_gone = |id: &u64| !placed.contains(id) && !is_heard(*id) && mesh.is_dead(*id);
         let dead = heard.keys().filter(|id| is_gone(id)).count();
-        Hearing::of(mesh.id(), &placed, is_heard, mesh.member_count(), dead)
+        PeerVisibility::of(mesh.id(), &placed, is_heard, mesh.member_count(), dead)
     }
 
     /// What others are to be told by now, with what they are asked of.
@@ -200,13 +201,13 @@
     /// Those that share the traffic hear each other also where there is nothing to tell. The others, which get a request now
     /// and then, tell what they let in and hear answers: where each of 300 such VMs told 24 and heard them for 3 s after a
     /// request, that was 80 % of all bytes between VMs, and with answers alone 3 %.
-    fn take_due(&self, asked: &[WorkspaceId], is_repeat: bool, now_ms: u64) -> Vec<Told> {
+    fn take_due(&self, asked: &[WorkspaceId], is_repeat: bool, now_ms: u64) -> Vec<UsageReport> {
         let since_ms = now_ms.saturating_sub(BEAT_MS * BEATS_A_REPEAT);
         let mut allotments = self.allotments.borrow_mut();
-        let mut due = allotments.take_due(is_repeat, since_ms);
+        let mut due = allotments.take_due_reports(is_repeat, since_ms);
         let is_named = |id: &WorkspaceId| due.iter().any(|told| told.id == *id);
         let unnamed: Vec<WorkspaceId> = asked.iter().copied().filter(|id| !is_named(id)).collect();
-        due.extend(allotments.word_on(&unnamed));
+        due.extend(allotments.reports_on(&unnamed));
         due
     }
 }
@@ -273,16 +274,16 @@
         let allotments = self.admission.allotments.borrow();
         for (from, asked) in askers {
             let told = match asked {
-                Asked::All => allotments.known(),
-                Asked::Some(ids) => allotments.word_on(ids),
+                Asked::All => allotments.all_reports(),
+                Asked::Some(ids) => allotments.reports_on(ids),
             };
             self.tell(&told, false, &[*from]);
         }
     }
 
     /// Tells some VMs of workspaces, also that there is nothing to tell.
-    fn tell(&self, due: &[Told], asks: bool, to: &[SocketAddr]) {
-        let tally = |told: &Told| WorkspaceTally {
+    fn tell(&self, due: &[UsageReport], asks: bool, to: &[SocketAddr]) {
+        let tally = |told: &UsageReport| WorkspaceTally {
             id: told.id.0,
             total: told.total,
             room: told.room as i32,
@@ -292,7 +293,7 @@
         let first = parts.next().unwrap_or_default();
         for part in std::iter::once(first).chain(parts) {
             let reporter = self.mesh.id();
-            let is_elder = self.clock.now_ms() >= FIRST_MS;
+            let is_elder = self.clock.now_ms() >= STARTUP_WINDOW_MS;
             let body = peer::Allotments { reporter, workspaces: part.to_vec(), asks, is_elder };
             let packet = Packet { body: Some(Body::Allotments(body)), ..Packet::default() };
             self.mesh.send(&self.meters, &packet, to);
--- a/crates/leverstream-gateway/src/mesh.rs
+++ b/crates/leverstream-gateway/src/mesh.rs
@@ -9,11 +9,11 @@
 use leverstream_core::choose_entry;
 use leverstream_limit::{ARBITERS, Role, STAND_INS};
 use leverstream_member::{
-    Audience, Identity, Member, MemberState, Outgoing, Swim, SwimSettings, entry_set,
+    Identity, Member, MemberState, Outgoing, PeersByHall, Swim, SwimSettings, entry_set,
 };
 use leverstream_peer::packet::Body;
 use leverstream_peer::{FleetKey, PACKET_LIMIT_BYTES, Packet};
-use leverstream_workspace::Between;
+use leverstream_workspace::EntryMembership;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use tokio::net::UdpSocket;
@@ -98,7 +98,7 @@
             ..SwimSettings::default()
         };
         let mut swim = Swim::open(identity, swim_settings, rng, now_ms);
-        swim.hint(settings.peers.seeds.clone());
+        swim.set_seeds(settings.peers.seeds.clone());
         Ok(Mesh {
             swim: RefCell::new(swim),
             key: FleetKey::derive(&settings.peers.key),
@@ -150,8 +150,8 @@
     }
 
     /// Where the other VMs that share the traffic listen.
-    pub fn audience(&self) -> Audience {
-        Audience::of(&self.swim.borrow().me().identity, self.sharing.entry().iter())
+    pub fn audience(&self) -> PeersByHall {
+        PeersByHall::of(&self.swim.borrow().me().identity, self.sharing.entry().iter())
     }
 
     /// Where all other VMs listen.
@@ -165,8 +165,8 @@
     /// Where those of them listen that one VM tells of something at once; of larger fleets the rest hear it from those.
     pub fn told_at_once(&self) -> Vec<SocketAddr> {
         let swim = self.swim.borrow();
-        let all = Audience::of(&swim.me().identity, swim.members());
-        all.some(TOLD_AT_ONCE, &mut rand::rng())
+        let all = PeersByHall::of(&swim.me().identity, swim.members());
+        all.sample(TOLD_AT_ONCE, &mut rand::rng())
     }
 
     /// Where the other VMs that share the traffic listen.
@@ -222,12 +222,12 @@
     }
 
     /// Whether callers are sent to this VM and to another that tells it something.
-    fn between(&self, teller: u64) -> Between {
+    fn between(&self, teller: u64) -> EntryMembership {
         let is_placed = |id| self.sharing.entry().iter().any(|member| member.identity.id == id);
         match (self.takes_callers(), is_placed(teller)) {
-            (true, true) => Between::Placed,
-            (true, false) => Between::PlacedFromStray,
-            (false, _) => Between::StrayFromPlaced,
+            (true, true) => EntryMembership::Both,
+            (true, false) => EntryMembership::ReceiverOnly,
+            (false, _) => EntryMembership::ReceiverOutside,
         }
     }
 
@@ -262,7 +262,7 @@
 
     /// Names addresses where other VMs may be.
     pub fn hint(&self, seeds: Vec<SocketAddr>) {
-        self.swim.borrow_mut().hint(seeds);
+        self.swim.borrow_mut().set_seeds(seeds);
     }
 
     /// Says that there is something to tell of backend servers.
