--- a/crates/leverstream-core/src/entry.rs
+++ b/crates/leverstream-core/src/entry.rs
@@ -1,23 +1,25 @@
+//! The choice of the entry VMs, which accept callers.
+
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 use leverstream_member::Member;
 
-/// How many requests a second a slot of a backend server can bring at most: work takes a quarter of a
-/// second and more.
+/// The maximum request rate for each slot of a backend server: work takes a quarter of a second or
+/// more.
 const REQUESTS_A_SLOT_PER_S: f64 = 4.0;
 
-/// The capacity assumed of a VM that does not say, in requests a second.
+/// The capacity assumed of a VM that does not report one, in requests a second.
 const UNKNOWN_PER_S: u32 = 100;
 
-/// The most VMs of a hall that take callers; more would know too little each.
+/// The maximum number of entry VMs in a hall; with more, each would observe too little.
 const VMS_A_HALL_LIMIT: usize = 8;
 
-/// Chooses the VMs that take callers among the members.
+/// Chooses the entry VMs among the members.
 ///
-/// In each hall the strongest come first, as many as the hall's part of the work needs; among equals
-/// a hash of the address decides, so that all VMs choose alike and few change places when one comes
-/// or goes. `vms_a_hall` sets the number instead, unless it is 0.
+/// In each hall the VMs with the highest capacity are chosen, as many as the hall's share of the
+/// work needs. Ties are broken by a hash of the address, so that all VMs choose alike and few
+/// entries change when a VM joins or leaves. A nonzero `vms_a_hall` sets the number instead.
 pub fn choose_entry<'a>(
     members: impl IntoIterator<Item = &'a Member>,
     vms_a_hall: usize,
@@ -39,10 +41,11 @@
     chosen
 }
 
-/// How many of a hall's VMs, the strongest first, do the work best: the fewest that can, else those that can do most.
+/// Returns the number of a hall's VMs, sorted by capacity, that serve the work best: the smallest
+/// number that suffices, or else the one with the highest total capacity.
 ///
-/// Callers choose among them by chance, so each gets an equal part, and a weak one beside strong ones is not relief: the
-/// part of the weakest bounds what all can do.
+/// Callers spread evenly over the entry VMs, so the weakest one bounds the total, and a weak VM
+/// beside strong ones brings no relief.
 fn size(members: &[&Member], needed_per_s: f64) -> usize {
     let limit = members.len().min(VMS_A_HALL_LIMIT);
     let capacity = |size: usize| size as f64 * f64::from(capacity_per_s(members[size - 1]));
@@ -51,7 +54,7 @@
     enough.or_else(most).unwrap_or(1)
 }
 
-/// How many requests a second a VM can take.
+/// Returns the capacity of a VM, in requests a second.
 fn capacity_per_s(member: &Member) -> u32 {
     match member.identity.capacity_per_s {
         0 => UNKNOWN_PER_S,
--- a/crates/leverstream-core/src/fleet.rs
+++ b/crates/leverstream-core/src/fleet.rs
@@ -1,3 +1,11 @@
+//! The backend servers that a VM knows, with everything the VM has observed of them.
+//!
+//! [`Fleet`] merges four sources: the platform's list of backend servers (by store revision), the
+//! outcomes of this VM's own requests, the reports of other VMs, and notices that backend servers
+//! attach to their answers. An incarnation is one run of a backend server's process; a restart
+//! under the same instance id is a new incarnation with no history. A backend server that leaves
+//! gets no new requests but stays in the arena until its last request has ended.
+
 mod backend_state;
 mod departures;
 mod emptied;
@@ -28,130 +36,132 @@
 pub use roster::Candidates;
 use roster::Roster;
 
-/// How many removals are remembered at least for VMs that catch up; one further behind takes the whole list. As many as
-/// there are backend servers are, as more would take more to tell than the list.
+/// The minimum number of removals remembered for VMs that catch up; a VM that is further behind
+/// gets the whole list. The limit grows to the number of backend servers, beyond which the removals
+/// would take more bytes than the whole list.
 const REMOVALS_KEPT_LEAST: usize = 1_024;
 
-/// How many instances that are no longer listed are remembered by what they wanted: they may come back within seconds,
-/// with an outage's end.
+/// The maximum number of unlisted incarnations whose hold-off is remembered. They may be listed
+/// again within seconds, when a store outage ends.
 const HOLD_OFFS_LIMIT: usize = 4_096;
 
-/// A route in a [`Fleet`].
+/// The index of a route in a [`Fleet`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RouteKey(pub(crate) u32);
 
-/// A request that looks for a backend server.
+/// The request for which a backend server is evaluated.
 #[derive(Clone, Copy, Debug)]
 pub struct Asker<'a> {
     /// The data hall of the VM.
     pub hall: &'a str,
-    /// What a backend server in another data hall costs, in the measure of `Choice`.
+    /// The cost of a backend server in another data hall, on the scale of `Choice::cost`.
     pub far_cost: f64,
-    /// Where the request was already.
+    /// The backend servers that the request has already been sent to.
     pub tried: &'a [BackendKey],
 }
 
-/// The backend servers that one VM knows, with what it has seen of them.
+/// The backend servers that one VM knows, with what it has observed of them.
 #[derive(Default)]
 pub struct Fleet {
-    /// The backend servers.
+    /// All backend servers, including those that have left and still work on requests.
     arena: Slab<BackendState>,
-    /// Their keys by instance, each of its last start.
+    /// The key of the latest incarnation of each instance.
     by_instance: HashMap<String, BackendKey>,
-    /// Those that may take work, by service.
+    /// The backend servers that may take requests, by service.
     rosters: HashMap<String, Roster>,
-    /// Those that are listed, by the store's revision of their last change.
+    /// The listed backend servers, ordered by the store revision of their last change.
     by_stamp: BTreeSet<(u64, BackendKey)>,
-    /// Those where requests of this VM are under way.
+    /// The backend servers with requests of this VM in flight.
     busy: BTreeSet<BackendKey>,
-    /// How often backend servers fail for a while, by service.
+    /// The statistics of failure episodes, by service.
     episodes: HashMap<String, Episodes>,
-    /// What is assumed of a service of which nothing was seen.
+    /// The prior for a service without any observation.
     assumed: Episodes,
-    /// What requests have shown, by route.
+    /// The observed latencies and answer sizes, by route.
     routes: Slab<RouteProfile>,
-    /// The keys of those, by the route's name.
+    /// The route keys, by route name.
     key_by_route: HashMap<String, RouteKey>,
-    /// Those of which other VMs have not heard the latest.
+    /// The backend servers whose latest state has not been reported to other VMs.
     unreported: Vec<BackendKey>,
-    /// Whether a failure is among what they have not heard.
+    /// Whether the unreported state includes a failure.
     has_bad_news: bool,
-    /// Starts that have ended for certain.
+    /// Incarnations that are known to have ended.
     ended: Departures,
-    /// Starts that are known to leave.
+    /// Incarnations that are known to leave.
     leaving: Departures,
-    /// Listed starts that leave by their own word, which the platform does not tell.
+    /// Listed incarnations that announced that they leave while the platform lists them as ready.
     leavers: Vec<BackendKey>,
-    /// Listed starts that name a limit.
+    /// Listed incarnations that have announced a rate limit.
     limited: Vec<BackendKey>,
-    /// What starts that are not listed have said of limits.
+    /// The limits announced by incarnations that are not listed.
     unlisted_limits: HashMap<Incarnation, Limit>,
-    /// For how long after their word they serve where there is no other, in milliseconds.
+    /// How long an incarnation that has announced that it leaves still serves a service with no
+    /// other backend server, in milliseconds.
     last_resort_ms: u64,
-    /// What instances that are no longer listed wanted of this VM, should they come back.
+    /// The hold-offs of incarnations that are no longer listed, in case they are listed again.
     hold_offs: HashMap<Incarnation, HoldOff>,
-    /// The data halls that are to be emptied.
+    /// The data halls that operators have asked to be emptied.
     emptied: Emptied,
-    /// The store's revision up to which all changes are known.
+    /// The store revision up to which all changes are known.
     revision: u64,
-    /// The last removals, with the revision by which each was known.
+    /// The latest removals, each with the revision at which it became known.
     removals: VecDeque<(u64, String)>,
-    /// The revision up to which removals are no longer remembered.
+    /// The revision up to which removals have been forgotten.
     removals_from: u64,
 }
 
-/// What changed among the backend servers after a revision.
+/// The changes to the backend servers after a revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The revision that it leads to.
+    /// The revision that this delta leads to.
     pub revision: u64,
-    /// Whether it lists all there are, so that others are gone.
+    /// Whether `set` is the complete list, so that instances missing from it are removed.
     pub is_whole: bool,
-    /// Backend servers that are new or changed.
+    /// New or changed backend servers.
     pub set: Vec<Backend>,
-    /// Instances that are gone.
+    /// Removed instances.
     pub removed: Vec<String>,
-    /// Starts that leave by their own word, which the list does not tell.
+    /// Incarnations that announced that they leave while the platform lists them as ready.
     #[serde(default)]
     pub leaving: Vec<Incarnation>,
-    /// The limits that starts name.
+    /// The rate limits that incarnations have announced.
     #[serde(default)]
     pub limits: Vec<LimitTold>,
 }
 
-/// What of a [`Delta`] was news.
+/// The part of a [`Delta`] that was not known before.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Applied {
-    /// How many backend servers were new or changed.
+    /// The number of new or changed backend servers.
     pub set: usize,
-    /// Instances that were taken out.
+    /// The removed instances.
     pub removed: Vec<String>,
 }
 
 impl Applied {
-    /// Tells whether there was any news.
+    /// Tells whether the delta changed anything.
     pub fn has_news(&self) -> bool {
         self.set > 0 || !self.removed.is_empty()
     }
 }
 
 impl Fleet {
-    /// The store's revision up to which all changes are known.
+    /// Returns the store revision up to which all changes are known.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Notes that all changes up to a revision are known.
+    /// Records that all changes up to a revision are known.
     pub fn publish(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// What changed after a revision.
+    /// Returns the changes after a revision.
     pub fn since(&self, revision: u64, now_ms: u64) -> Delta {
         let is_whole = revision < self.removals_from || revision == 0;
         let after = if is_whole { 0 } else { revision + 1 };
         let changed = self.by_stamp.range((after, BackendKey(0))..);
-        // One that went and is back since is among those that changed.
+        // An instance that was removed and listed again since is among the changed ones.
         let removed = self.removals.iter().filter(|(stamp, instance)| {
             !is_whole && *stamp > revision && !self.by_instance.contains_key(instance)
         });
@@ -165,10 +175,11 @@
         }
     }
 
-    /// Takes in what another VM knows; tells what of it is news.
+    /// Applies the list that another VM sent and returns what was new.
     pub fn apply(&mut self, delta: Delta, now_ms: u64) -> Applied {
         let mut applied = Applied::default();
-        // Of one that the list names first, the word is known before.
+        // Leave notices are applied first, so that a newly listed incarnation that leaves never
+        // gets a request.
         delta.leaving.iter().for_each(|of| {
             self.leave(of, now_ms);
         });
@@ -185,7 +196,7 @@
             let missing = self.instances().filter(|instance| !listed.contains(instance));
             removed.extend(missing.map(str::to_owned));
         }
-        // What this VM itself has read of a later revision stands.
+        // Entries that this VM has read at a later revision take precedence.
         let is_later = |fleet: &Fleet, instance: &str| {
             let key = fleet.by_instance.get(instance);
             key.is_some_and(|key| fleet.arena[key.0 as usize].stamp > delta.revision)
@@ -202,9 +213,10 @@
         applied
     }
 
-    /// Takes in what the platform says of a backend server; true if that is news.
+    /// Applies the platform's entry of a backend server; returns whether it changed anything.
     ///
-    /// One that has started again is another, of which nothing is known. Late word of an earlier start is left aside.
+    /// A restarted instance is a new incarnation without history. Entries of an earlier incarnation
+    /// are ignored.
     pub fn set(&mut self, backend: Backend, stamp: u64, now_ms: u64) -> bool {
         let of = backend.incarnation();
         if self.ended.covers(&of) {
@@ -223,10 +235,11 @@
             self.retire(key);
         } else if let Some((key, _)) = known {
             let member = &mut self.arena[key.0 as usize];
-            // What a listed one has said holds also when the memory of words was full.
+            // A listed incarnation keeps its announcement even if `leaving` has evicted it.
             let leaves = leaves || member.is_gone;
             let is_news = member.backend != backend || member.is_gone != leaves;
-            // One that leaves stays known, without work, until the platform no longer lists it.
+            // A leaving backend server stays known, without new requests, until the platform no
+            // longer lists it.
             member.is_gone = leaves;
             if backend.is_leaving {
                 member.said_leaving_ms = None;
@@ -250,7 +263,8 @@
         member.limit = self.unlisted_limits.remove(&of).unwrap_or_default();
         let is_limited = member.limit.per_s().is_some();
         member.is_gone = leaves;
-        // When it said so first is no longer known; it is no last resort any more.
+        // The time of the first announcement is unknown here, so it no longer qualifies as a last
+        // resort.
         member.said_leaving_ms = is_untold.then_some(0);
         let key = BackendKey(self.arena.insert(member) as u32);
         if is_untold {
@@ -265,7 +279,7 @@
         true
     }
 
-    /// Notes that a backend server takes no more work; true if that is news.
+    /// Removes an instance from the list; returns whether it was listed.
     pub fn remove(&mut self, instance: &str, stamp: u64) -> bool {
         let Some(key) = self.by_instance.get(instance).copied() else { return false };
         self.retire(key);
@@ -278,7 +292,7 @@
         true
     }
 
-    /// Takes a start out of use and forgets its instance.
+    /// Takes an incarnation out of service and forgets its instance.
     fn retire(&mut self, key: BackendKey) {
         let member = &mut self.arena[key.0 as usize];
         member.is_gone = true;
@@ -298,7 +312,8 @@
         self.drop_if_done(key);
     }
 
-    /// Notes that a start has ended for certain; true if that is news.
+    /// Records that an incarnation has ended; returns whether that was new and removed it from the
+    /// list.
     pub fn end_incarnation(&mut self, ended: &Incarnation) -> bool {
         let Incarnation { instance, born_ms } = ended;
         let is_news = self.ended.note(ended);
@@ -308,44 +323,46 @@
         is_known && self.remove(instance, self.revision) && is_news
     }
 
-    /// The instances that may take work.
+    /// Iterates over the listed instances.
     pub fn instances(&self) -> impl Iterator<Item = &str> {
         self.by_instance.keys().map(String::as_str)
     }
 
-    /// The slots of those of a service that may take work.
+    /// Returns the total slots of a service's backend servers in service.
     pub fn slots(&self, service: &str) -> u32 {
         self.rosters.get(service).map_or(0, Roster::slots)
     }
 
-    /// The keys of a service's backend servers that may take work.
+    /// Returns the keys of a service's backend servers in service.
     pub fn of_service(&self, service: &str) -> &[BackendKey] {
         self.rosters.get(service).map_or(&[], Roster::keys)
     }
 
-    /// A backend server as it looks to whoever chooses.
+    /// Evaluates a backend server for a request.
     pub fn choice(&self, key: BackendKey, asker: &Asker<'_>, now_ms: u64) -> Choice {
         let member = &self.arena[key.0 as usize];
         member.choice(key, asker, &self.routes, self.episodes_at(member), now_ms)
     }
 
-    /// The share of a service's last outcomes that were failures, as far as this VM saw or was told.
+    /// Returns the share of recent attempts at a service that failed, from this VM's outcomes and
+    /// other VMs' reports.
     pub fn failed_share(&self, service: &str) -> f64 {
         self.episodes.get(service).unwrap_or(&self.assumed).failed_share()
     }
 
-    /// Where a backend server listens, and its instance.
+    /// Returns the address and the instance of a backend server.
     pub fn target(&self, key: BackendKey) -> (SocketAddr, &str) {
         let backend = &self.arena[key.0 as usize].backend;
         (backend.address, &backend.instance)
     }
 
-    /// Which start of which backend server a key stands for.
+    /// Returns the incarnation that a key stands for.
     pub fn incarnation(&self, key: BackendKey) -> Incarnation {
         self.arena[key.0 as usize].backend.incarnation()
     }
 
-    /// The key of a route, whose times are assumed from its objective until answers have come.
+    /// Returns the key of a route; its latencies are estimated from the objective until answers are
+    /// observed.
     pub fn route_key(&mut self, route: &str, objective_ms: u64) -> RouteKey {
         if let Some(key) = self.key_by_route.get(route) {
             return *key;
@@ -355,12 +372,12 @@
         key
     }
 
-    /// What a route's requests have shown of late.
+    /// Returns the observed latencies and answer sizes of a route.
     pub fn route(&self, key: RouteKey) -> &RouteProfile {
         &self.routes[key.0 as usize]
     }
 
-    /// Counts a request as under way.
+    /// Records that a request is sent to a backend server.
     pub fn begin(&mut self, key: BackendKey, route: RouteKey, now_ms: u64) {
         self.arena[key.0 as usize].begin(route, now_ms);
         self.busy.insert(key);
@@ -368,7 +385,7 @@
         self.mark_unreported(key);
     }
 
-    /// Notes that a request under way has reached its backend server.
+    /// Records that a request in flight has reached its backend server.
     pub fn reach(&mut self, key: BackendKey, now_ms: u64) {
         if let Some(member) = self.arena.get_mut(key.0 as usize) {
             member.reach(now_ms);
@@ -376,7 +393,7 @@
         }
     }
 
-    /// Counts a request as over; `since_ms` and `route` are those it began with.
+    /// Records the end of a request; `since_ms` and `route` are those passed to [`Fleet::begin`].
     pub fn end(
         &mut self,
         key: BackendKey,
@@ -388,7 +405,7 @@
         let member = &mut self.arena[key.0 as usize];
         let episodes = self.episodes.entry(member.backend.service.clone()).or_default();
         let was_sound = member.was_sound(episodes, now_ms);
-        // The end of one that leaves is no failure.
+        // A request cut off because its backend server leaves is no evidence of a failure.
         let is_good = matches!(outcome, Outcome::Good { .. });
         let outcome = if member.is_gone && !is_good { Outcome::NoEvidence } else { outcome };
         self.has_bad_news |= member.end(since_ms, route, outcome, &self.routes, episodes, now_ms);
@@ -407,7 +424,7 @@
         self.drop_if_done(key);
     }
 
-    /// The chance that a request under way, sent off at `since_ms`, is not answered by `until_ms`.
+    /// Returns the probability that a request sent at `since_ms` is not answered by `until_ms`.
     pub fn miss_chance(
         &self,
         key: BackendKey,
@@ -421,7 +438,8 @@
         member.miss_chance(since_ms, route, until_ms, &self.routes, episodes, now_ms)
     }
 
-    /// Notes which requests under way have become so late that other VMs should hear of it.
+    /// Marks backend servers whose requests in flight are so overdue that other VMs should be told;
+    /// returns whether there are any.
     pub fn note_overdue(&mut self, now_ms: u64) -> bool {
         let is_late =
             |key: &BackendKey| self.arena[key.0 as usize].has_overdue_news(&self.routes, now_ms);
@@ -431,12 +449,12 @@
         !keys.is_empty()
     }
 
-    /// Tells whether a request of this VM is under way anywhere.
+    /// Tells whether this VM has any request in flight.
     pub fn is_busy(&self) -> bool {
         !self.busy.is_empty()
     }
 
-    /// Takes in what another VM tells of a start; true if a slot may have become free.
+    /// Applies another VM's report of an incarnation; returns whether a slot may have become free.
     pub fn report(&mut self, of: &Incarnation, vm: u64, report: Report) -> bool {
         let Some(key) = self.by_instance.get(&of.instance).copied() else { return false };
         let member = &mut self.arena[key.0 as usize];
@@ -449,13 +467,13 @@
         has_freed
     }
 
-    /// Tells whether a failure is among what other VMs have not heard.
+    /// Tells whether the unreported state includes a failure.
     pub fn has_bad_news(&self) -> bool {
         self.has_bad_news
     }
 
-    /// Takes the keys of those of which other VMs have not heard the latest, and whether a failure
-    /// is among it.
+    /// Takes the backend servers whose latest state has not been reported, and whether it includes
+    /// a failure.
     pub fn take_unreported(&mut self) -> (Vec<BackendKey>, bool) {
         let keys = std::mem::take(&mut self.unreported);
         for key in &keys {
@@ -466,12 +484,12 @@
         (keys, std::mem::take(&mut self.has_bad_news))
     }
 
-    /// The keys of those where requests of this VM are under way.
+    /// Iterates over the backend servers with requests of this VM in flight.
     pub fn busy(&self) -> impl Iterator<Item = BackendKey> + '_ {
         self.busy.iter().copied()
     }
 
-    /// What other VMs should hear of some backend servers.
+    /// Builds the reports of some backend servers for other VMs.
     pub fn reports(&mut self, keys: &[BackendKey], now_ms: u64) -> Vec<BackendReport> {
         let Fleet { arena, routes, .. } = self;
         let report =
@@ -479,17 +497,17 @@
         keys.iter().filter_map(report).collect()
     }
 
-    /// Tells whether a backend server takes work.
+    /// Tells whether a backend server is in service.
     pub fn is_listed(&self, key: BackendKey) -> bool {
         self.arena.get(key.0 as usize).is_some_and(|member| !member.is_gone)
     }
 
-    /// What is known of episodes at the service of a backend server.
+    /// Returns the episode statistics of a backend server's service.
     fn episodes_at(&self, member: &BackendState) -> &Episodes {
         self.episodes.get(&member.backend.service).unwrap_or(&self.assumed)
     }
 
-    /// Puts a backend server on its service's list, or takes it off.
+    /// Adds a backend server to its service's roster, or removes it if it is out of service.
     fn list(&mut self, key: BackendKey) {
         let Backend { service, slots, .. } = &self.arena[key.0 as usize].backend;
         let is_gone = self.arena[key.0 as usize].is_gone;
@@ -501,7 +519,7 @@
         }
     }
 
-    /// Notes that something was heard of a backend server.
+    /// Marks a backend server as recently observed in its roster.
     fn hear(&mut self, key: BackendKey) {
         let service = &self.arena[key.0 as usize].backend.service;
         if let Some(roster) = self.rosters.get_mut(service) {
@@ -509,7 +527,7 @@
         }
     }
 
-    /// Notes that other VMs have yet to hear the latest.
+    /// Queues a backend server for the next report to other VMs.
     fn mark_unreported(&mut self, key: BackendKey) {
         let member = &mut self.arena[key.0 as usize];
         if !std::mem::replace(&mut member.is_unreported, true) {
@@ -517,7 +535,8 @@
         }
     }
 
-    /// Forgets a backend server that is gone once nothing is under way there.
+    /// Drops a backend server that is out of service and unlisted once no request is in flight
+    /// there.
     fn drop_if_done(&mut self, key: BackendKey) {
         let member = &self.arena[key.0 as usize];
         let is_listed = self.by_instance.get(&member.backend.instance) == Some(&key);
--- a/crates/leverstream-core/src/fleet/backend_state.rs
+++ b/crates/leverstream-core/src/fleet/backend_state.rs
@@ -1,3 +1,6 @@
+//! The observed state of one backend server: requests in flight, outcomes, suspicion of failure and
+//! speed.
+
 use std::collections::HashMap;
 
 use leverstream_catalog::{Backend, Incarnation};
@@ -10,171 +13,176 @@
 use crate::fleet::limit::Limit;
 use crate::fleet::{Asker, RouteKey};
 
-/// How long another VM's count of requests under way is believed, in milliseconds.
-///
-/// Somewhat more than two of the repeats by which lost datagrams are made up for.
+/// How long another VM's count of requests in flight stays valid, in milliseconds: slightly more
+/// than two periods of the repeated reports that make up for lost datagrams.
 const REPORT_HOLDS_MS: u64 = 2_500;
 
-/// How many VMs' reports are kept before those of VMs long silent are dropped: each restart of a VM makes
-/// a new one.
+/// The number of VM reports kept before the reports of silent VMs are dropped; each restart of a VM
+/// adds one.
 const REPORTS_LIMIT: usize = 256;
 
-/// After how long without a word a VM's report is dropped then, in milliseconds.
+/// The silence after which a VM's report is dropped once there are too many, in milliseconds.
 const SILENT_AFTER_MS: u64 = 30_000;
 
-/// How much one answer's time changes what is thought of a backend server's speed.
+/// The weight of one answer in the moving average of slowness.
 const SLOWNESS_STEP: f64 = 0.2;
 
-/// How long what is thought of the speed takes to halve, in milliseconds.
+/// The time in which slowness decays halfway to normal without answers, in milliseconds.
 const SLOWNESS_HALF_LIFE_MS: f64 = 3_000.0;
 
-/// The bounds of what is thought of the speed: times the usual.
+/// The bounds of one answer's slowness, as multiples of the route's median latency.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.7, 8.0);
 
-/// How long after its last failure a backend server counts as sound for the floor, in milliseconds: a
-/// little less than the users' two seconds.
+/// The time since its last failure after which the floor counts a backend server as sound, in
+/// milliseconds: slightly less than the two seconds over which the users measure the floor.
 const SOUND_AFTER_MS: u64 = 1_900;
 
-/// How long a request may be on its way to a backend server that it has not reached, in milliseconds: a new
-/// connection takes one or two, and is given up after 300.
+/// The longest time that a request may take to reach a backend server, in milliseconds. Opening a
+/// connection takes one or two and is abandoned after 300.
 const ON_ITS_WAY_MS: u64 = 300;
 
-/// From which share of a route's requests on that get no answer in time at sound backend servers one more says
-/// little of where it was.
+/// The share of a route's requests that expire at sound backend servers from which a further expiry
+/// says little about the backend server.
 const EXPIRES_ANYWHERE_FROM: f64 = 0.15;
 
-/// Below which chance of a failure a backend server is taken to be sound where a route is judged.
+/// The failure probability below which a backend server counts as sound for a route's expiry
+/// statistics.
 const SOUND_BELOW: f64 = 0.25;
 
-/// From how many times the usual time on a backend server counts as slow.
+/// The slowness from which a backend server counts as slow.
 const SLOW_FROM: f64 = 2.0;
 
-/// For how long after it was listed a backend server counts as new, in milliseconds: it starts slow, and what
-/// it replaces has just gone.
+/// How long after its listing a backend server counts as new, in milliseconds: it starts slowly,
+/// and the one it replaces has just gone.
 const NEW_FOR_MS: u64 = 6_000;
 
-/// By how many times what this VM's requests under way say must have grown before others are told again.
+/// The factor by which the overdue odds must grow before other VMs are told again.
 const OVERDUE_NEWS_STEP: f64 = 3.0;
 
-/// One backend server, with what was seen of it.
+/// A backend server with what was observed of it.
 pub(crate) struct BackendState {
-    /// What the platform says of it.
+    /// The platform's entry.
     pub backend: Backend,
-    /// The store's revision by which that was known.
+    /// The store revision of the entry's last change.
     pub stamp: u64,
-    /// When it was first listed.
+    /// When the incarnation was first listed.
     listed_ms: u64,
-    /// Until when it is slow from its start.
+    /// The end of its warm-up.
     cold_until_ms: u64,
-    /// Whether it takes no more work.
+    /// Whether it gets no new requests.
     pub is_gone: bool,
-    /// When it said itself that it leaves, as long as the platform does not tell.
+    /// When it announced that it leaves; none once the platform lists it as leaving.
     pub said_leaving_ms: Option<u64>,
-    /// For how long it wants nothing of this VM.
+    /// How long it has asked this VM to send nothing.
     pub hold_off: HoldOff,
-    /// How many requests a second it takes from all VMs together, if it says.
+    /// The rate limit over all VMs that it has announced.
     pub limit: Limit,
-    /// This VM's requests under way there.
+    /// This VM's requests in flight there.
     flights: Vec<Flight>,
-    /// What other VMs were last told of how late they are.
+    /// The overdue odds last reported to other VMs, at least 1.
     told_overdue_odds: f64,
-    /// What other VMs have told, by VM.
+    /// The latest report of each other VM.
     reports: HashMap<u64, Report>,
-    /// The VMs whose requests are under way there, or were late, by their last reports.
+    /// The VMs whose latest report has requests in flight or overdue ones.
     busy_vms: Vec<u64>,
-    /// Whether it is in an episode of failures, by the last outcomes.
+    /// The probability that it is in a failure episode, from the recent outcomes.
     suspicion: Suspicion,
-    /// How many times the usual time its answers take.
+    /// Its latency as a multiple of the route's median, as a moving average.
     slowness: f64,
-    /// When that was last brought up to date.
+    /// When `slowness` was last updated.
     slowness_at_ms: u64,
-    /// This VM's good outcomes since it started.
+    /// The number of this VM's good outcomes.
     good: u64,
-    /// This VM's bad outcomes since it started.
+    /// The number of this VM's bad outcomes.
     bad: u64,
-    /// When a request last reached it, of whichever VM, as far as known; when it was first listed, if none has.
+    /// When a request of any VM last reached it, as far as known; when it was first listed, if none
+    /// has.
     reached_ms: u64,
     /// When a request of this VM last reached it.
     own_reached_ms: Option<u64>,
-    /// Whether other VMs have yet to hear the latest.
+    /// Whether it is queued for the next report to other VMs.
     pub is_unreported: bool,
 }
 
-/// A request under way.
+/// A request in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Flight {
-    /// When it was sent off.
+    /// When it was sent.
     since_ms: u64,
     /// Its route.
     route: RouteKey,
 }
 
-/// How a request at a backend server ended.
+/// How an attempt at a backend server ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// A sound answer after so long.
+    /// A sound answer.
     Good {
-        /// How long it took.
+        /// The latency, in milliseconds.
         time_ms: f64,
-        /// The size of its body.
+        /// The size of the answer's body.
         bytes: usize,
     },
-    /// A failure that speaks against the backend server.
+    /// A failure of the backend server.
     Bad,
-    /// No answer by the request's own limit, which may be shorter than the work takes anywhere.
+    /// No answer within the request's own time limit, which may be shorter than the work takes at
+    /// any backend server.
     Expired,
-    /// Nothing can be learned, unless it was given up after so long that it speaks of a stall.
+    /// The attempt was abandoned without an answer; it counts as a failure only if it was overdue.
     Nothing,
-    /// An end that says nothing of how sound the backend server is, such as its word that it has no room.
+    /// An end that is no evidence about the backend server's health, such as an answer that it has
+    /// no capacity.
     NoEvidence,
 }
 
-/// What another VM tells of a backend server; counts since that VM started.
+/// Another VM's report of a backend server; its counters start at zero when that VM starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Its requests under way.
+    /// Its requests in flight.
     pub in_flight: u32,
-    /// Good outcomes.
+    /// The number of good outcomes.
     pub good: u64,
-    /// Bad outcomes.
+    /// The number of bad outcomes.
     pub bad: u64,
-    /// How many times likelier its requests under way make an episode of failures; 1 says nothing.
+    /// The likelihood ratio by which its overdue requests in flight raise the odds of a failure
+    /// episode; 1 is neutral.
     pub overdue_odds: f64,
-    /// When a request of its last reached the backend server, by the clock of whoever holds the report.
+    /// When one of its requests last reached the backend server, by the clock of the VM that holds
+    /// the report.
     pub reached_ms: Option<u64>,
-    /// When it was heard.
+    /// When the report was received.
     pub heard_ms: u64,
 }
 
 impl Report {
-    /// How long before the report was made a request last reached the backend server, in milliseconds.
+    /// Returns the time between the last arrival of a request and the report, in milliseconds.
     pub fn reached_age_ms(&self) -> Option<u32> {
         let age_ms = self.heard_ms.saturating_sub(self.reached_ms?);
         Some(u32::try_from(age_ms).unwrap_or(u32::MAX))
     }
 
-    /// How many requests have ended.
+    /// Returns the number of completed requests.
     fn ended(&self) -> u64 {
         self.good + self.bad
     }
 
-    /// Tells whether requests are under way, or say something by how late they are.
+    /// Tells whether it has requests in flight, or overdue ones that carry evidence.
     fn is_busy(&self) -> bool {
         self.in_flight > 0 || self.overdue_odds != 1.0
     }
 }
 
-/// What a VM tells others of a backend server.
+/// A VM's report of one incarnation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendReport {
-    /// Which start of which backend server.
+    /// The incarnation.
     pub of: Incarnation,
-    /// The counts.
+    /// The report.
     pub report: Report,
 }
 
 impl BackendState {
-    /// A backend server of which nothing was seen yet.
+    /// Creates the state of a backend server without observations.
     pub fn open(backend: Backend, stamp: u64, now_ms: u64) -> BackendState {
         BackendState {
             stamp,
@@ -200,7 +208,7 @@
         }
     }
 
-    /// How it looks to whoever chooses.
+    /// Evaluates it for a request.
     pub fn choice(
         &self,
         key: BackendKey,
@@ -226,7 +234,7 @@
         }
     }
 
-    /// How it stands to the floor.
+    /// Returns its state with respect to the floor.
     fn floor_standing(&self, now_ms: u64) -> FloorStanding {
         let is_sound =
             self.suspicion.bad_age_ms(now_ms).is_none_or(|age_ms| age_ms >= SOUND_AFTER_MS);
@@ -235,9 +243,10 @@
         FloorStanding { is_sound, is_steady, unused_ms: self.unused_ms(now_ms) }
     }
 
-    /// How long ago a request last reached it, in milliseconds; 0 if one is on its way.
+    /// Returns the time since a request last reached it, in milliseconds; 0 if one is on its way.
     ///
-    /// One that works on a request which reached it earlier is not used, however long that takes.
+    /// A backend server that still works on an earlier request counts as unused, however long the
+    /// work takes.
     fn unused_ms(&self, now_ms: u64) -> u64 {
         let is_on_its_way =
             |flight: &Flight| now_ms.saturating_sub(flight.since_ms) < ON_ITS_WAY_MS;
@@ -247,23 +256,23 @@
         }
     }
 
-    /// Tells whether requests of this VM are under way there.
+    /// Tells whether this VM has requests in flight there.
     pub fn is_busy(&self) -> bool {
         !self.flights.is_empty()
     }
 
-    /// Counts a request as under way.
+    /// Records that a request is sent.
     pub fn begin(&mut self, route: RouteKey, now_ms: u64) {
         self.flights.push(Flight { since_ms: now_ms, route });
     }
 
-    /// Notes that a request of this VM has reached it.
+    /// Records that a request of this VM has arrived.
     pub fn reach(&mut self, now_ms: u64) {
         self.reached_ms = now_ms;
         self.own_reached_ms = Some(now_ms);
     }
 
-    /// Counts a request as over; true if that speaks against the backend server.
+    /// Records the end of a request; returns whether it is evidence of a failure.
     pub fn end(
         &mut self,
         since_ms: u64,
@@ -301,46 +310,46 @@
         }
     }
 
-    /// Notes a failure, which speaks against it.
+    /// Records a failure.
     fn note_bad(&mut self, episodes: &mut Episodes, now_ms: u64) -> bool {
         self.bad += 1;
         self.suspicion.bad(1, episodes, now_ms);
         true
     }
 
-    /// Notes a request without an answer after a time that a share of the sound answers exceed; true if that
-    /// speaks against it.
+    /// Records an attempt without an answer; `slower_share` is the share of sound answers that take
+    /// longer. Returns whether it counts as a failure.
     fn note_unanswered(&mut self, slower_share: f64, episodes: &Episodes, now_ms: u64) -> bool {
         let is_bad = self.suspicion.unanswered(slower_share, episodes, now_ms);
         self.bad += u64::from(is_bad);
         is_bad
     }
 
-    /// Tells whether it was taken to be sound by its last outcomes.
+    /// Tells whether its recent outcomes suggested that it was sound.
     pub fn was_sound(&self, episodes: &Episodes, now_ms: u64) -> bool {
         self.suspicion.failure_chance(1.0, episodes, now_ms) < SOUND_BELOW
     }
 
-    /// The share of sound answers that take longer than a request has been under way.
+    /// Returns the share of sound answers that take longer than a request has been in flight.
     fn slower_share(&self, flight: &Flight, routes: &Slab<RouteProfile>, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(flight.since_ms) as f64;
         let slowness = self.faded_slowness(now_ms).max(1.0);
         routes[flight.route.0 as usize].times.slower_share(age_ms / slowness)
     }
 
-    /// How many times likelier this VM's requests under way make an episode of failures.
+    /// Returns the likelihood ratio of a failure episode from this VM's requests in flight.
     fn own_overdue_odds(&self, routes: &Slab<RouteProfile>, now_ms: u64) -> f64 {
         let shares = self.flights.iter().map(|flight| self.slower_share(flight, routes, now_ms));
         shares.map(Suspicion::overdue_odds).product()
     }
 
-    /// The same with those of other VMs.
+    /// Returns the likelihood ratio of a failure episode from all VMs' requests in flight.
     fn overdue_odds(&self, routes: &Slab<RouteProfile>, now_ms: u64) -> f64 {
         let others = self.fresh_reports(now_ms).map(|report| report.overdue_odds);
         self.own_overdue_odds(routes, now_ms) * others.product::<f64>()
     }
 
-    /// The chance that a request under way here is not answered by `until_ms`.
+    /// Returns the probability that a request in flight is not answered by `until_ms`.
     pub fn miss_chance(
         &self,
         since_ms: u64,
@@ -358,15 +367,15 @@
         silent + (1.0 - silent) * (by_then / by_now).min(1.0)
     }
 
-    /// Tells whether this VM's requests under way say much more than other VMs were told.
+    /// Tells whether the overdue odds have grown enough since the last report to tell other VMs.
     pub fn has_overdue_news(&self, routes: &Slab<RouteProfile>, now_ms: u64) -> bool {
         self.own_overdue_odds(routes, now_ms) >= OVERDUE_NEWS_STEP * self.told_overdue_odds
     }
 
-    /// Takes in what another VM tells; true if a slot may have become free.
+    /// Applies another VM's report; returns whether a slot may have become free.
     ///
-    /// The first report of a VM is the baseline for its next, as it may tell of what happened long ago;
-    /// but one that tells of a single outcome was sent because of it.
+    /// The first report of a VM is only a baseline, as its counts may be old. A first report with a
+    /// single outcome counts, as that outcome triggered it.
     pub fn report(&mut self, vm: u64, report: Report, episodes: &mut Episodes) -> bool {
         if self.reports.len() >= REPORTS_LIMIT {
             let now_ms = report.heard_ms;
@@ -388,26 +397,26 @@
         report.in_flight < before.in_flight
     }
 
-    /// Requests under way there, from all VMs as far as known.
+    /// Returns the number of requests in flight from all VMs, as far as known.
     fn load(&self, now_ms: u64) -> u32 {
         let others = self.fresh_reports(now_ms).map(|report| report.in_flight);
         self.flights.len() as u32 + others.sum::<u32>()
     }
 
-    /// What other VMs have told of requests under way, so short a while ago that it is still believed.
+    /// Iterates over the reports whose counts of requests in flight are still valid.
     fn fresh_reports(&self, now_ms: u64) -> impl Iterator<Item = &Report> {
         let is_fresh =
             move |report: &&Report| now_ms.saturating_sub(report.heard_ms) < REPORT_HOLDS_MS;
         self.busy_vms.iter().filter_map(|vm| self.reports.get(vm)).filter(is_fresh)
     }
 
-    /// What its answers say of its speed, fading towards the usual.
+    /// Returns the slowness, decayed towards normal.
     fn faded_slowness(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.slowness_at_ms) as f64;
         1.0 + (self.slowness - 1.0) * (-age_ms / SLOWNESS_HALF_LIFE_MS).exp2()
     }
 
-    /// Notes an answer's time as a multiple of the usual.
+    /// Updates the slowness with an answer's latency, as a multiple of the route's median.
     fn note_time(&mut self, factor: f64, now_ms: u64) {
         let (low, high) = SLOWNESS_BOUNDS;
         let faded = self.faded_slowness(now_ms);
@@ -415,7 +424,7 @@
         self.slowness_at_ms = now_ms;
     }
 
-    /// What other VMs should hear.
+    /// Builds the report for other VMs.
     pub fn take_report(&mut self, routes: &Slab<RouteProfile>, now_ms: u64) -> BackendReport {
         let overdue_odds = self.own_overdue_odds(routes, now_ms);
         self.told_overdue_odds = overdue_odds.max(1.0);
--- a/crates/leverstream-core/src/fleet/departures.rs
+++ b/crates/leverstream-core/src/fleet/departures.rs
@@ -1,25 +1,29 @@
+//! The set of incarnations that have ended or leave.
+
 use std::collections::{HashMap, VecDeque};
 
 use leverstream_catalog::Incarnation;
 
-/// How many instances are remembered, the first heard of dropped first: a third of 74,000 backend servers replaced at
-/// once, in 3 MB. What is dropped matters only if the platform lists that start for the first time afterwards.
+/// The maximum number of instances remembered; the oldest are evicted first. It holds a third of
+/// 74,000 backend servers replaced at once, in 3 MB. An evicted one matters only if the platform
+/// lists that incarnation for the first time afterwards.
 const LIMIT: usize = 32_768;
 
-/// Starts of backend servers of which something final is known, whatever the platform lists.
+/// Incarnations that have irrevocably ended or begun to leave, whatever the platform lists.
 ///
-/// Of each instance the last such start counts, with all before it. Words merge by the later start, so their order and
-/// how often each is heard do not matter, and nothing older takes one back.
+/// Of each instance, only the latest such incarnation is stored, and it covers all earlier ones.
+/// Merging takes the later incarnation, so it is commutative and idempotent, and stale messages
+/// undo nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Departures {
-    /// When the last such start of each instance began.
+    /// The start time of the latest such incarnation, by instance.
     born_ms: HashMap<String, u64>,
-    /// The instances in the order in which they were first heard of.
+    /// The instances in the order of insertion, for eviction.
     order: VecDeque<String>,
 }
 
 impl Departures {
-    /// Takes a word in; true if it is news.
+    /// Adds an incarnation; returns whether it was new.
     pub fn note(&mut self, of: &Incarnation) -> bool {
         if self.covers(of) {
             return false;
@@ -33,7 +37,7 @@
         true
     }
 
-    /// Tells whether a start, or a later one of its instance, is among them.
+    /// Tells whether the set has an incarnation or a later one of its instance.
     pub fn covers(&self, of: &Incarnation) -> bool {
         self.born_ms.get(&of.instance).is_some_and(|born_ms| of.born_ms <= *born_ms)
     }
--- a/crates/leverstream-core/src/fleet/emptied.rs
+++ b/crates/leverstream-core/src/fleet/emptied.rs
@@ -1,25 +1,26 @@
-//! Data halls to whose backend servers nothing is sent, as operators ask.
+//! Data halls that operators have asked to be emptied; no request goes to their backend servers.
 
 use std::collections::BTreeSet;
 
 use super::Fleet;
 
-/// The data halls that are to be emptied, as of a revision of the store.
+/// The data halls to be emptied, as of a store revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Emptied {
-    /// The revision; 0 before anything is known.
+    /// The revision; 0 until one is known.
     pub revision: u64,
-    /// Their names.
+    /// The names of the halls.
     pub halls: BTreeSet<String>,
 }
 
 impl Fleet {
-    /// The data halls that are to be emptied, as far as known.
+    /// Returns the data halls to be emptied, as far as known.
     pub fn emptied(&self) -> &Emptied {
         &self.emptied
     }
 
-    /// Takes in which are, unless what is known is as new; true if other halls are than before.
+    /// Applies a newer set of halls; returns whether the halls changed. A set of the same or an
+    /// earlier revision is ignored.
     pub fn set_emptied(&mut self, emptied: Emptied) -> bool {
         if emptied.revision <= self.emptied.revision {
             return false;
--- a/crates/leverstream-core/src/fleet/leaving.rs
+++ b/crates/leverstream-core/src/fleet/leaving.rs
@@ -1,4 +1,8 @@
-//! Backend servers that leave or want nothing for a while by their own word.
+//! Backend servers that announce in an answer that they leave, or that they accept nothing for a
+//! while.
+//!
+//! A leave announcement is final for its incarnation: no platform entry undoes it, and only a new
+//! incarnation returns to service.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -8,34 +12,35 @@
 
 use super::{BackendState, Candidates, Fleet};
 
-/// Whether a service takes requests.
+/// Whether a service accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Openness {
-    /// Some backend server may, or will when it has a free slot.
+    /// A backend server accepts requests, now or once it has a free slot.
     Open,
-    /// There is no backend server.
+    /// No backend server is in service.
     Closed,
-    /// All want nothing; the first of them until then, in milliseconds.
+    /// All hold off; the earliest hold-off ends at this time, in milliseconds.
     HoldsOffUntil(u64),
-    /// All that want anything name a limit.
+    /// All that do not hold off have a rate limit.
     Limited {
-        /// How many requests a second this VM can count on.
+        /// The sum of the rates that this VM can count on, in requests a second.
         per_s: f64,
-        /// When the first of them may take one, in milliseconds.
+        /// The earliest time at which one of them may accept a request, in milliseconds.
         from_ms: u64,
     },
 }
 
 impl Fleet {
-    /// Sets for how long a backend server that has said that it leaves still gets the requests of a service that has no
-    /// other: it works on meanwhile, and what replaces it may be unknown while the store is away.
+    /// Sets how long a backend server that has announced that it leaves still gets requests if its
+    /// service has no other. It keeps serving meanwhile, and its replacement may not be known while
+    /// the store is unavailable.
     pub fn set_last_resort(&mut self, for_ms: u64) {
         self.last_resort_ms = for_ms;
     }
 
-    /// Notes that a start has said that it leaves; true if that is news.
+    /// Records that an incarnation has announced that it leaves; returns whether that was new.
     ///
-    /// Nothing that the platform lists takes it back, only another start is free of it.
+    /// Platform entries do not undo it; only a later incarnation returns to service.
     pub fn leave(&mut self, of: &Incarnation, now_ms: u64) -> bool {
         let is_news = self.leaving.note(of);
         let Some(key) = self.by_instance.get(&of.instance).copied() else { return is_news };
@@ -50,18 +55,19 @@
         true
     }
 
-    /// The starts that leave by their own word, while the platform lists them as if they stayed.
+    /// Iterates over the incarnations that announced that they leave while the platform lists them
+    /// as ready.
     pub fn leavers(&self) -> impl Iterator<Item = Incarnation> + '_ {
         self.leavers.iter().map(|key| self.incarnation(*key))
     }
 
-    /// A digest of what backend servers say of themselves and the platform does not, equal at VMs that know the same: who leaves,
-    /// and who names which limit. 0 if there is nothing.
+    /// Returns a fingerprint of the announcements that the platform does not list, equal at VMs
+    /// that know the same: leaving incarnations and rate limits. It is 0 if there are none.
     pub fn words_fingerprint(&self) -> u64 {
         self.leavers_fingerprint() ^ self.limits_fingerprint()
     }
 
-    /// A digest of those that leave.
+    /// Returns a fingerprint of the leaving incarnations.
     fn leavers_fingerprint(&self) -> u64 {
         let digest = |key: &BackendKey| {
             let backend = &self.arena[key.0 as usize].backend;
@@ -72,7 +78,7 @@
         self.leavers.iter().map(digest).fold(0, |all, one| all ^ one)
     }
 
-    /// Notes that a backend server wants no requests of this VM for a time.
+    /// Records that a backend server accepts no requests of this VM for some time.
     pub fn hold_off(&mut self, key: BackendKey, for_ms: u64, now_ms: u64) {
         self.hold_offs.retain(|_, unlisted| unlisted.until_ms(now_ms).is_some());
         if let Some(member) = self.arena.get_mut(key.0 as usize) {
@@ -80,7 +86,7 @@
         }
     }
 
-    /// Tells whether a request that chose a backend server may still be sent there.
+    /// Tells whether a request that has been assigned to a backend server may still be sent.
     pub fn may_send(&self, key: BackendKey, now_ms: u64) -> bool {
         let Some(member) = self.arena.get(key.0 as usize) else { return false };
         let is_in_service = !member.is_gone || self.is_last_resort(member, now_ms);
@@ -88,7 +94,8 @@
         is_in_service && !is_emptied && member.hold_off.until_ms(now_ms).is_none()
     }
 
-    /// Those that a request for a service may go to, or of many those of which most is known and some others.
+    /// Returns the backend servers among which a request may choose; of a large service, the
+    /// recently observed ones and a random sample of the rest.
     pub fn candidates(&self, service: &str, now_ms: u64, rng: &mut impl Rng) -> Candidates {
         let last_resorts = || {
             let keys: Vec<BackendKey> = self.last_resorts(service, now_ms).collect();
@@ -106,7 +113,7 @@
         candidates
     }
 
-    /// Tells whether a service takes requests.
+    /// Tells whether a service accepts requests.
     pub fn openness(&self, service: &str, now_ms: u64) -> Openness {
         let mut first_ms: Option<u64> = None;
         let mut shares: Vec<(f64, u64)> = Vec::new();
@@ -127,7 +134,7 @@
         }
     }
 
-    /// How many listed backend servers there are by state, for operators.
+    /// Counts the listed backend servers by state, for operators.
     pub fn census(&self, now_ms: u64) -> Census {
         let mut census = Census::default();
         for key in self.by_instance.values() {
@@ -145,15 +152,16 @@
         census
     }
 
-    /// Those of a service that serve, whether or not they want anything now: those in service, or where there are none,
-    /// those that left so short a while ago that they serve on.
+    /// Iterates over the backend servers that serve a service, including those that hold off: those
+    /// in service or, if there are none, those that may still serve as a last resort.
     fn serving(&self, service: &str, now_ms: u64) -> impl Iterator<Item = BackendKey> {
         let all = self.of_service(service).iter().copied();
         let all = all.chain(self.last_resorts(service, now_ms));
         all.filter(|key| !self.is_emptied(&self.arena[key.0 as usize].backend.hall))
     }
 
-    /// Those of a service that has no other which have said that they leave and still take work.
+    /// Iterates over the leaving backend servers that still get requests because their service has
+    /// no other.
     fn last_resorts(&self, service: &str, now_ms: u64) -> impl Iterator<Item = BackendKey> {
         let is_last_resort = move |key: &BackendKey| {
             let member = &self.arena[key.0 as usize];
@@ -162,7 +170,7 @@
         self.leavers.iter().copied().filter(is_last_resort)
     }
 
-    /// Tells whether one that has said that it leaves still takes work.
+    /// Tells whether a leaving backend server still gets requests.
     fn is_last_resort(&self, member: &BackendState, now_ms: u64) -> bool {
         let since_word_ms = member.said_leaving_ms.map(|said_ms| now_ms.saturating_sub(said_ms));
         since_word_ms.is_some_and(|since_ms| since_ms < self.last_resort_ms)
@@ -170,18 +178,18 @@
     }
 }
 
-/// How many listed backend servers there are by state.
+/// The number of listed backend servers by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Census {
-    /// Those that take work.
+    /// Those that take requests.
     pub in_service: u32,
     /// Those that the platform lists as leaving.
     pub leaving: u32,
-    /// Those that leave by their own word, which the platform does not tell.
+    /// Those that announced that they leave while the platform lists them as ready.
     pub leaving_by_word: u32,
-    /// Those that want nothing of this VM for now.
+    /// Those that hold off this VM.
     pub holding_off: u32,
-    /// Those that name a limit.
+    /// Those with a rate limit.
     pub limited: u32,
     /// Those in data halls that are to be emptied.
     pub emptied: u32,
--- a/crates/leverstream-core/src/fleet/limit.rs
+++ b/crates/leverstream-core/src/fleet/limit.rs
@@ -1,4 +1,7 @@
-//! Backend servers that name how many requests a second they take from all VMs together.
+//! Rate limits that backend servers announce, in requests a second over all VMs together.
+//!
+//! The notice whose request was sent last applies. With a limit, each request needs a permit; when
+//! permits are denied, the backend server is skipped until the denial ends.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -9,46 +12,47 @@
 
 use super::{BackendState, Fleet};
 
-/// How many starts that are not listed are remembered by the limits that they named.
+/// The maximum number of unlisted incarnations whose limits are remembered.
 const UNLISTED_LIMIT: usize = 4_096;
 
-/// What an answer has said of a limit.
+/// A limit as announced in an answer.
 ///
-/// Words are ordered by when the request was sent whose answer said so: one that overtook another on its way does not bring an
-/// older word back. Two requests whose answers were made in another order than the requests were sent are taken for what the
-/// later sent one heard, until the next answer.
+/// Notices are ordered by the time their request was sent, so a delayed answer does not restore an
+/// older limit. If the backend server made two answers in the other order, the one to the later
+/// request applies until the next answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitWord {
-    /// How many requests a second it takes; none if it named no limit.
+    /// The limit in requests a second; none if the answer had no limit.
     pub per_s: Option<f64>,
-    /// When the request was sent, in milliseconds by the clock of whoever holds this; before its start it is negative.
+    /// When the request was sent, in milliseconds by the holder's clock; negative if that was
+    /// before the holder's process started.
     pub sent_ms: i64,
 }
 
-/// What one VM tells another of a limit.
+/// A limit as one VM sends it to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitTold {
-    /// Which start named it.
+    /// The incarnation that announced it.
     pub of: Incarnation,
-    /// How many requests a second it takes; none if it names no limit any more.
+    /// The limit in requests a second; none if it has been lifted.
     pub per_s: Option<f64>,
-    /// How long ago the request was sent whose answer said so, in milliseconds.
+    /// The time since the request was sent whose answer announced it, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What one VM knows of the limit of a backend server.
+/// What a VM knows about the limit of a backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Limit {
-    /// The newest word.
+    /// The latest notice.
     word: Option<LimitWord>,
-    /// Until when there is no permit.
+    /// The time until which permits are denied.
     denied_until_ms: u64,
-    /// How many requests a second this VM can count on, if that was told.
+    /// The rate that this VM can count on, in requests a second, if known.
     share_per_s: Option<f64>,
 }
 
 impl LimitTold {
-    /// The word by the clock of whoever hears it now.
+    /// Converts it to the receiver's clock.
     pub fn word(&self, now_ms: u64) -> LimitWord {
         let age_ms = i64::try_from(self.age_ms).unwrap_or(i64::MAX);
         LimitWord { per_s: self.per_s, sent_ms: signed(now_ms).saturating_sub(age_ms) }
@@ -56,7 +60,7 @@
 }
 
 impl LimitWord {
-    /// What to tell another VM of it now.
+    /// Builds the message to another VM.
     pub fn told(&self, of: &Incarnation, now_ms: u64) -> LimitTold {
         let age_ms = signed(now_ms).saturating_sub(self.sent_ms);
         let age_ms = u64::try_from(age_ms).unwrap_or(0);
@@ -65,7 +69,7 @@
 }
 
 impl Limit {
-    /// Takes in a word, unless a newer one is known; true if the limit is another one now.
+    /// Applies a notice unless a newer one is known; returns whether the limit changed.
     fn note(&mut self, word: LimitWord) -> bool {
         if self.word.is_some_and(|known| word.sent_ms <= known.sent_ms) {
             return false;
@@ -78,22 +82,23 @@
         before != word.per_s
     }
 
-    /// The limit, if there is one.
+    /// Returns the limit in requests a second, if there is one.
     pub fn per_s(&self) -> Option<f64> {
         self.word.and_then(|word| word.per_s)
     }
 
-    /// The newest word.
+    /// Returns the latest notice.
     pub fn word(&self) -> Option<LimitWord> {
         self.word
     }
 
-    /// Tells whether a permit may be asked for.
+    /// Tells whether a permit may be requested.
     pub fn admits(&self, now_ms: u64) -> bool {
         now_ms >= self.denied_until_ms
     }
 
-    /// How many requests a second this VM can count on, and from when, if there is a limit.
+    /// Returns the rate that this VM can count on and the time from which it applies, if there is a
+    /// limit.
     pub fn share(&self) -> Option<(f64, u64)> {
         let per_s = self.per_s()?;
         Some((self.share_per_s.unwrap_or(per_s), self.denied_until_ms))
@@ -101,7 +106,7 @@
 }
 
 impl Fleet {
-    /// Takes in what an answer has said of the limit of a start; true if that changes what is known.
+    /// Applies a notice about an incarnation; returns whether the limit changed.
     pub fn note_limit(&mut self, of: &Incarnation, word: LimitWord, now_ms: u64) -> bool {
         let key = self.by_instance.get(&of.instance).copied();
         let known = key.map(|key| (key, self.arena[key.0 as usize].backend.born_ms));
@@ -112,7 +117,7 @@
         }
     }
 
-    /// Takes in a word of a listed start.
+    /// Applies a notice about a listed incarnation.
     fn note_listed(&mut self, key: BackendKey, word: LimitWord, now_ms: u64) -> bool {
         let member = &mut self.arena[key.0 as usize];
         if !member.limit.note(word) {
@@ -122,13 +127,13 @@
         if word.per_s.is_some() {
             self.limited.push(key);
         } else {
-            // All VMs hear it at one moment; each sends one request first.
+            // All VMs learn of the lifted limit at once, so each starts with a single request.
             self.arena[key.0 as usize].hold_off.begin_again(now_ms);
         }
         true
     }
 
-    /// Takes in a word of a start that is not listed: its entry may come late, or come back.
+    /// Applies a notice about an unlisted incarnation, which may be listed later or again.
     pub(super) fn note_unlisted(&mut self, of: &Incarnation, word: LimitWord) -> bool {
         if let Some(limit) = self.unlisted_limits.get_mut(of) {
             return limit.note(word);
@@ -142,17 +147,17 @@
         true
     }
 
-    /// The limit that a backend server names, in requests a second from all VMs together.
+    /// Returns the limit that a backend server has announced, in requests a second over all VMs.
     pub fn limit(&self, key: BackendKey) -> Option<f64> {
         self.arena.get(key.0 as usize).and_then(|member| member.limit.per_s())
     }
 
-    /// The service of a backend server.
+    /// Returns the service of a backend server.
     pub fn service(&self, key: BackendKey) -> &str {
         self.arena.get(key.0 as usize).map_or("", |member| &member.backend.service)
     }
 
-    /// The sums of the limits that backend servers name, by service.
+    /// Returns the sum of the announced limits by service.
     pub fn limits_by_service(&self) -> HashMap<String, f64> {
         let mut sums = HashMap::new();
         for member in self.limited.iter().map(|key| &self.arena[key.0 as usize]) {
@@ -162,7 +167,7 @@
         sums
     }
 
-    /// The newest word on the limit of a start.
+    /// Returns the latest limit notice of an incarnation.
     pub fn limit_word(&self, of: &Incarnation) -> Option<LimitWord> {
         let listed = self.by_instance.get(&of.instance).map(|key| &self.arena[key.0 as usize]);
         let listed = listed.filter(|member| member.backend.born_ms == of.born_ms);
@@ -170,7 +175,8 @@
         limit.and_then(Limit::word)
     }
 
-    /// Notes that there is no permit for a backend server for a while, and how many requests a second can be counted on.
+    /// Records that permits are denied until a time, and the rate that this VM can count on, if
+    /// given.
     pub fn deny(&mut self, key: BackendKey, until_ms: u64, share_per_s: Option<f64>) {
         if let Some(member) = self.arena.get_mut(key.0 as usize) {
             member.limit.denied_until_ms = until_ms;
@@ -178,7 +184,7 @@
         }
     }
 
-    /// The limits that listed starts name, for other VMs.
+    /// Returns the limits of listed incarnations for other VMs.
     pub fn limits(&self, now_ms: u64) -> Vec<LimitTold> {
         let told = |key: &BackendKey| {
             let word = self.arena[key.0 as usize].limit.word()?;
@@ -187,7 +193,7 @@
         self.limited.iter().filter_map(told).collect()
     }
 
-    /// A digest of those, equal at VMs that know the same; 0 if there are none.
+    /// Returns a fingerprint of the limits, equal at VMs that know the same; 0 if there are none.
     pub(super) fn limits_fingerprint(&self) -> u64 {
         let digest = |key: &BackendKey| {
             let BackendState { backend, limit, .. } = &self.arena[key.0 as usize];
@@ -200,7 +206,7 @@
     }
 }
 
-/// A time with a sign.
+/// Converts a time to a signed number.
 fn signed(at_ms: u64) -> i64 {
     i64::try_from(at_ms).unwrap_or(i64::MAX)
 }
--- a/crates/leverstream-core/src/fleet/roster.rs
+++ b/crates/leverstream-core/src/fleet/roster.rs
@@ -1,59 +1,64 @@
+//! The backend servers of a service, ordered by how recently each was observed.
+//!
+//! A request to a large service considers only the most recently observed backend servers and a
+//! random sample of the rest, so its cost does not grow with the service.
+
 use std::collections::{BTreeMap, HashMap};
 
 use leverstream_health::BackendKey;
 use rand::Rng;
 
-/// Up to how many backend servers of a service a request looks at all of them.
+/// The largest service of which a request considers all backend servers.
 const WHOLE_LIMIT: usize = 320;
 
-/// How many of those that were heard of last it looks at where there are more.
+/// The number of most recently observed backend servers considered in a larger service.
 const HEARD_LIMIT: usize = 192;
 
-/// How many of the others it looks at then, taken by chance: of those of which nothing was heard for long one is like
-/// another, but for the data hall.
+/// The size of the random sample from the rest: backend servers without recent observations differ
+/// only in their data hall.
 const OTHERS_LIMIT: usize = 48;
 
-/// The backend servers of one service that may take work, and when something was last heard of each.
+/// The backend servers of one service in service, with the order of their last observations.
 ///
-/// What a request looks at, and what a change costs, does not grow with them.
+/// The cost of a request and of an update does not grow with their number.
 #[derive(Debug, Default)]
 pub(super) struct Roster {
-    /// Their keys, in no order.
+    /// The keys, unordered.
     keys: Vec<BackendKey>,
-    /// What is kept of each.
+    /// The entry of each key.
     places: HashMap<BackendKey, Place>,
-    /// Those that were heard of, the last one at the end.
+    /// The observed backend servers by observation number, the latest last.
     heard: BTreeMap<u64, BackendKey>,
-    /// The number of the last word.
+    /// The number of the latest observation.
     last_word: u64,
-    /// The sum of their slots.
+    /// The total slots.
     slots: u32,
 }
 
-/// What a [`Roster`] keeps of a backend server.
+/// The entry of a backend server in a [`Roster`].
 #[derive(Clone, Copy, Debug)]
 struct Place {
-    /// Its index among the keys.
+    /// Its index in `keys`.
     index: usize,
-    /// Its slots.
+    /// Its number of slots.
     slots: u32,
-    /// The number of the last word that was heard of it; 0 before any.
+    /// The number of its latest observation; 0 if there is none.
     word: u64,
 }
 
-/// Those of a service among which a request looks for a backend server.
+/// The backend servers that a request considers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Candidates {
-    /// Their keys.
+    /// The keys: first those considered individually, then the sample.
     pub keys: Vec<BackendKey>,
-    /// How many of the keys, the first ones, stand for themselves only.
+    /// The number of keys considered individually.
     pub known: usize,
-    /// For how many each of the rest stands, which were taken by chance.
+    /// The number of backend servers that each sampled key represents.
     pub stands_for: f64,
 }
 
 impl Candidates {
-    /// Leaves out those that a request may not go to.
+    /// Keeps only the candidates that a request may go to.
     pub fn retain(&mut self, admits: impl Fn(&BackendKey) -> bool) {
         let known = self.keys.iter().take(self.known).filter(|key| admits(key)).count();
         self.keys.retain(admits);
@@ -62,17 +67,17 @@
 }
 
 impl Roster {
-    /// The keys.
+    /// Returns the keys.
     pub fn keys(&self) -> &[BackendKey] {
         &self.keys
     }
 
-    /// The sum of their slots.
+    /// Returns the total slots.
     pub fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Puts a backend server on the list, or takes over how many slots it has.
+    /// Adds a backend server, or updates its slots.
     pub fn add(&mut self, key: BackendKey, slots: u32) {
         let Roster { keys, places, .. } = self;
         let place = places.entry(key).or_insert_with(|| {
@@ -83,7 +88,7 @@
         place.slots = slots;
     }
 
-    /// Takes a backend server off the list.
+    /// Removes a backend server.
     pub fn remove(&mut self, key: BackendKey) {
         let Some(place) = self.places.remove(&key) else { return };
         self.keys.swap_remove(place.index);
@@ -94,7 +99,7 @@
         self.slots -= place.slots;
     }
 
-    /// Notes that something was heard of a backend server.
+    /// Marks a backend server as the most recently observed one.
     pub fn hear(&mut self, key: BackendKey) {
         let Some(place) = self.places.get_mut(&key) else { return };
         self.heard.remove(&place.word);
@@ -103,7 +108,8 @@
         self.heard.insert(place.word, key);
     }
 
-    /// Those among which a request looks: all of a few, else those heard of last and some of the others.
+    /// Returns all backend servers of a small service; of a large one, the recently observed ones
+    /// and a sample of the rest.
     pub fn candidates(&self, rng: &mut impl Rng) -> Candidates {
         if self.keys.len() <= WHOLE_LIMIT {
             let known = self.keys.len();
--- a/crates/leverstream-core/src/floor.rs
+++ b/crates/leverstream-core/src/floor.rs
@@ -1,52 +1,60 @@
+//! The floor: the share of a service's sound backend servers that must get work even while others
+//! fail.
+//!
+//! A backend server is sound if it has not failed recently, and used if a request reached it within
+//! [`CLAIMS_ONCE_MS`]. [`claim`] marks the unused ones that the next request must or should go to.
+
 use leverstream_route::{Choice, Claim, FloorStanding};
 
-/// How long after the last request a repeatable one may be claimed for a backend server, in milliseconds: before
-/// those that run once are, which lose more by a failure.
+/// The idle time after which a repeatable request may claim a backend server, in milliseconds. It
+/// is shorter than for other requests, which lose more by a failure.
 const CLAIMS_REPEATABLE_MS: u64 = 1_000;
 
-/// The same for a request that runs once: the users look at two seconds, and the next request takes a while
-/// to come.
+/// The idle time after which a non-repeatable request may claim a backend server, in milliseconds:
+/// the users measure over two seconds, and the next request takes a while to arrive.
 const CLAIMS_ONCE_MS: u64 = 1_700;
 
-/// The share that requests which may run again aim at while many requests fail, as they lose little by a trial.
+/// The share that repeatable requests aim for while many requests fail, as a failed trial costs
+/// them little.
 ///
-/// The floor holds among those backend servers that nothing has disturbed of late, which no VM can tell from the
-/// others. Where those are a tenth of a service, nine of ninety, chance leaves three of the nine out once in 200
-/// looks if one in twenty lies idle, and every fifth time if the share is the floor itself. Requests that run once
-/// aim at the floor: more trials failed half a percent more of all requests, measured at two deployments.
+/// The users measure the floor among the backend servers without a recent disturbance, which a VM
+/// cannot tell apart. If those are nine of ninety, three of the nine are idle at once in 1 of 200
+/// samples when one in twenty is idle overall, but in every fifth when the share is the floor
+/// itself. Non-repeatable requests aim for the floor: in two deployments, more trials made another
+/// 0.5 % of all requests fail.
 const FAILING_SHARE: f64 = 0.95;
 
-/// How a service stands to the floor of sound backend servers that must have work.
+/// A service's floor and the state that decides how it applies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Floor {
     /// The share of sound backend servers that must have work.
     pub share: f64,
-    /// Whether many of the requests for the service fail, as far as this VM sees.
+    /// Whether many requests for the service fail, as observed by this VM.
     pub requests_fail: bool,
-    /// Whether many attempts at its backend servers fail, whoever made them.
+    /// Whether many attempts at its backend servers fail, from any VM.
     pub attempts_fail: bool,
-    /// How many requests a second come for the service to all VMs together, as far as known.
+    /// The request rate of the service over all VMs, if known.
     pub requests_per_s: Option<f64>,
 }
 
 impl Floor {
-    /// Tells whether the requests that come can reach the share of so many sound backend servers.
+    /// Tells whether the request rate suffices to reach the share of `sound` backend servers.
     ///
-    /// Where they cannot, claims would lead each request away from what is known, and many would fail that need not:
-    /// what the floor is for is kept there by serving.
+    /// If not, claims would divert every request from the proven backend servers and cause
+    /// avoidable failures, without meeting the floor.
     fn is_in_reach(&self, sound: f64) -> bool {
         let reached = |per_s: f64| per_s * CLAIMS_ONCE_MS as f64 / 1_000.0;
         self.requests_per_s.is_none_or(|per_s| reached(per_s) >= self.share * sound)
     }
 }
 
-/// Says what the floor claims for each backend server of a service.
+/// Sets the floor's claim on each backend server of a service.
 ///
-/// While the service fails, each that is not in doubt is reached again and again, the new and the slow ones too,
-/// those in doubt only as far as the share asks for it. Requests that may run again do so as soon as attempts
-/// fail, those that run once only where requests do, and only at those that are likely sound unless the share
-/// asks for more. Otherwise idle ones are preferred below the share, as nobody can foresee that what is under
-/// way will fail.
+/// While the service fails, every idle backend server that is not in doubt is claimed, including
+/// new and slow ones; those in doubt only while the share is below the floor. Repeatable requests
+/// follow claims as soon as attempts fail, others only when requests fail, and only to backend
+/// servers that are likely sound unless the share is below the floor. Otherwise idle backend
+/// servers are preferred while the share is low, as the requests in flight may yet fail.
 pub fn claim(choices: &mut [Choice], floor: Floor, is_repeatable: bool) {
     if !floor.is_in_reach(sound_count(choices)) {
         return;
@@ -71,11 +79,11 @@
     }
 }
 
-/// The share of the sound backend servers that have had work of late, from 0 to 1; the lower one of all sound
-/// ones and of those that are neither slow nor new.
+/// Returns the share of sound backend servers that are used, from 0 to 1: the lower of the share
+/// among all and the share among those that are neither slow nor new.
 ///
-/// Whoever asks for the floor may leave out those that are slow or new, and where these get most of the work,
-/// the share among all would hide that the others get none.
+/// The users may exclude slow and new backend servers from the floor; if those got most of the
+/// work, the share among all would hide that the others are idle.
 pub fn used_share(choices: &[Choice]) -> f64 {
     let share = |steady_only: bool| {
         let is_counted = |standing: &FloorStanding| standing.is_steady || !steady_only;
@@ -91,12 +99,12 @@
     share(false).min(share(true))
 }
 
-/// How many of them are sound, with those that they stand for.
+/// Returns the number of sound backend servers, including those that sampled ones represent.
 fn sound_count(choices: &[Choice]) -> f64 {
     sound(choices).map(|choice| choice.stands_for).sum()
 }
 
-/// Those that are sound.
+/// Iterates over the sound backend servers.
 fn sound(choices: &[Choice]) -> impl Iterator<Item = &Choice> {
     choices.iter().filter(|choice| choice.standing.is_sound)
 }
--- a/crates/leverstream-core/src/hedge.rs
+++ b/crates/leverstream-core/src/hedge.rs
@@ -1,37 +1,42 @@
+//! When to hedge: to send a pending request to a second backend server as well.
+//!
+//! A hedge is worth sending when it raises the probability of an answer in time by enough, given
+//! how much of the retry budget is used.
+
 use leverstream_health::BackendKey;
 
 use crate::{Fleet, RouteKey};
 
-/// The gain in the chance of an answer in time from which a second backend server is asked: a repeat takes
-/// a slot for one service time, and the allowance covers one request in five.
+/// The minimum gain in the probability of an answer in time: a hedge takes a slot for one service
+/// time, and the retry budget covers one request in five.
 const WORTH_FROM: f64 = 0.2;
 
-/// Up to which part of what may be repeated is used hedges need not win more: in steady episodes a third is.
+/// The used share of the retry budget up to which the minimum gain suffices; steady failure
+/// episodes use a third.
 const PLENTY_PART: f64 = 0.4;
 
-/// The part of a route's median time between two looks at whether a hedge pays.
+/// The interval between two checks, as a share of the route's median latency.
 const LOOK_PART: f64 = 0.125;
 
-/// The shortest time between two looks, in milliseconds.
+/// The minimum interval between two checks, in milliseconds.
 const LOOK_LEAST_MS: u64 = 5;
 
-/// A repeatable request that is under way at one or more backend servers.
+/// A repeatable request in flight at one or more backend servers.
 #[derive(Clone, Copy, Debug)]
 pub struct Pending<'a> {
     /// Its route.
     pub route: RouteKey,
-    /// Where it is under way, and since when.
+    /// The backend servers that it was sent to, with the send times.
     pub flights: &'a [(BackendKey, u64)],
-    /// Until when an answer is on time.
+    /// The time by which the answer meets the objective.
     pub on_time_ms: u64,
-    /// Until when an answer is of use.
+    /// The time after which the answer is useless.
     pub deadline_ms: u64,
 }
 
-/// What one more backend server would win for a pending request: the rise in the chance of an answer in
-/// time, as far as the one asked is sound.
+/// Returns how much a hedge to a sound backend server raises the probability of an answer in time.
 ///
-/// Once an answer on time is no longer likely, an answer at all counts.
+/// Once an answer within the objective is no longer likely, the deadline counts instead.
 pub fn hedge_gain(fleet: &Fleet, pending: &Pending<'_>, now_ms: u64) -> f64 {
     let times = &fleet.route(pending.route).times;
     let is_late = now_ms as f64 + times.median_ms() > pending.on_time_ms as f64;
@@ -44,16 +49,19 @@
     missed * (1.0 - times.slower_share(left_ms))
 }
 
-/// Tells whether a hedge pays that wins so much, where such a part of what may be repeated is used up.
+/// Tells whether a hedge with such a gain is worth sending, given the used share of the retry
+/// budget.
 ///
-/// What is left is kept for those that win more: a repeat after an error wins nearly a whole answer.
+/// The rest of the budget is kept for larger gains: a retry after an error gains nearly a whole
+/// answer.
 pub fn is_hedge_worth(gain: f64, used_part: f64) -> bool {
     let scarcity = ((used_part - PLENTY_PART) / (1.0 - PLENTY_PART)).clamp(0.0, 1.0);
     gain >= WORTH_FROM + (1.0 - WORTH_FROM) * scarcity
 }
 
-/// How long after `now_ms` to look again whether a hedge pays: half of the answers come before that is asked
-/// for the first time, unless it pays from the start, as the backend server was in doubt.
+/// Returns the time from `now_ms` until the next check whether to hedge. The first check comes at
+/// the median latency, when half of the answers have arrived, or earlier if the backend server is
+/// so doubtful that a hedge is worthwhile at once.
 pub fn hedge_look_ms(fleet: &Fleet, pending: &Pending<'_>, now_ms: u64) -> u64 {
     let median_ms = fleet.route(pending.route).times.median_ms();
     let again_ms = ((median_ms * LOOK_PART) as u64).max(LOOK_LEAST_MS);
--- a/crates/leverstream-core/src/profile.rs
+++ b/crates/leverstream-core/src/profile.rs
@@ -1,26 +1,28 @@
+//! The observed latencies, answer sizes and expiries of a route.
+
 use crate::Times;
 
-/// How much one answer changes what is thought of the size of a route's answers.
+/// The weight of one answer in the moving average of answer sizes.
 const SIZE_STEP: f64 = 0.1;
 
-/// After how many requests older ones count half where it is asked how many got no answer.
+/// The number of requests after which the counts behind the expired share are halved.
 const REQUESTS_COUNT: f64 = 60.0;
 
-/// What a route's requests have shown of late.
+/// The recent observations of a route's requests.
 #[derive(Clone, Debug)]
 pub struct RouteProfile {
-    /// How long its sound answers take.
+    /// The latencies of sound answers.
     pub times: Times,
-    /// The usual size of its sound answers, in bytes.
+    /// The moving average of the size of sound answers, in bytes.
     answer_bytes: Option<f64>,
-    /// How many of its last requests were answered at backend servers that were taken to be sound.
+    /// The number of recent requests answered by sound backend servers.
     answered: f64,
-    /// How many of them got no answer by their own limit.
+    /// The number of recent requests that expired at sound backend servers.
     expired: f64,
 }
 
 impl RouteProfile {
-    /// What is assumed of a route with an objective before any answer has come.
+    /// Creates the profile of a route without observations from its objective.
     pub fn open(objective_ms: u64) -> RouteProfile {
         RouteProfile {
             times: Times::open(objective_ms),
@@ -30,7 +32,7 @@
         }
     }
 
-    /// Notes a sound answer.
+    /// Records a sound answer.
     pub fn note(&mut self, took_ms: f64, bytes: usize) {
         self.times.note(took_ms);
         let usual = self.answer_bytes.get_or_insert(bytes as f64);
@@ -39,19 +41,19 @@
         self.forget();
     }
 
-    /// Notes that a request got no answer by its limit at a backend server that was taken to be sound.
+    /// Records that a request expired at a backend server that was considered sound.
     pub fn note_expired(&mut self) {
         self.expired += 1.0;
         self.forget();
     }
 
-    /// The share of its requests that get no answer by their limit at sound backend servers; a half as long as
-    /// nothing was seen.
+    /// Returns the share of requests that expire at sound backend servers, with a prior of one
+    /// half.
     pub fn expired_share(&self) -> f64 {
         (self.expired + 1.0) / (self.answered + self.expired + 2.0)
     }
 
-    /// Lets older requests count half once there are many.
+    /// Halves the counts once there are many, so that recent requests weigh more.
     fn forget(&mut self) {
         if self.answered + self.expired > REQUESTS_COUNT {
             self.answered /= 2.0;
@@ -59,7 +61,7 @@
         }
     }
 
-    /// The usual size of an answer, in bytes; none if nothing is known.
+    /// Returns the average answer size in bytes; 0 if nothing is known.
     pub fn answer_bytes(&self) -> f64 {
         self.answer_bytes.unwrap_or(0.0)
     }
--- a/crates/leverstream-core/src/select.rs
+++ b/crates/leverstream-core/src/select.rs
@@ -1,66 +1,70 @@
+//! The choice of a backend server for one request.
+
 use leverstream_health::BackendKey;
 use leverstream_route::{Choice, steer};
 use rand::Rng;
 
 use crate::{Asker, Candidates, Fleet, Floor, claim};
 
-/// The part of its objective that a repeatable request waits before it takes a backend server that
-/// is better avoided: a trial costs a slot that is idle, and the request goes on looking for a sound one.
+/// The share of its objective that a repeatable request waits before it accepts an avoided backend
+/// server: a trial only costs an idle slot, and the request can still be hedged to a sound one.
 const AVOID_PART_REPEATABLE: f64 = 0.1;
 
-/// The same for a request that cannot be repeated.
+/// The share of its objective that a non-repeatable request waits before it accepts an avoided
+/// backend server.
 const AVOID_PART_ONCE: f64 = 0.6;
 
-/// What a backend server in another data hall costs besides the bytes, in the measure of
-/// [`Choice::cost`]: the way there and back, and that other VMs know its load better.
+/// The fixed cost of a backend server in another data hall, on the scale of [`Choice::cost`]: the
+/// round trip, and that other VMs know its load better.
 const FAR_COST: f64 = 0.2;
 
-/// What a failure that callers see costs, in the measure of [`Choice::cost`]; bytes between data halls are
-/// weighed against it.
+/// The cost of a failure visible to callers, on the scale of [`Choice::cost`]; traffic between data
+/// halls is weighed against it.
 const FAILURE_COST: f64 = 8.0;
 
-/// The share of failed attempts from which many fail: that share of requests is where the floor is due.
+/// The share of failed attempts from which the attempts count as failing; the floor is required
+/// from the same share of failed requests.
 const ATTEMPTS_FAIL_FROM: f64 = 0.1;
 
-/// What a request needs of a backend server.
+/// What a request needs from a backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct Want<'a> {
     /// The service.
     pub service: &'a str,
-    /// The data hall of the VM that asks.
+    /// The data hall of this VM.
     pub hall: &'a str,
-    /// Whether the request may be sent on once more if it fails there.
+    /// Whether the request may be repeated after a failure.
     pub is_repeatable: bool,
-    /// Where it was already.
+    /// The backend servers that the request has already been sent to.
     pub tried: &'a [BackendKey],
     /// How long it has waited, in milliseconds.
     pub waited_ms: u64,
-    /// What its bytes cost between data halls, in requests served.
+    /// The cost of its traffic between data halls, in units of a served request.
     pub far_bytes_cost: f64,
-    /// The time within which its answer is on time.
+    /// The latency objective, in milliseconds.
     pub objective_ms: u64,
     /// The share of sound backend servers that must have work.
     pub floor_share: f64,
-    /// Whether many of the requests for the service fail, as far as this VM sees.
+    /// Whether many requests for the service fail, as observed by this VM.
     pub requests_fail: bool,
-    /// How many requests a second come for the service to all VMs together, as far as known.
+    /// The request rate of the service over all VMs, if known.
     pub requests_per_s: Option<f64>,
 }
 
-/// A backend server that was chosen, and what that rested on, for the log.
+/// The chosen backend server, with the basis of the choice for the log.
 #[derive(Clone, Copy, Debug)]
 pub struct Pick {
     /// The backend server.
     pub key: BackendKey,
-    /// How it looked.
+    /// How it was evaluated.
     pub choice: Choice,
-    /// Among how many it was chosen.
+    /// The number of candidates.
     pub among: usize,
-    /// How many of those were avoided.
+    /// The number of avoided candidates.
     pub avoided: usize,
 }
 
-/// Chooses a backend server with a free slot, unless the request had better wait.
+/// Chooses a backend server with a free slot; none if the request should wait.
 pub fn choose(fleet: &Fleet, want: &Want<'_>, now_ms: u64, rng: &mut impl Rng) -> Option<Pick> {
     let Candidates { keys, known, stands_for } = fleet.candidates(want.service, now_ms, rng);
     let asker = Asker {
@@ -77,7 +81,7 @@
         attempts_fail: fleet.failed_share(want.service) >= ATTEMPTS_FAIL_FROM,
         requests_per_s: want.requests_per_s,
     };
-    // A request that has failed once already goes on to the proven.
+    // A request that has failed once goes to proven backend servers, whatever the floor claims.
     if want.tried.is_empty() {
         claim(&mut choices, floor, want.is_repeatable);
     }
@@ -89,7 +93,7 @@
 }
 
 impl Pick {
-    /// The chance of a failure, to two digits.
+    /// Returns the probability of a failure, rounded to two decimal places.
     pub fn failure_chance(&self) -> f64 {
         (self.choice.failure_chance * 100.0).round() / 100.0
     }
--- a/crates/leverstream-core/src/times.rs
+++ b/crates/leverstream-core/src/times.rs
@@ -1,33 +1,38 @@
+//! A sliding histogram of a route's latencies.
+//!
+//! It has two halves: when the current half is full, it replaces the previous one. It starts with
+//! samples estimated from the route's objective.
+
 use hdrhistogram::Histogram;
 
-/// The part of its objective that a route's answers are taken to need before any was seen.
+/// The assumed median latency as a share of the route's objective.
 const ASSUMED_PART: f64 = 0.4;
 
-/// What answers are assumed to take before any was seen, as parts of the assumed median.
+/// The initial samples, as multiples of the assumed median.
 const ASSUMED_SPREAD: [f64; 9] = [0.4, 0.6, 0.8, 0.9, 1.0, 1.2, 1.5, 2.0, 3.0];
 
-/// After how many answers the older half of what is remembered is forgotten.
+/// The number of answers in each half of the histogram.
 const HALF_COUNT: u64 = 256;
 
-/// The longest time that is told apart from longer ones, in milliseconds.
+/// The largest latency that the histogram distinguishes, in milliseconds.
 const LONGEST_MS: u64 = 600_000;
 
-/// The digits to which times are kept apart.
+/// The significant decimal digits of the histogram.
 const DIGITS: u8 = 1;
 
-/// How long the sound answers of a route take, of late.
+/// The recent latencies of a route's sound answers.
 #[derive(Clone, Debug)]
 pub struct Times {
-    /// The answers of the present half.
+    /// The current half.
     current: Histogram<u32>,
-    /// Those of the half before.
+    /// The previous half.
     previous: Histogram<u32>,
-    /// Half of the answers take no longer than this, in milliseconds.
+    /// The median latency in milliseconds, updated with each answer.
     median_ms: f64,
 }
 
 impl Times {
-    /// The times assumed of a route with an objective.
+    /// Creates the estimate for a route without observations from its objective.
     pub fn open(objective_ms: u64) -> Times {
         let empty = Histogram::new_with_max(LONGEST_MS, DIGITS).expect("the bounds are sound");
         let mut times = Times { current: empty.clone(), previous: empty, median_ms: 0.0 };
@@ -36,7 +41,7 @@
         times
     }
 
-    /// Notes how long a sound answer took.
+    /// Records the latency of a sound answer.
     pub fn note(&mut self, took_ms: f64) {
         if self.current.len() >= HALF_COUNT {
             std::mem::swap(&mut self.current, &mut self.previous);
@@ -46,12 +51,12 @@
         self.median_ms = self.quantile_ms(0.5);
     }
 
-    /// Half of the answers take no longer than this.
+    /// Returns the median latency.
     pub fn median_ms(&self) -> f64 {
         self.median_ms
     }
 
-    /// The time that a part of the answers take at most, from 0 to 1.
+    /// Returns the latency quantile for a share from 0 to 1.
     pub fn quantile_ms(&self, part: f64) -> f64 {
         let wanted = (part * self.count() as f64).ceil() as u64;
         let mut seen = 0;
@@ -67,9 +72,10 @@
         reached.or(steps.last()).map_or(1.0, |(value_ms, _)| *value_ms as f64)
     }
 
-    /// The share of the answers that take longer; never none, as only so many were seen.
+    /// Returns the share of answers that take longer than `ms`; it is never zero, as the sample is
+    /// finite.
     ///
-    /// Beyond the longest answer seen it falls with the square of the time.
+    /// Beyond the longest observed latency it falls with the square of the time.
     pub fn slower_share(&self, ms: f64) -> f64 {
         let from_ms = ms.max(0.0) as u64 + 1;
         let slower = |histogram: &Histogram<u32>| histogram.count_between(from_ms, LONGEST_MS);
@@ -79,7 +85,7 @@
         share * (longest_ms / ms.max(longest_ms)).powi(2)
     }
 
-    /// How many answers are remembered.
+    /// Returns the number of samples.
     fn count(&self) -> u64 {
         self.current.len() + self.previous.len()
     }
--- a/crates/leverstream-core/src/words.rs
+++ b/crates/leverstream-core/src/words.rs
@@ -1,48 +1,55 @@
+//! Anti-entropy of the notices that backend servers attach to their answers: that they leave, and
+//! their rate limits.
+//!
+//! A VM forwards a new notice to other VMs at once. Every message between VMs also carries a
+//! fingerprint of all known notices; a VM that receives a different one sends its own notices and
+//! asks for the other's. Lost datagrams, partitions and pauses thus delay a notice at most until
+//! the next comparison. A notice is dropped once the platform lists the same.
+
 use leverstream_catalog::Incarnation;
 
 use crate::{Fleet, LimitTold};
 
-/// How long a VM that shares the traffic waits before it compares again: the answer to the last question is on its way.
+/// The minimum time between two comparisons at a VM that shares the traffic, in milliseconds; the
+/// answer to the last one may be in flight.
 const COMPARE_PAUSE_MS: u64 = 60;
 
-/// How long one that does not share it waits: few callers ask it, and a list of a hundred takes 5 kB.
+/// The minimum time between two comparisons at other VMs, in milliseconds: they get few callers,
+/// and a list of a hundred notices takes 5 kB.
 const STRAY_PAUSE_MS: u64 = 1_000;
 
-/// How VMs come to know the same of what backend servers say of themselves: that they leave, which limits they name.
-///
-/// A word is told at once by whoever hears it from the backend server. A fingerprint of all that is known goes with what VMs
-/// tell each other anyway; who sees another one tells its own and asks. So lost datagrams, and a VM that was cut off or
-/// stood still, cost the time to the next one. Once the platform tells the same, nothing more is said.
+/// The state of the comparisons with other VMs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Words {
-    /// When this VM last compared what it knows with another.
+    /// When this VM last sent its notices after a comparison.
     compared_ms: Option<u64>,
 }
 
-/// What a VM tells another of what starts say of themselves.
+/// The notices that a VM sends to another.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WordsTold {
-    /// Those that leave.
+    /// Incarnations that leave.
     pub starts: Vec<Incarnation>,
-    /// Limits, or that one is named no more.
+    /// Rate limits, including lifted ones.
     pub limits: Vec<LimitTold>,
-    /// Whether it wants to be told what the other knows.
+    /// Whether the sender asks for the receiver's notices.
     pub asks: bool,
 }
 
-/// What came of what another VM told.
+/// The effect of another VM's notices.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WordsHeard {
-    /// The starts that leave and were not known to.
+    /// The leaving incarnations that were not known.
     pub news: Vec<Incarnation>,
-    /// The words on limits that changed what is known.
+    /// The limits that changed.
     pub limits: Vec<LimitTold>,
-    /// What to answer.
+    /// The reply to send, if any.
     pub answer: Option<WordsTold>,
 }
 
 impl Words {
-    /// Takes in another VM's fingerprint; what to tell it, if the two differ.
+    /// Compares another VM's fingerprint with this VM's; returns the notices to send if they
+    /// differ.
     pub fn compare(
         &mut self,
         theirs: u64,
@@ -59,11 +66,11 @@
             return None;
         }
         self.compared_ms = Some(now_ms);
-        // Whoever knows of none is only told.
+        // A VM with fingerprint 0 has no notices to ask for.
         Some(WordsTold::all(fleet, theirs != 0, now_ms))
     }
 
-    /// Takes in what another VM tells.
+    /// Applies the notices of another VM.
     pub fn hear(said: WordsTold, fleet: &mut Fleet, now_ms: u64) -> WordsHeard {
         let WordsTold { starts, limits, asks } = said;
         let news = starts.into_iter().filter(|of| fleet.leave(of, now_ms)).collect();
@@ -76,7 +83,8 @@
                 changed.push(told);
                 continue;
             }
-            // A limit that is named no more is on no list; whoever still tells of it has missed the word.
+            // A lifted limit is in no list, so a VM that still sends the limit has missed that it
+            // was lifted.
             let newer = fleet.limit_word(&told.of).filter(|known| known.sent_ms > word.sent_ms);
             if let Some(newer) = newer.filter(|known| known.per_s.is_none() && told.per_s.is_some())
             {
@@ -89,7 +97,7 @@
 }
 
 impl WordsTold {
-    /// All that is known.
+    /// Collects all known notices.
     fn all(fleet: &Fleet, asks: bool, now_ms: u64) -> WordsTold {
         WordsTold { starts: fleet.leavers().collect(), limits: fleet.limits(now_ms), asks }
     }
