--- a/crates/leverstream-core/src/demand.rs
+++ b/crates/leverstream-core/src/demand.rs
@@ -1,42 +1,42 @@
 //! The rate and the outcomes of callers' requests for a service, as exponentially decayed averages.
 
 /// The time constant of the outcome averages, in milliseconds.
-const ENDED_MEMORY_MS: f64 = 1_500.0;
+const OUTCOMES_TIME_CONSTANT_MS: f64 = 1_500.0;
 
 /// The share of failed requests from which the floor applies, slightly below the share at which it
 /// is required.
-const FLOOR_BINDS_FROM: f64 = 0.08;
+const FAILING_SHARE: f64 = 0.08;
 
 /// The share from which the floor applies to non-repeatable requests if requests refused before
 /// they reached the service are counted. A VM sees about thirty requests within the time constant,
 /// so a lower share may be chance.
-const REFUSED_BINDS_FROM: f64 = 0.13;
+const FAILING_SHARE_WITH_REFUSALS: f64 = 0.13;
 
 /// The decayed number of requests from which the share is significant.
-const FLOOR_COUNT: f64 = 10.0;
+const MIN_REQUESTS: f64 = 10.0;
 
 /// The time constant of the arrival rate, in milliseconds. A VM with one request every second or
 /// two must not underestimate the rate by a factor of three by chance.
-const ARRIVED_MEMORY_MS: f64 = 10_000.0;
+const ARRIVALS_TIME_CONSTANT_MS: f64 = 10_000.0;
 
 /// The time after the first request before a rate is reported, in milliseconds; meanwhile a fleet
 /// that has just started may claim more than it can reach.
-const ARRIVED_LEAST_MS: u64 = 300;
+const ARRIVALS_WARMUP_MS: u64 = 300;
 
 /// The callers' requests for a service and their outcomes.
 #[derive(Debug, Default)]
 pub struct Demand {
     /// The arrivals.
-    arrived: Arrived,
+    arrivals: Arrivals,
     /// The outcomes of requests that reached the service.
-    ended: Ended,
+    outcomes: Outcomes,
     /// The outcomes including requests refused before they reached the service.
-    asked: Ended,
+    outcomes_with_refusals: Outcomes,
 }
 
 /// Decayed counts of outcomes.
 #[derive(Debug, Default)]
-struct Ended {
+struct Outcomes {
     /// The served requests.
     served: f64,
     /// The failed requests.
@@ -47,7 +47,7 @@
 
 /// A decayed count of arrivals.
 #[derive(Debug, Default)]
-struct Arrived {
+struct Arrivals {
     /// The count as of the latest arrival.
     count: f64,
     /// When the latest request arrived.
@@ -59,25 +59,25 @@
 impl Demand {
     /// Records the arrival of a request.
     pub fn note_arrival(&mut self, now_ms: u64) {
-        self.arrived.note(now_ms);
+        self.arrivals.note(now_ms);
     }
 
     /// Returns the request rate at this VM; none until enough time has passed since the first
     /// request.
     pub fn per_s(&self, now_ms: u64) -> Option<f64> {
-        self.arrived.per_s(now_ms)
+        self.arrivals.per_s(now_ms)
     }
 
     /// Records the outcome of a request.
     pub fn note_end(&mut self, is_served: bool, now_ms: u64) {
-        self.ended.note(is_served, now_ms);
-        self.asked.note(is_served, now_ms);
+        self.outcomes.note(is_served, now_ms);
+        self.outcomes_with_refusals.note(is_served, now_ms);
     }
 
     /// Records a request refused before it reached the service, because its workspace was over its
     /// allotment.
     pub fn note_refused(&mut self, now_ms: u64) {
-        self.asked.note(false, now_ms);
+        self.outcomes_with_refusals.note(false, now_ms);
     }
 
     /// Tells whether so many requests fail that the floor applies.
@@ -87,12 +87,14 @@
     /// may lose the request. With one workspace far above its allotment on an otherwise quiet day,
     /// twice as many non-repeatable requests failed (15 %).
     pub fn fails(&self, is_repeatable: bool, now_ms: u64) -> bool {
-        let refused_from = if is_repeatable { FLOOR_BINDS_FROM } else { REFUSED_BINDS_FROM };
-        self.ended.fails(FLOOR_BINDS_FROM, now_ms) || self.asked.fails(refused_from, now_ms)
+        let threshold_with_refusals =
+            if is_repeatable { FAILING_SHARE } else { FAILING_SHARE_WITH_REFUSALS };
+        self.outcomes.fails(FAILING_SHARE, now_ms)
+            || self.outcomes_with_refusals.fails(threshold_with_refusals, now_ms)
     }
 }
 
-impl Arrived {
+impl Arrivals {
     /// Adds an arrival.
     fn note(&mut self, now_ms: u64) {
         self.count = self.count_at(now_ms) + 1.0;
@@ -104,22 +106,23 @@
     fn per_s(&self, now_ms: u64) -> Option<f64> {
         let for_ms = now_ms.saturating_sub(self.since_ms?);
         // The decayed count that one arrival a millisecond would give.
-        let remembered = ARRIVED_MEMORY_MS * (1.0 - (-(for_ms as f64) / ARRIVED_MEMORY_MS).exp());
-        (for_ms >= ARRIVED_LEAST_MS).then(|| self.count_at(now_ms) / remembered * 1_000.0)
+        let expected_count = ARRIVALS_TIME_CONSTANT_MS
+            * (1.0 - (-(for_ms as f64) / ARRIVALS_TIME_CONSTANT_MS).exp());
+        (for_ms >= ARRIVALS_WARMUP_MS).then(|| self.count_at(now_ms) / expected_count * 1_000.0)
     }
 
     /// Returns the decayed count.
     fn count_at(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
-        self.count * (-age_ms / ARRIVED_MEMORY_MS).exp()
+        self.count * (-age_ms / ARRIVALS_TIME_CONSTANT_MS).exp()
     }
 }
 
-impl Ended {
+impl Outcomes {
     /// Adds an outcome.
     fn note(&mut self, is_served: bool, now_ms: u64) {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
-        let factor = (-age_ms / ENDED_MEMORY_MS).exp();
+        let factor = (-age_ms / OUTCOMES_TIME_CONSTANT_MS).exp();
         self.served = self.served * factor + f64::from(u8::from(is_served));
         self.failed = self.failed * factor + f64::from(u8::from(!is_served));
         self.at_ms = now_ms;
@@ -128,7 +131,7 @@
     /// Tells whether the failed share reaches a threshold, given enough requests.
     fn fails(&self, share: f64, now_ms: u64) -> bool {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
-        let total = (self.served + self.failed) * (-age_ms / ENDED_MEMORY_MS).exp();
-        total >= FLOOR_COUNT && self.failed / (self.served + self.failed) >= share
+        let total = (self.served + self.failed) * (-age_ms / OUTCOMES_TIME_CONSTANT_MS).exp();
+        total >= MIN_REQUESTS && self.failed / (self.served + self.failed) >= share
     }
 }
--- a/crates/leverstream-core/src/entry.rs
+++ b/crates/leverstream-core/src/entry.rs
@@ -7,13 +7,13 @@
 
 /// The maximum request rate for each slot of a backend server: work takes a quarter of a second or
 /// more.
-const REQUESTS_A_SLOT_PER_S: f64 = 4.0;
+const REQUESTS_PER_SLOT_PER_S: f64 = 4.0;
 
 /// The capacity assumed of a VM that does not report one, in requests a second.
-const UNKNOWN_PER_S: u32 = 100;
+const DEFAULT_CAPACITY_PER_S: u32 = 100;
 
 /// The maximum number of entry VMs in a hall; with more, each would observe too little.
-const VMS_A_HALL_LIMIT: usize = 8;
+const ENTRIES_PER_HALL_LIMIT: usize = 8;
 
 /// Chooses the entry VMs among the members.
 ///
@@ -30,12 +30,12 @@
         halls.entry(&member.identity.hall).or_default().push(member);
     }
     let count = halls.len().max(1);
-    let needed_per_s = f64::from(slots) * REQUESTS_A_SLOT_PER_S / count as f64;
+    let needed_per_s = f64::from(slots) * REQUESTS_PER_SLOT_PER_S / count as f64;
     let mut chosen = Vec::new();
     for members in halls.values_mut() {
         let order = |member: &&Member| (Reverse(capacity_per_s(member)), member.address_hash);
         members.sort_unstable_by_key(order);
-        let size = if vms_a_hall > 0 { vms_a_hall } else { size(members, needed_per_s) };
+        let size = if vms_a_hall > 0 { vms_a_hall } else { entry_count(members, needed_per_s) };
         chosen.extend(members.iter().take(size));
     }
     chosen
@@ -46,8 +46,8 @@
 ///
 /// Callers spread evenly over the entry VMs, so the weakest one bounds the total, and a weak VM
 /// beside strong ones brings no relief.
-fn size(members: &[&Member], needed_per_s: f64) -> usize {
-    let limit = members.len().min(VMS_A_HALL_LIMIT);
+fn entry_count(members: &[&Member], needed_per_s: f64) -> usize {
+    let limit = members.len().min(ENTRIES_PER_HALL_LIMIT);
     let capacity = |size: usize| size as f64 * f64::from(capacity_per_s(members[size - 1]));
     let enough = (1..=limit).find(|size| capacity(*size) >= needed_per_s);
     let most = || (1..=limit).max_by(|a, b| capacity(*a).total_cmp(&capacity(*b)));
@@ -57,7 +57,7 @@
 /// Returns the capacity of a VM, in requests a second.
 fn capacity_per_s(member: &Member) -> u32 {
     match member.identity.capacity_per_s {
-        0 => UNKNOWN_PER_S,
+        0 => DEFAULT_CAPACITY_PER_S,
         known => known,
     }
 }
--- a/crates/leverstream-core/src/fleet.rs
+++ b/crates/leverstream-core/src/fleet.rs
@@ -7,9 +7,9 @@
 //! gets no new requests but stays in the arena until its last request has ended.
 
 mod backend_state;
-mod departures;
 mod emptied;
 mod hold_off;
+mod incarnation_set;
 mod leaving;
 mod limit;
 mod roster;
@@ -27,9 +27,9 @@
 
 use backend_state::BackendState;
 pub use backend_state::{BackendReport, Outcome, Report};
-use departures::Departures;
 pub use emptied::Emptied;
 use hold_off::HoldOff;
+use incarnation_set::IncarnationSet;
 pub use leaving::{Census, Openness};
 use limit::Limit;
 pub use limit::{LimitTold, LimitWord};
@@ -39,7 +39,7 @@
 /// The minimum number of removals remembered for VMs that catch up; a VM that is further behind
 /// gets the whole list. The limit grows to the number of backend servers, beyond which the removals
 /// would take more bytes than the whole list.
-const REMOVALS_KEPT_LEAST: usize = 1_024;
+const MIN_REMOVALS_KEPT: usize = 1_024;
 
 /// The maximum number of unlisted incarnations whose hold-off is remembered. They may be listed
 /// again within seconds, when a store outage ends.
@@ -70,13 +70,13 @@
     /// The backend servers that may take requests, by service.
     rosters: HashMap<String, Roster>,
     /// The listed backend servers, ordered by the store revision of their last change.
-    by_stamp: BTreeSet<(u64, BackendKey)>,
+    by_entry_revision: BTreeSet<(u64, BackendKey)>,
     /// The backend servers with requests of this VM in flight.
     busy: BTreeSet<BackendKey>,
     /// The statistics of failure episodes, by service.
     episodes: HashMap<String, Episodes>,
     /// The prior for a service without any observation.
-    assumed: Episodes,
+    prior_episodes: Episodes,
     /// The observed latencies and answer sizes, by route.
     routes: Slab<RouteProfile>,
     /// The route keys, by route name.
@@ -86,9 +86,9 @@
     /// Whether the unreported state includes a failure.
     has_bad_news: bool,
     /// Incarnations that are known to have ended.
-    ended: Departures,
+    ended: IncarnationSet,
     /// Incarnations that are known to leave.
-    leaving: Departures,
+    leaving: IncarnationSet,
     /// Listed incarnations that announced that they leave while the platform lists them as ready.
     leavers: Vec<BackendKey>,
     /// Listed incarnations that have announced a rate limit.
@@ -107,7 +107,7 @@
     /// The latest removals, each with the revision at which it became known.
     removals: VecDeque<(u64, String)>,
     /// The revision up to which removals have been forgotten.
-    removals_from: u64,
+    removals_forgotten_to: u64,
 }
 
 /// The changes to the backend servers after a revision.
@@ -158,12 +158,12 @@
 
     /// Returns the changes after a revision.
     pub fn since(&self, revision: u64, now_ms: u64) -> Delta {
-        let is_whole = revision < self.removals_from || revision == 0;
+        let is_whole = revision < self.removals_forgotten_to || revision == 0;
         let after = if is_whole { 0 } else { revision + 1 };
-        let changed = self.by_stamp.range((after, BackendKey(0))..);
+        let changed = self.by_entry_revision.range((after, BackendKey(0))..);
         // An instance that was removed and listed again since is among the changed ones.
-        let removed = self.removals.iter().filter(|(stamp, instance)| {
-            !is_whole && *stamp > revision && !self.by_instance.contains_key(instance)
+        let removed = self.removals.iter().filter(|(entry_revision, instance)| {
+            !is_whole && *entry_revision > revision && !self.by_instance.contains_key(instance)
         });
         Delta {
             revision: self.revision,
@@ -199,7 +199,7 @@
         // Entries that this VM has read at a later revision take precedence.
         let is_later = |fleet: &Fleet, instance: &str| {
             let key = fleet.by_instance.get(instance);
-            key.is_some_and(|key| fleet.arena[key.0 as usize].stamp > delta.revision)
+            key.is_some_and(|key| fleet.arena[key.0 as usize].entry_revision > delta.revision)
         };
         for backend in delta.set {
             if !is_later(self, &backend.instance) {
@@ -217,13 +217,13 @@
     ///
     /// A restarted instance is a new incarnation without history. Entries of an earlier incarnation
     /// are ignored.
-    pub fn set(&mut self, backend: Backend, stamp: u64, now_ms: u64) -> bool {
+    pub fn set(&mut self, backend: Backend, entry_revision: u64, now_ms: u64) -> bool {
         let of = backend.incarnation();
         if self.ended.covers(&of) {
             return false;
         }
         if backend.is_leaving {
-            self.leaving.note(&of);
+            self.leaving.insert(&of);
         }
         let leaves = self.leaving.covers(&of);
         let known = self.by_instance.get(&backend.instance).copied();
@@ -236,58 +236,58 @@
         } else if let Some((key, _)) = known {
             let member = &mut self.arena[key.0 as usize];
             // A listed incarnation keeps its announcement even if `leaving` has evicted it.
-            let leaves = leaves || member.is_gone;
-            let is_news = member.backend != backend || member.is_gone != leaves;
+            let leaves = leaves || member.is_out_of_service;
+            let is_news = member.backend != backend || member.is_out_of_service != leaves;
             // A leaving backend server stays known, without new requests, until the platform no
             // longer lists it.
-            member.is_gone = leaves;
+            member.is_out_of_service = leaves;
             if backend.is_leaving {
-                member.said_leaving_ms = None;
+                member.announced_leaving_ms = None;
                 self.leavers.retain(|other| *other != key);
             }
             let before = std::mem::replace(&mut member.backend, backend);
             if is_news {
-                self.by_stamp.remove(&(member.stamp, key));
-                member.stamp = stamp;
-                self.by_stamp.insert((stamp, key));
+                self.by_entry_revision.remove(&(member.entry_revision, key));
+                member.entry_revision = entry_revision;
+                self.by_entry_revision.insert((entry_revision, key));
                 if let Some(roster) = self.rosters.get_mut(&before.service) {
                     roster.remove(key);
                 }
-                self.list(key);
+                self.update_roster(key);
             }
             return is_news;
         }
-        let is_untold = leaves && !backend.is_leaving;
-        let mut member = BackendState::open(backend, stamp, now_ms);
+        let is_announced_only = leaves && !backend.is_leaving;
+        let mut member = BackendState::open(backend, entry_revision, now_ms);
         member.hold_off = self.hold_offs.remove(&of).unwrap_or_default();
         member.limit = self.unlisted_limits.remove(&of).unwrap_or_default();
         let is_limited = member.limit.per_s().is_some();
-        member.is_gone = leaves;
+        member.is_out_of_service = leaves;
         // The time of the first announcement is unknown here, so it no longer qualifies as a last
         // resort.
-        member.said_leaving_ms = is_untold.then_some(0);
+        member.announced_leaving_ms = is_announced_only.then_some(0);
         let key = BackendKey(self.arena.insert(member) as u32);
-        if is_untold {
+        if is_announced_only {
             self.leavers.push(key);
         }
         if is_limited {
             self.limited.push(key);
         }
         self.by_instance.insert(of.instance, key);
-        self.by_stamp.insert((stamp, key));
-        self.list(key);
+        self.by_entry_revision.insert((entry_revision, key));
+        self.update_roster(key);
         true
     }
 
     /// Removes an instance from the list; returns whether it was listed.
-    pub fn remove(&mut self, instance: &str, stamp: u64) -> bool {
+    pub fn remove(&mut self, instance: &str, entry_revision: u64) -> bool {
         let Some(key) = self.by_instance.get(instance).copied() else { return false };
         self.retire(key);
-        self.removals.push_back((stamp, instance.to_owned()));
-        if self.removals.len() > self.by_instance.len().max(REMOVALS_KEPT_LEAST)
-            && let Some((stamp, _)) = self.removals.pop_front()
+        self.removals.push_back((entry_revision, instance.to_owned()));
+        if self.removals.len() > self.by_instance.len().max(MIN_REMOVALS_KEPT)
+            && let Some((entry_revision, _)) = self.removals.pop_front()
         {
-            self.removals_from = stamp;
+            self.removals_forgotten_to = entry_revision;
         }
         true
     }
@@ -295,11 +295,11 @@
     /// Takes an incarnation out of service and forgets its instance.
     fn retire(&mut self, key: BackendKey) {
         let member = &mut self.arena[key.0 as usize];
-        member.is_gone = true;
-        member.said_leaving_ms = None;
+        member.is_out_of_service = true;
+        member.announced_leaving_ms = None;
         let of = member.backend.incarnation();
         self.by_instance.remove(&of.instance);
-        self.by_stamp.remove(&(member.stamp, key));
+        self.by_entry_revision.remove(&(member.entry_revision, key));
         if member.hold_off != HoldOff::default() && self.hold_offs.len() < HOLD_OFFS_LIMIT {
             self.hold_offs.insert(of.clone(), member.hold_off);
         }
@@ -308,15 +308,15 @@
         }
         self.leavers.retain(|other| *other != key);
         self.limited.retain(|other| *other != key);
-        self.list(key);
-        self.drop_if_done(key);
+        self.update_roster(key);
+        self.drop_if_idle(key);
     }
 
     /// Records that an incarnation has ended; returns whether that was new and removed it from the
     /// list.
     pub fn end_incarnation(&mut self, ended: &Incarnation) -> bool {
         let Incarnation { instance, born_ms } = ended;
-        let is_news = self.ended.note(ended);
+        let is_news = self.ended.insert(ended);
         let key = self.by_instance.get(instance);
         let is_known =
             key.is_some_and(|key| self.arena[key.0 as usize].backend.born_ms <= *born_ms);
@@ -347,7 +347,7 @@
     /// Returns the share of recent attempts at a service that failed, from this VM's outcomes and
     /// other VMs' reports.
     pub fn failed_share(&self, service: &str) -> f64 {
-        self.episodes.get(service).unwrap_or(&self.assumed).failed_share()
+        self.episodes.get(service).unwrap_or(&self.prior_episodes).failed_share()
     }
 
     /// Returns the address and the instance of a backend server.
@@ -381,7 +381,7 @@
     pub fn begin(&mut self, key: BackendKey, route: RouteKey, now_ms: u64) {
         self.arena[key.0 as usize].begin(route, now_ms);
         self.busy.insert(key);
-        self.hear(key);
+        self.touch(key);
         self.mark_unreported(key);
     }
 
@@ -407,7 +407,8 @@
         let was_sound = member.was_sound(episodes, now_ms);
         // A request cut off because its backend server leaves is no evidence of a failure.
         let is_good = matches!(outcome, Outcome::Good { .. });
-        let outcome = if member.is_gone && !is_good { Outcome::NoEvidence } else { outcome };
+        let outcome =
+            if member.is_out_of_service && !is_good { Outcome::NoEvidence } else { outcome };
         self.has_bad_news |= member.end(since_ms, route, outcome, &self.routes, episodes, now_ms);
         match outcome {
             Outcome::Good { time_ms, bytes } => {
@@ -419,9 +420,9 @@
         if !self.arena[key.0 as usize].is_busy() {
             self.busy.remove(&key);
         }
-        self.hear(key);
+        self.touch(key);
         self.mark_unreported(key);
-        self.drop_if_done(key);
+        self.drop_if_idle(key);
     }
 
     /// Returns the probability that a request sent at `since_ms` is not answered by `until_ms`.
@@ -442,7 +443,7 @@
     /// returns whether there are any.
     pub fn note_overdue(&mut self, now_ms: u64) -> bool {
         let is_late =
-            |key: &BackendKey| self.arena[key.0 as usize].has_overdue_news(&self.routes, now_ms);
+            |key: &BackendKey| self.arena[key.0 as usize].has_overdue_report(&self.routes, now_ms);
         let keys: Vec<BackendKey> = self.busy().filter(is_late).collect();
         keys.iter().for_each(|key| self.mark_unreported(*key));
         self.has_bad_news |= !keys.is_empty();
@@ -463,7 +464,7 @@
         }
         let episodes = self.episodes.entry(member.backend.service.clone()).or_default();
         let has_freed = member.report(vm, report, episodes);
-        self.hear(key);
+        self.touch(key);
         has_freed
     }
 
@@ -499,31 +500,31 @@
 
     /// Tells whether a backend server is in service.
     pub fn is_listed(&self, key: BackendKey) -> bool {
-        self.arena.get(key.0 as usize).is_some_and(|member| !member.is_gone)
+        self.arena.get(key.0 as usize).is_some_and(|member| !member.is_out_of_service)
     }
 
     /// Returns the episode statistics of a backend server's service.
     fn episodes_at(&self, member: &BackendState) -> &Episodes {
-        self.episodes.get(&member.backend.service).unwrap_or(&self.assumed)
+        self.episodes.get(&member.backend.service).unwrap_or(&self.prior_episodes)
     }
 
     /// Adds a backend server to its service's roster, or removes it if it is out of service.
-    fn list(&mut self, key: BackendKey) {
+    fn update_roster(&mut self, key: BackendKey) {
         let Backend { service, slots, .. } = &self.arena[key.0 as usize].backend;
-        let is_gone = self.arena[key.0 as usize].is_gone;
+        let is_out_of_service = self.arena[key.0 as usize].is_out_of_service;
         match self.rosters.get_mut(service) {
-            Some(roster) if is_gone => roster.remove(key),
+            Some(roster) if is_out_of_service => roster.remove(key),
             Some(roster) => roster.add(key, *slots),
-            None if is_gone => {}
+            None if is_out_of_service => {}
             None => self.rosters.entry(service.clone()).or_default().add(key, *slots),
         }
     }
 
     /// Marks a backend server as recently observed in its roster.
-    fn hear(&mut self, key: BackendKey) {
+    fn touch(&mut self, key: BackendKey) {
         let service = &self.arena[key.0 as usize].backend.service;
         if let Some(roster) = self.rosters.get_mut(service) {
-            roster.hear(key);
+            roster.touch(key);
         }
     }
 
@@ -537,10 +538,10 @@
 
     /// Drops a backend server that is out of service and unlisted once no request is in flight
     /// there.
-    fn drop_if_done(&mut self, key: BackendKey) {
+    fn drop_if_idle(&mut self, key: BackendKey) {
         let member = &self.arena[key.0 as usize];
         let is_listed = self.by_instance.get(&member.backend.instance) == Some(&key);
-        if member.is_gone && !is_listed && !member.is_busy() {
+        if member.is_out_of_service && !is_listed && !member.is_busy() {
             self.arena.remove(key.0 as usize);
             self.unreported.retain(|other| *other != key);
         }
--- a/crates/leverstream-core/src/fleet/backend_state.rs
+++ b/crates/leverstream-core/src/fleet/backend_state.rs
@@ -15,17 +15,17 @@
 
 /// How long another VM's count of requests in flight stays valid, in milliseconds: slightly more
 /// than two periods of the repeated reports that make up for lost datagrams.
-const REPORT_HOLDS_MS: u64 = 2_500;
+const REPORT_VALID_MS: u64 = 2_500;
 
 /// The number of VM reports kept before the reports of silent VMs are dropped; each restart of a VM
 /// adds one.
 const REPORTS_LIMIT: usize = 256;
 
 /// The silence after which a VM's report is dropped once there are too many, in milliseconds.
-const SILENT_AFTER_MS: u64 = 30_000;
+const SILENT_REPORT_MAX_AGE_MS: u64 = 30_000;
 
 /// The weight of one answer in the moving average of slowness.
-const SLOWNESS_STEP: f64 = 0.2;
+const SLOWNESS_WEIGHT: f64 = 0.2;
 
 /// The time in which slowness decays halfway to normal without answers, in milliseconds.
 const SLOWNESS_HALF_LIFE_MS: f64 = 3_000.0;
@@ -39,48 +39,48 @@
 
 /// The longest time that a request may take to reach a backend server, in milliseconds. Opening a
 /// connection takes one or two and is abandoned after 300.
-const ON_ITS_WAY_MS: u64 = 300;
+const ARRIVAL_LIMIT_MS: u64 = 300;
 
 /// The share of a route's requests that expire at sound backend servers from which a further expiry
 /// says little about the backend server.
-const EXPIRES_ANYWHERE_FROM: f64 = 0.15;
+const EXPIRES_EVERYWHERE_SHARE: f64 = 0.15;
 
 /// The failure probability below which a backend server counts as sound for a route's expiry
 /// statistics.
-const SOUND_BELOW: f64 = 0.25;
+const SOUND_FAILURE_CHANCE: f64 = 0.25;
 
 /// The slowness from which a backend server counts as slow.
-const SLOW_FROM: f64 = 2.0;
+const SLOW_FACTOR: f64 = 2.0;
 
 /// How long after its listing a backend server counts as new, in milliseconds: it starts slowly,
 /// and the one it replaces has just gone.
 const NEW_FOR_MS: u64 = 6_000;
 
 /// The factor by which the overdue odds must grow before other VMs are told again.
-const OVERDUE_NEWS_STEP: f64 = 3.0;
+const OVERDUE_REPORT_FACTOR: f64 = 3.0;
 
 /// A backend server with what was observed of it.
 pub(crate) struct BackendState {
     /// The platform's entry.
     pub backend: Backend,
     /// The store revision of the entry's last change.
-    pub stamp: u64,
+    pub entry_revision: u64,
     /// When the incarnation was first listed.
     listed_ms: u64,
     /// The end of its warm-up.
     cold_until_ms: u64,
     /// Whether it gets no new requests.
-    pub is_gone: bool,
+    pub is_out_of_service: bool,
     /// When it announced that it leaves; none once the platform lists it as leaving.
-    pub said_leaving_ms: Option<u64>,
+    pub announced_leaving_ms: Option<u64>,
     /// How long it has asked this VM to send nothing.
     pub hold_off: HoldOff,
     /// The rate limit over all VMs that it has announced.
     pub limit: Limit,
     /// This VM's requests in flight there.
-    flights: Vec<Flight>,
+    requests_in_flight: Vec<RequestInFlight>,
     /// The overdue odds last reported to other VMs, at least 1.
-    told_overdue_odds: f64,
+    reported_overdue_odds: f64,
     /// The latest report of each other VM.
     reports: HashMap<u64, Report>,
     /// The VMs whose latest report has requests in flight or overdue ones.
@@ -106,7 +106,7 @@
 
 /// A request in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Flight {
+struct RequestInFlight {
     /// When it was sent.
     since_ms: u64,
     /// Its route.
@@ -183,18 +183,18 @@
 
 impl BackendState {
     /// Creates the state of a backend server without observations.
-    pub fn open(backend: Backend, stamp: u64, now_ms: u64) -> BackendState {
+    pub fn open(backend: Backend, entry_revision: u64, now_ms: u64) -> BackendState {
         BackendState {
-            stamp,
+            entry_revision,
             listed_ms: now_ms,
             cold_until_ms: now_ms + backend.cold_left_ms,
-            is_gone: backend.is_leaving,
-            said_leaving_ms: None,
+            is_out_of_service: backend.is_leaving,
+            announced_leaving_ms: None,
             hold_off: HoldOff::default(),
             limit: Limit::default(),
             backend,
-            flights: Vec::new(),
-            told_overdue_odds: 1.0,
+            requests_in_flight: Vec::new(),
+            reported_overdue_odds: 1.0,
             reports: HashMap::new(),
             busy_vms: Vec::new(),
             suspicion: Suspicion::open(now_ms),
@@ -225,7 +225,7 @@
             far_cost: if self.backend.hall == asker.hall { 0.0 } else { asker.far_cost },
             is_cold: now_ms < self.cold_until_ms,
             failure_chance,
-            slowness: self.faded_slowness(now_ms),
+            slowness: self.decayed_slowness(now_ms),
             unseen_chance: episodes.unseen_failure_chance(),
             standing: self.floor_standing(now_ms),
             claim: Claim::None,
@@ -238,7 +238,7 @@
     fn floor_standing(&self, now_ms: u64) -> FloorStanding {
         let is_sound =
             self.suspicion.bad_age_ms(now_ms).is_none_or(|age_ms| age_ms >= SOUND_AFTER_MS);
-        let is_steady = self.faded_slowness(now_ms) < SLOW_FROM
+        let is_steady = self.decayed_slowness(now_ms) < SLOW_FACTOR
             && now_ms.saturating_sub(self.listed_ms) >= NEW_FOR_MS;
         FloorStanding { is_sound, is_steady, unused_ms: self.unused_ms(now_ms) }
     }
@@ -248,9 +248,9 @@
     /// A backend server that still works on an earlier request counts as unused, however long the
     /// work takes.
     fn unused_ms(&self, now_ms: u64) -> u64 {
-        let is_on_its_way =
-            |flight: &Flight| now_ms.saturating_sub(flight.since_ms) < ON_ITS_WAY_MS;
-        match self.flights.iter().any(is_on_its_way) {
+        let is_arriving =
+            |request: &RequestInFlight| now_ms.saturating_sub(request.since_ms) < ARRIVAL_LIMIT_MS;
+        match self.requests_in_flight.iter().any(is_arriving) {
             true => 0,
             false => now_ms.saturating_sub(self.reached_ms),
         }
@@ -258,12 +258,12 @@
 
     /// Tells whether this VM has requests in flight there.
     pub fn is_busy(&self) -> bool {
-        !self.flights.is_empty()
+        !self.requests_in_flight.is_empty()
     }
 
     /// Records that a request is sent.
     pub fn begin(&mut self, route: RouteKey, now_ms: u64) {
-        self.flights.push(Flight { since_ms: now_ms, route });
+        self.requests_in_flight.push(RequestInFlight { since_ms: now_ms, route });
     }
 
     /// Records that a request of this VM has arrived.
@@ -282,10 +282,10 @@
         episodes: &mut Episodes,
         now_ms: u64,
     ) -> bool {
-        let flight = Flight { since_ms, route };
-        let slower_share = self.slower_share(&flight, routes, now_ms);
-        if let Some(at) = self.flights.iter().position(|other| *other == flight) {
-            self.flights.swap_remove(at);
+        let request = RequestInFlight { since_ms, route };
+        let slower_share = self.slower_share(&request, routes, now_ms);
+        if let Some(at) = self.requests_in_flight.iter().position(|other| *other == request) {
+            self.requests_in_flight.swap_remove(at);
         }
         if !matches!(outcome, Outcome::Nothing | Outcome::NoEvidence) {
             self.hold_off.note_answer(since_ms);
@@ -295,12 +295,12 @@
             Outcome::Good { time_ms, .. } => {
                 self.good += 1;
                 self.suspicion.good(1, episodes, now_ms);
-                self.note_time(time_ms / routes[route.0 as usize].times.median_ms(), now_ms);
+                self.note_latency(time_ms / routes[route.0 as usize].times.median_ms(), now_ms);
                 false
             }
             Outcome::Expired => {
                 let share = slower_share.max(routes[route.0 as usize].expired_share());
-                match share >= EXPIRES_ANYWHERE_FROM {
+                match share >= EXPIRES_EVERYWHERE_SHARE {
                     true => self.note_unanswered(share, episodes, now_ms),
                     false => self.note_bad(episodes, now_ms),
                 }
@@ -327,25 +327,33 @@
 
     /// Tells whether its recent outcomes suggested that it was sound.
     pub fn was_sound(&self, episodes: &Episodes, now_ms: u64) -> bool {
-        self.suspicion.failure_chance(1.0, episodes, now_ms) < SOUND_BELOW
+        self.suspicion.failure_chance(1.0, episodes, now_ms) < SOUND_FAILURE_CHANCE
     }
 
     /// Returns the share of sound answers that take longer than a request has been in flight.
-    fn slower_share(&self, flight: &Flight, routes: &Slab<RouteProfile>, now_ms: u64) -> f64 {
-        let age_ms = now_ms.saturating_sub(flight.since_ms) as f64;
-        let slowness = self.faded_slowness(now_ms).max(1.0);
-        routes[flight.route.0 as usize].times.slower_share(age_ms / slowness)
+    fn slower_share(
+        &self,
+        request: &RequestInFlight,
+        routes: &Slab<RouteProfile>,
+        now_ms: u64,
+    ) -> f64 {
+        let age_ms = now_ms.saturating_sub(request.since_ms) as f64;
+        let slowness = self.decayed_slowness(now_ms).max(1.0);
+        routes[request.route.0 as usize].times.slower_share(age_ms / slowness)
     }
 
     /// Returns the likelihood ratio of a failure episode from this VM's requests in flight.
     fn own_overdue_odds(&self, routes: &Slab<RouteProfile>, now_ms: u64) -> f64 {
-        let shares = self.flights.iter().map(|flight| self.slower_share(flight, routes, now_ms));
+        let shares = self
+            .requests_in_flight
+            .iter()
+            .map(|request| self.slower_share(request, routes, now_ms));
         shares.map(Suspicion::overdue_odds).product()
     }
 
     /// Returns the likelihood ratio of a failure episode from all VMs' requests in flight.
     fn overdue_odds(&self, routes: &Slab<RouteProfile>, now_ms: u64) -> f64 {
-        let others = self.fresh_reports(now_ms).map(|report| report.overdue_odds);
+        let others = self.valid_reports(now_ms).map(|report| report.overdue_odds);
         self.own_overdue_odds(routes, now_ms) * others.product::<f64>()
     }
 
@@ -359,17 +367,17 @@
         episodes: &Episodes,
         now_ms: u64,
     ) -> f64 {
-        let flight = Flight { since_ms, route };
-        let by_now = self.slower_share(&flight, routes, now_ms);
-        let by_then = self.slower_share(&flight, routes, until_ms);
+        let request = RequestInFlight { since_ms, route };
+        let by_now = self.slower_share(&request, routes, now_ms);
+        let by_then = self.slower_share(&request, routes, until_ms);
         let odds = self.overdue_odds(routes, now_ms);
         let silent = self.suspicion.silence_chance(odds, by_now, episodes, now_ms);
         silent + (1.0 - silent) * (by_then / by_now).min(1.0)
     }
 
     /// Tells whether the overdue odds have grown enough since the last report to tell other VMs.
-    pub fn has_overdue_news(&self, routes: &Slab<RouteProfile>, now_ms: u64) -> bool {
-        self.own_overdue_odds(routes, now_ms) >= OVERDUE_NEWS_STEP * self.told_overdue_odds
+    pub fn has_overdue_report(&self, routes: &Slab<RouteProfile>, now_ms: u64) -> bool {
+        self.own_overdue_odds(routes, now_ms) >= OVERDUE_REPORT_FACTOR * self.reported_overdue_odds
     }
 
     /// Applies another VM's report; returns whether a slot may have become free.
@@ -379,7 +387,8 @@
     pub fn report(&mut self, vm: u64, report: Report, episodes: &mut Episodes) -> bool {
         if self.reports.len() >= REPORTS_LIMIT {
             let now_ms = report.heard_ms;
-            self.reports.retain(|_, old| now_ms.saturating_sub(old.heard_ms) < SILENT_AFTER_MS);
+            self.reports
+                .retain(|_, old| now_ms.saturating_sub(old.heard_ms) < SILENT_REPORT_MAX_AGE_MS);
             self.busy_vms.retain(|vm| self.reports.contains_key(vm));
         }
         if report.is_busy() && !self.busy_vms.contains(&vm) {
@@ -399,39 +408,39 @@
 
     /// Returns the number of requests in flight from all VMs, as far as known.
     fn load(&self, now_ms: u64) -> u32 {
-        let others = self.fresh_reports(now_ms).map(|report| report.in_flight);
-        self.flights.len() as u32 + others.sum::<u32>()
+        let others = self.valid_reports(now_ms).map(|report| report.in_flight);
+        self.requests_in_flight.len() as u32 + others.sum::<u32>()
     }
 
     /// Iterates over the reports whose counts of requests in flight are still valid.
-    fn fresh_reports(&self, now_ms: u64) -> impl Iterator<Item = &Report> {
-        let is_fresh =
-            move |report: &&Report| now_ms.saturating_sub(report.heard_ms) < REPORT_HOLDS_MS;
-        self.busy_vms.iter().filter_map(|vm| self.reports.get(vm)).filter(is_fresh)
+    fn valid_reports(&self, now_ms: u64) -> impl Iterator<Item = &Report> {
+        let is_valid =
+            move |report: &&Report| now_ms.saturating_sub(report.heard_ms) < REPORT_VALID_MS;
+        self.busy_vms.iter().filter_map(|vm| self.reports.get(vm)).filter(is_valid)
     }
 
     /// Returns the slowness, decayed towards normal.
-    fn faded_slowness(&self, now_ms: u64) -> f64 {
+    fn decayed_slowness(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.slowness_at_ms) as f64;
         1.0 + (self.slowness - 1.0) * (-age_ms / SLOWNESS_HALF_LIFE_MS).exp2()
     }
 
     /// Updates the slowness with an answer's latency, as a multiple of the route's median.
-    fn note_time(&mut self, factor: f64, now_ms: u64) {
+    fn note_latency(&mut self, factor: f64, now_ms: u64) {
         let (low, high) = SLOWNESS_BOUNDS;
-        let faded = self.faded_slowness(now_ms);
-        self.slowness = faded + SLOWNESS_STEP * (factor.clamp(low, high) - faded);
+        let decayed = self.decayed_slowness(now_ms);
+        self.slowness = decayed + SLOWNESS_WEIGHT * (factor.clamp(low, high) - decayed);
         self.slowness_at_ms = now_ms;
     }
 
     /// Builds the report for other VMs.
     pub fn take_report(&mut self, routes: &Slab<RouteProfile>, now_ms: u64) -> BackendReport {
         let overdue_odds = self.own_overdue_odds(routes, now_ms);
-        self.told_overdue_odds = overdue_odds.max(1.0);
+        self.reported_overdue_odds = overdue_odds.max(1.0);
         BackendReport {
             of: self.backend.incarnation(),
             report: Report {
-                in_flight: self.flights.len() as u32,
+                in_flight: self.requests_in_flight.len() as u32,
                 good: self.good,
                 bad: self.bad,
                 overdue_odds,
--- a/crates/leverstream-core/src/fleet/hold_off.rs
+++ b/crates/leverstream-core/src/fleet/hold_off.rs
@@ -1,4 +1,4 @@
-//! The hold-off that a backend server asks of a VM, as with `Retry-After`.
+//! The hold-off that a backend server asks of a VM.
 
 /// The time for which a backend server accepts no requests of this VM, with a slow start
 /// afterwards.
@@ -11,7 +11,7 @@
     /// The end of the hold-off.
     until_ms: u64,
     /// Whether no request sent since the end has been answered.
-    is_untried: bool,
+    is_unproven: bool,
 }
 
 impl HoldOff {
@@ -19,14 +19,14 @@
     pub fn note(&mut self, for_ms: u64, now_ms: u64) {
         let until_ms = now_ms.saturating_add(for_ms);
         if until_ms > now_ms.max(self.until_ms) {
-            *self = HoldOff { until_ms, is_untried: true };
+            *self = HoldOff { until_ms, is_unproven: true };
         }
     }
 
     /// Limits the VM to a single request until it is answered, as after a hold-off that ends now.
-    pub fn begin_again(&mut self, now_ms: u64) {
+    pub fn restart_with_one_request(&mut self, now_ms: u64) {
         self.until_ms = self.until_ms.max(now_ms);
-        self.is_untried = true;
+        self.is_unproven = true;
     }
 
     /// Returns the end of the hold-off if it is in the future.
@@ -37,11 +37,11 @@
     /// Tells whether a request may be sent; `is_busy` says whether this VM has others in flight
     /// there.
     pub fn admits(&self, is_busy: bool, now_ms: u64) -> bool {
-        self.until_ms(now_ms).is_none() && !(self.is_untried && is_busy)
+        self.until_ms(now_ms).is_none() && !(self.is_unproven && is_busy)
     }
 
     /// Records an answer to a request sent at `since_ms`.
     pub fn note_answer(&mut self, since_ms: u64) {
-        self.is_untried &= since_ms < self.until_ms;
+        self.is_unproven &= since_ms < self.until_ms;
     }
 }
--- a/crates/leverstream-core/src/fleet/departures.rs
+++ b/crates/leverstream-core/src/fleet/incarnation_set.rs
@@ -7,7 +7,7 @@
 /// The maximum number of instances remembered; the oldest are evicted first. It holds a third of
 /// 74,000 backend servers replaced at once, in 3 MB. An evicted one matters only if the platform
 /// lists that incarnation for the first time afterwards.
-const LIMIT: usize = 32_768;
+const INSTANCES_LIMIT: usize = 32_768;
 
 /// Incarnations that have irrevocably ended or begun to leave, whatever the platform lists.
 ///
@@ -15,23 +15,23 @@
 /// Merging takes the later incarnation, so it is commutative and idempotent, and stale messages
 /// undo nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Departures {
+pub(crate) struct IncarnationSet {
     /// The start time of the latest such incarnation, by instance.
     born_ms: HashMap<String, u64>,
     /// The instances in the order of insertion, for eviction.
     order: VecDeque<String>,
 }
 
-impl Departures {
+impl IncarnationSet {
     /// Adds an incarnation; returns whether it was new.
-    pub fn note(&mut self, of: &Incarnation) -> bool {
+    pub fn insert(&mut self, of: &Incarnation) -> bool {
         if self.covers(of) {
             return false;
         }
         if self.born_ms.insert(of.instance.clone(), of.born_ms).is_none() {
             self.order.push_back(of.instance.clone());
         }
-        while self.order.len() > LIMIT {
+        while self.order.len() > INSTANCES_LIMIT {
             self.order.pop_front().and_then(|instance| self.born_ms.remove(&instance));
         }
         true
--- a/crates/leverstream-core/src/fleet/leaving.rs
+++ b/crates/leverstream-core/src/fleet/leaving.rs
@@ -42,16 +42,16 @@
     ///
     /// Platform entries do not undo it; only a later incarnation returns to service.
     pub fn leave(&mut self, of: &Incarnation, now_ms: u64) -> bool {
-        let is_news = self.leaving.note(of);
+        let is_news = self.leaving.insert(of);
         let Some(key) = self.by_instance.get(&of.instance).copied() else { return is_news };
         let member = &mut self.arena[key.0 as usize];
-        if member.backend.born_ms > of.born_ms || member.is_gone {
+        if member.backend.born_ms > of.born_ms || member.is_out_of_service {
             return is_news;
         }
-        member.is_gone = true;
-        member.said_leaving_ms = Some(now_ms);
+        member.is_out_of_service = true;
+        member.announced_leaving_ms = Some(now_ms);
         self.leavers.push(key);
-        self.list(key);
+        self.update_roster(key);
         true
     }
 
@@ -89,7 +89,7 @@
     /// Tells whether a request that has been assigned to a backend server may still be sent.
     pub fn may_send(&self, key: BackendKey, now_ms: u64) -> bool {
         let Some(member) = self.arena.get(key.0 as usize) else { return false };
-        let is_in_service = !member.is_gone || self.is_last_resort(member, now_ms);
+        let is_in_service = !member.is_out_of_service || self.is_last_resort(member, now_ms);
         let is_emptied = self.is_emptied(&member.backend.hall);
         is_in_service && !is_emptied && member.hold_off.until_ms(now_ms).is_none()
     }
@@ -140,8 +140,8 @@
         for key in self.by_instance.values() {
             let member = &self.arena[key.0 as usize];
             let count = match member {
-                BackendState { said_leaving_ms: Some(_), .. } => &mut census.leaving_by_word,
-                BackendState { is_gone: true, .. } => &mut census.leaving,
+                BackendState { announced_leaving_ms: Some(_), .. } => &mut census.leaving_by_word,
+                BackendState { is_out_of_service: true, .. } => &mut census.leaving,
                 _ if self.is_emptied(&member.backend.hall) => &mut census.emptied,
                 _ if member.hold_off.until_ms(now_ms).is_some() => &mut census.holding_off,
                 _ if member.limit.per_s().is_some() => &mut census.limited,
@@ -172,8 +172,9 @@
 
     /// Tells whether a leaving backend server still gets requests.
     fn is_last_resort(&self, member: &BackendState, now_ms: u64) -> bool {
-        let since_word_ms = member.said_leaving_ms.map(|said_ms| now_ms.saturating_sub(said_ms));
-        since_word_ms.is_some_and(|since_ms| since_ms < self.last_resort_ms)
+        let since_announcement_ms =
+            member.announced_leaving_ms.map(|announced_ms| now_ms.saturating_sub(announced_ms));
+        since_announcement_ms.is_some_and(|since_ms| since_ms < self.last_resort_ms)
             && self.of_service(&member.backend.service).is_empty()
     }
 }
--- a/crates/leverstream-core/src/fleet/limit.rs
+++ b/crates/leverstream-core/src/fleet/limit.rs
@@ -13,7 +13,7 @@
 use super::{BackendState, Fleet};
 
 /// The maximum number of unlisted incarnations whose limits are remembered.
-const UNLISTED_LIMIT: usize = 4_096;
+const UNLISTED_STARTS_LIMIT: usize = 4_096;
 
 /// A limit as announced in an answer.
 ///
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Limit {
     /// The latest notice.
-    word: Option<LimitWord>,
+    notice: Option<LimitWord>,
     /// The time until which permits are denied.
     denied_until_ms: u64,
     /// The rate that this VM can count on, in requests a second, if known.
@@ -70,26 +70,26 @@
 
 impl Limit {
     /// Applies a notice unless a newer one is known; returns whether the limit changed.
-    fn note(&mut self, word: LimitWord) -> bool {
-        if self.word.is_some_and(|known| word.sent_ms <= known.sent_ms) {
+    fn note(&mut self, notice: LimitWord) -> bool {
+        if self.notice.is_some_and(|known| notice.sent_ms <= known.sent_ms) {
             return false;
         }
         let before = self.per_s();
-        self.word = Some(word);
-        if word.per_s.is_none() {
+        self.notice = Some(notice);
+        if notice.per_s.is_none() {
             (self.denied_until_ms, self.share_per_s) = (0, None);
         }
-        before != word.per_s
+        before != notice.per_s
     }
 
     /// Returns the limit in requests a second, if there is one.
     pub fn per_s(&self) -> Option<f64> {
-        self.word.and_then(|word| word.per_s)
+        self.notice.and_then(|notice| notice.per_s)
     }
 
     /// Returns the latest notice.
     pub fn word(&self) -> Option<LimitWord> {
-        self.word
+        self.notice
     }
 
     /// Tells whether a permit may be requested.
@@ -107,42 +107,42 @@
 
 impl Fleet {
     /// Applies a notice about an incarnation; returns whether the limit changed.
-    pub fn note_limit(&mut self, of: &Incarnation, word: LimitWord, now_ms: u64) -> bool {
+    pub fn note_limit(&mut self, of: &Incarnation, notice: LimitWord, now_ms: u64) -> bool {
         let key = self.by_instance.get(&of.instance).copied();
         let known = key.map(|key| (key, self.arena[key.0 as usize].backend.born_ms));
         match known {
-            Some((key, born_ms)) if born_ms == of.born_ms => self.note_listed(key, word, now_ms),
+            Some((key, born_ms)) if born_ms == of.born_ms => self.note_listed(key, notice, now_ms),
             Some((_, born_ms)) if born_ms > of.born_ms => false,
-            _ => self.note_unlisted(of, word),
+            _ => self.note_unlisted(of, notice),
         }
     }
 
     /// Applies a notice about a listed incarnation.
-    fn note_listed(&mut self, key: BackendKey, word: LimitWord, now_ms: u64) -> bool {
+    fn note_listed(&mut self, key: BackendKey, notice: LimitWord, now_ms: u64) -> bool {
         let member = &mut self.arena[key.0 as usize];
-        if !member.limit.note(word) {
+        if !member.limit.note(notice) {
             return false;
         }
         self.limited.retain(|other| *other != key);
-        if word.per_s.is_some() {
+        if notice.per_s.is_some() {
             self.limited.push(key);
         } else {
             // All VMs learn of the lifted limit at once, so each starts with a single request.
-            self.arena[key.0 as usize].hold_off.begin_again(now_ms);
+            self.arena[key.0 as usize].hold_off.restart_with_one_request(now_ms);
         }
         true
     }
 
     /// Applies a notice about an unlisted incarnation, which may be listed later or again.
-    pub(super) fn note_unlisted(&mut self, of: &Incarnation, word: LimitWord) -> bool {
+    pub(super) fn note_unlisted(&mut self, of: &Incarnation, notice: LimitWord) -> bool {
         if let Some(limit) = self.unlisted_limits.get_mut(of) {
-            return limit.note(word);
+            return limit.note(notice);
         }
-        if word.per_s.is_none() || self.unlisted_limits.len() >= UNLISTED_LIMIT {
+        if notice.per_s.is_none() || self.unlisted_limits.len() >= UNLISTED_STARTS_LIMIT {
             return false;
         }
         let mut limit = Limit::default();
-        limit.note(word);
+        limit.note(notice);
         self.unlisted_limits.insert(of.clone(), limit);
         true
     }
@@ -187,8 +187,8 @@
     /// Returns the limits of listed incarnations for other VMs.
     pub fn limits(&self, now_ms: u64) -> Vec<LimitTold> {
         let told = |key: &BackendKey| {
-            let word = self.arena[key.0 as usize].limit.word()?;
-            Some(word.told(&self.incarnation(*key), now_ms))
+            let notice = self.arena[key.0 as usize].limit.word()?;
+            Some(notice.told(&self.incarnation(*key), now_ms))
         };
         self.limited.iter().filter_map(told).collect()
     }
--- a/crates/leverstream-core/src/fleet/roster.rs
+++ b/crates/leverstream-core/src/fleet/roster.rs
@@ -9,14 +9,14 @@
 use rand::Rng;
 
 /// The largest service of which a request considers all backend servers.
-const WHOLE_LIMIT: usize = 320;
+const FULL_SCAN_LIMIT: usize = 320;
 
 /// The number of most recently observed backend servers considered in a larger service.
-const HEARD_LIMIT: usize = 192;
+const RECENT_LIMIT: usize = 192;
 
 /// The size of the random sample from the rest: backend servers without recent observations differ
 /// only in their data hall.
-const OTHERS_LIMIT: usize = 48;
+const SAMPLE_SIZE: usize = 48;
 
 /// The backend servers of one service in service, with the order of their last observations.
 ///
@@ -26,24 +26,24 @@
     /// The keys, unordered.
     keys: Vec<BackendKey>,
     /// The entry of each key.
-    places: HashMap<BackendKey, Place>,
+    entries: HashMap<BackendKey, Entry>,
     /// The observed backend servers by observation number, the latest last.
-    heard: BTreeMap<u64, BackendKey>,
+    recent: BTreeMap<u64, BackendKey>,
     /// The number of the latest observation.
-    last_word: u64,
+    last_observation: u64,
     /// The total slots.
     slots: u32,
 }
 
 /// The entry of a backend server in a [`Roster`].
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct Entry {
     /// Its index in `keys`.
     index: usize,
     /// Its number of slots.
     slots: u32,
     /// The number of its latest observation; 0 if there is none.
-    word: u64,
+    observation: u64,
 }
 
 /// The backend servers that a request considers.
@@ -79,52 +79,52 @@
 
     /// Adds a backend server, or updates its slots.
     pub fn add(&mut self, key: BackendKey, slots: u32) {
-        let Roster { keys, places, .. } = self;
-        let place = places.entry(key).or_insert_with(|| {
+        let Roster { keys, entries, .. } = self;
+        let entry = entries.entry(key).or_insert_with(|| {
             keys.push(key);
-            Place { index: keys.len() - 1, slots: 0, word: 0 }
+            Entry { index: keys.len() - 1, slots: 0, observation: 0 }
         });
-        self.slots = self.slots - place.slots + slots;
-        place.slots = slots;
+        self.slots = self.slots - entry.slots + slots;
+        entry.slots = slots;
     }
 
     /// Removes a backend server.
     pub fn remove(&mut self, key: BackendKey) {
-        let Some(place) = self.places.remove(&key) else { return };
-        self.keys.swap_remove(place.index);
-        if let Some(moved) = self.keys.get(place.index).and_then(|key| self.places.get_mut(key)) {
-            moved.index = place.index;
+        let Some(entry) = self.entries.remove(&key) else { return };
+        self.keys.swap_remove(entry.index);
+        if let Some(moved) = self.keys.get(entry.index).and_then(|key| self.entries.get_mut(key)) {
+            moved.index = entry.index;
         }
-        self.heard.remove(&place.word);
-        self.slots -= place.slots;
+        self.recent.remove(&entry.observation);
+        self.slots -= entry.slots;
     }
 
     /// Marks a backend server as the most recently observed one.
-    pub fn hear(&mut self, key: BackendKey) {
-        let Some(place) = self.places.get_mut(&key) else { return };
-        self.heard.remove(&place.word);
-        self.last_word += 1;
-        place.word = self.last_word;
-        self.heard.insert(place.word, key);
+    pub fn touch(&mut self, key: BackendKey) {
+        let Some(entry) = self.entries.get_mut(&key) else { return };
+        self.recent.remove(&entry.observation);
+        self.last_observation += 1;
+        entry.observation = self.last_observation;
+        self.recent.insert(entry.observation, key);
     }
 
     /// Returns all backend servers of a small service; of a large one, the recently observed ones
     /// and a sample of the rest.
     pub fn candidates(&self, rng: &mut impl Rng) -> Candidates {
-        if self.keys.len() <= WHOLE_LIMIT {
+        if self.keys.len() <= FULL_SCAN_LIMIT {
             let known = self.keys.len();
             return Candidates { keys: self.keys.clone(), known, stands_for: 1.0 };
         }
-        let heard = self.heard.iter().rev().take(HEARD_LIMIT);
-        let (words, mut keys): (Vec<u64>, Vec<BackendKey>) = heard.unzip();
+        let recent = self.recent.iter().rev().take(RECENT_LIMIT);
+        let (observations, mut keys): (Vec<u64>, Vec<BackendKey>) = recent.unzip();
         let known = keys.len();
-        let oldest_word = words.last().copied().unwrap_or(u64::MAX);
-        let is_known = |key: &BackendKey| self.places[key].word >= oldest_word;
-        let drawn = rand::seq::index::sample(rng, self.keys.len(), OTHERS_LIMIT);
-        let drawn = drawn.iter().map(|index| self.keys[index]);
-        keys.extend(drawn.filter(|key| !is_known(key)));
-        let others = self.keys.len() - known;
-        let stands_for = others as f64 / (keys.len() - known).max(1) as f64;
+        let oldest_observation = observations.last().copied().unwrap_or(u64::MAX);
+        let is_known = |key: &BackendKey| self.entries[key].observation >= oldest_observation;
+        let sample = rand::seq::index::sample(rng, self.keys.len(), SAMPLE_SIZE);
+        let sample = sample.iter().map(|index| self.keys[index]);
+        keys.extend(sample.filter(|key| !is_known(key)));
+        let rest = self.keys.len() - known;
+        let stands_for = rest as f64 / (keys.len() - known).max(1) as f64;
         Candidates { keys, known, stands_for }
     }
 }
--- a/crates/leverstream-core/src/floor.rs
+++ b/crates/leverstream-core/src/floor.rs
@@ -2,17 +2,18 @@
 //! fail.
 //!
 //! A backend server is sound if it has not failed recently, and used if a request reached it within
-//! [`CLAIMS_ONCE_MS`]. [`claim`] marks the unused ones that the next request must or should go to.
+//! [`NON_REPEATABLE_CLAIM_IDLE_MS`]. [`claim`] marks the unused ones that the next request must or
+//! should go to.
 
 use leverstream_route::{Choice, Claim, FloorStanding};
 
 /// The idle time after which a repeatable request may claim a backend server, in milliseconds. It
 /// is shorter than for other requests, which lose more by a failure.
-const CLAIMS_REPEATABLE_MS: u64 = 1_000;
+const REPEATABLE_CLAIM_IDLE_MS: u64 = 1_000;
 
 /// The idle time after which a non-repeatable request may claim a backend server, in milliseconds:
 /// the users measure over two seconds, and the next request takes a while to arrive.
-const CLAIMS_ONCE_MS: u64 = 1_700;
+const NON_REPEATABLE_CLAIM_IDLE_MS: u64 = 1_700;
 
 /// The share that repeatable requests aim for while many requests fail, as a failed trial costs
 /// them little.
@@ -42,8 +43,8 @@
     ///
     /// If not, claims would divert every request from the proven backend servers and cause
     /// avoidable failures, without meeting the floor.
-    fn is_in_reach(&self, sound: f64) -> bool {
-        let reached = |per_s: f64| per_s * CLAIMS_ONCE_MS as f64 / 1_000.0;
+    fn is_reachable(&self, sound: f64) -> bool {
+        let reached = |per_s: f64| per_s * NON_REPEATABLE_CLAIM_IDLE_MS as f64 / 1_000.0;
         self.requests_per_s.is_none_or(|per_s| reached(per_s) >= self.share * sound)
     }
 }
@@ -56,10 +57,11 @@
 /// servers that are likely sound unless the share is below the floor. Otherwise idle backend
 /// servers are preferred while the share is low, as the requests in flight may yet fail.
 pub fn claim(choices: &mut [Choice], floor: Floor, is_repeatable: bool) {
-    if !floor.is_in_reach(sound_count(choices)) {
+    if !floor.is_reachable(sound_count(choices)) {
         return;
     }
-    let claims_ms = if is_repeatable { CLAIMS_REPEATABLE_MS } else { CLAIMS_ONCE_MS };
+    let claim_idle_ms =
+        if is_repeatable { REPEATABLE_CLAIM_IDLE_MS } else { NON_REPEATABLE_CLAIM_IDLE_MS };
     let fails = floor.requests_fail || (floor.attempts_fail && is_repeatable);
     let share = if floor.requests_fail && is_repeatable {
         floor.share.max(FAILING_SHARE)
@@ -68,7 +70,7 @@
     };
     let is_low = used_share(choices) < share;
     for choice in choices.iter_mut() {
-        let is_idle = choice.standing.is_sound && choice.standing.unused_ms >= claims_ms;
+        let is_idle = choice.standing.is_sound && choice.standing.unused_ms >= claim_idle_ms;
         let is_clear =
             !choice.is_in_doubt(is_repeatable) && (is_repeatable || choice.is_likely_sound());
         choice.claim = match is_idle {
@@ -90,7 +92,7 @@
         let (mut used, mut counted) = (0.0, 0.0);
         for choice in sound(choices).filter(|choice| is_counted(&choice.standing)) {
             counted += choice.stands_for;
-            if choice.standing.unused_ms < CLAIMS_ONCE_MS {
+            if choice.standing.unused_ms < NON_REPEATABLE_CLAIM_IDLE_MS {
                 used += choice.stands_for;
             }
         }
--- a/crates/leverstream-core/src/hedge.rs
+++ b/crates/leverstream-core/src/hedge.rs
@@ -9,17 +9,17 @@
 
 /// The minimum gain in the probability of an answer in time: a hedge takes a slot for one service
 /// time, and the retry budget covers one request in five.
-const WORTH_FROM: f64 = 0.2;
+const MIN_GAIN: f64 = 0.2;
 
 /// The used share of the retry budget up to which the minimum gain suffices; steady failure
 /// episodes use a third.
-const PLENTY_PART: f64 = 0.4;
+const AMPLE_USED_SHARE: f64 = 0.4;
 
 /// The interval between two checks, as a share of the route's median latency.
-const LOOK_PART: f64 = 0.125;
+const CHECK_INTERVAL_SHARE: f64 = 0.125;
 
 /// The minimum interval between two checks, in milliseconds.
-const LOOK_LEAST_MS: u64 = 5;
+const MIN_CHECK_INTERVAL_MS: u64 = 5;
 
 /// A repeatable request in flight at one or more backend servers.
 #[derive(Clone, Copy, Debug)]
@@ -44,9 +44,9 @@
     let miss = |(key, since_ms): &(BackendKey, u64)| {
         fleet.miss_chance(*key, pending.route, *since_ms, until_ms, now_ms)
     };
-    let missed: f64 = pending.flights.iter().map(miss).product();
+    let miss_chance: f64 = pending.flights.iter().map(miss).product();
     let left_ms = until_ms.saturating_sub(now_ms) as f64;
-    missed * (1.0 - times.slower_share(left_ms))
+    miss_chance * (1.0 - times.slower_share(left_ms))
 }
 
 /// Tells whether a hedge with such a gain is worth sending, given the used share of the retry
@@ -54,9 +54,9 @@
 ///
 /// The rest of the budget is kept for larger gains: a retry after an error gains nearly a whole
 /// answer.
-pub fn is_hedge_worth(gain: f64, used_part: f64) -> bool {
-    let scarcity = ((used_part - PLENTY_PART) / (1.0 - PLENTY_PART)).clamp(0.0, 1.0);
-    gain >= WORTH_FROM + (1.0 - WORTH_FROM) * scarcity
+pub fn is_hedge_worth(gain: f64, used_share: f64) -> bool {
+    let scarcity = ((used_share - AMPLE_USED_SHARE) / (1.0 - AMPLE_USED_SHARE)).clamp(0.0, 1.0);
+    gain >= MIN_GAIN + (1.0 - MIN_GAIN) * scarcity
 }
 
 /// Returns the time from `now_ms` until the next check whether to hedge. The first check comes at
@@ -64,11 +64,11 @@
 /// so doubtful that a hedge is worthwhile at once.
 pub fn hedge_look_ms(fleet: &Fleet, pending: &Pending<'_>, now_ms: u64) -> u64 {
     let median_ms = fleet.route(pending.route).times.median_ms();
-    let again_ms = ((median_ms * LOOK_PART) as u64).max(LOOK_LEAST_MS);
-    if hedge_gain(fleet, pending, now_ms) >= WORTH_FROM {
-        return again_ms;
+    let interval_ms = ((median_ms * CHECK_INTERVAL_SHARE) as u64).max(MIN_CHECK_INTERVAL_MS);
+    if hedge_gain(fleet, pending, now_ms) >= MIN_GAIN {
+        return interval_ms;
     }
     let last_ms = pending.flights.iter().map(|(_, since_ms)| *since_ms).max().unwrap_or(now_ms);
     let first_ms = (last_ms + median_ms as u64).saturating_sub(now_ms);
-    first_ms.max(again_ms)
+    first_ms.max(interval_ms)
 }
--- a/crates/leverstream-core/src/lib.rs
+++ b/crates/leverstream-core/src/lib.rs
@@ -1,7 +1,8 @@
-//! What a gateway VM decides, without I/O: which backend server gets a request, and who takes callers.
+//! The decisions of a gateway VM: which backend server gets a request, and which VMs accept callers.
 //!
-//! [`Fleet`] holds the backend servers with what was seen of them, [`choose`] picks one for a request, and
-//! [`choose_entry`] says which VMs take callers. Time and chance are arguments.
+//! [`Fleet`] holds the backend servers with their observed state, [`choose`] selects one for a
+//! request, and [`choose_entry`] selects the VMs that accept callers. The crate does no I/O; time
+//! and randomness are arguments.
 
 mod demand;
 mod entry;
--- a/crates/leverstream-core/src/profile.rs
+++ b/crates/leverstream-core/src/profile.rs
@@ -3,10 +3,10 @@
 use crate::Times;
 
 /// The weight of one answer in the moving average of answer sizes.
-const SIZE_STEP: f64 = 0.1;
+const SIZE_WEIGHT: f64 = 0.1;
 
 /// The number of requests after which the counts behind the expired share are halved.
-const REQUESTS_COUNT: f64 = 60.0;
+const HALVE_ABOVE_REQUESTS: f64 = 60.0;
 
 /// The recent observations of a route's requests.
 #[derive(Clone, Debug)]
@@ -35,16 +35,16 @@
     /// Records a sound answer.
     pub fn note(&mut self, took_ms: f64, bytes: usize) {
         self.times.note(took_ms);
-        let usual = self.answer_bytes.get_or_insert(bytes as f64);
-        *usual += SIZE_STEP * (bytes as f64 - *usual);
+        let average = self.answer_bytes.get_or_insert(bytes as f64);
+        *average += SIZE_WEIGHT * (bytes as f64 - *average);
         self.answered += 1.0;
-        self.forget();
+        self.decay();
     }
 
     /// Records that a request expired at a backend server that was considered sound.
     pub fn note_expired(&mut self) {
         self.expired += 1.0;
-        self.forget();
+        self.decay();
     }
 
     /// Returns the share of requests that expire at sound backend servers, with a prior of one
@@ -54,8 +54,8 @@
     }
 
     /// Halves the counts once there are many, so that recent requests weigh more.
-    fn forget(&mut self) {
-        if self.answered + self.expired > REQUESTS_COUNT {
+    fn decay(&mut self) {
+        if self.answered + self.expired > HALVE_ABOVE_REQUESTS {
             self.answered /= 2.0;
             self.expired /= 2.0;
         }
--- a/crates/leverstream-core/src/select.rs
+++ b/crates/leverstream-core/src/select.rs
@@ -7,12 +7,12 @@
 use crate::{Asker, Candidates, Fleet, Floor, claim};
 
 /// The share of its objective that a repeatable request waits before it accepts an avoided backend
-/// server: a trial only costs an idle slot, and the request can still be hedged to a sound one.
-const AVOID_PART_REPEATABLE: f64 = 0.1;
+/// server: a trial only costs an idle slot, and the request keeps looking for a sound one.
+const AVOID_WAIT_SHARE_REPEATABLE: f64 = 0.1;
 
 /// The share of its objective that a non-repeatable request waits before it accepts an avoided
 /// backend server.
-const AVOID_PART_ONCE: f64 = 0.6;
+const AVOID_WAIT_SHARE_NON_REPEATABLE: f64 = 0.6;
 
 /// The fixed cost of a backend server in another data hall, on the scale of [`Choice::cost`]: the
 /// round trip, and that other VMs know its load better.
@@ -24,7 +24,7 @@
 
 /// The share of failed attempts from which the attempts count as failing; the floor is required
 /// from the same share of failed requests.
-const ATTEMPTS_FAIL_FROM: f64 = 0.1;
+const ATTEMPTS_FAILING_SHARE: f64 = 0.1;
 
 /// What a request needs from a backend server.
 #[derive(Clone, Copy, Debug)]
@@ -78,15 +78,19 @@
     let floor = Floor {
         share: want.floor_share,
         requests_fail: want.requests_fail,
-        attempts_fail: fleet.failed_share(want.service) >= ATTEMPTS_FAIL_FROM,
+        attempts_fail: fleet.failed_share(want.service) >= ATTEMPTS_FAILING_SHARE,
         requests_per_s: want.requests_per_s,
     };
     // A request that has failed once goes to proven backend servers, whatever the floor claims.
     if want.tried.is_empty() {
         claim(&mut choices, floor, want.is_repeatable);
     }
-    let part = if want.is_repeatable { AVOID_PART_REPEATABLE } else { AVOID_PART_ONCE };
-    let accepts_avoided = want.waited_ms as f64 >= want.objective_ms as f64 * part;
+    let wait_share = if want.is_repeatable {
+        AVOID_WAIT_SHARE_REPEATABLE
+    } else {
+        AVOID_WAIT_SHARE_NON_REPEATABLE
+    };
+    let accepts_avoided = want.waited_ms as f64 >= want.objective_ms as f64 * wait_share;
     let index = steer(&choices, want.is_repeatable, accepts_avoided, rng)?;
     let avoided = choices.iter().filter(|choice| choice.is_avoided(want.is_repeatable)).count();
     Some(Pick { key: keys[index], choice: choices[index], among: choices.len(), avoided })
--- a/crates/leverstream-core/src/times.rs
+++ b/crates/leverstream-core/src/times.rs
@@ -6,19 +6,19 @@
 use hdrhistogram::Histogram;
 
 /// The assumed median latency as a share of the route's objective.
-const ASSUMED_PART: f64 = 0.4;
+const ASSUMED_MEDIAN_SHARE: f64 = 0.4;
 
 /// The initial samples, as multiples of the assumed median.
-const ASSUMED_SPREAD: [f64; 9] = [0.4, 0.6, 0.8, 0.9, 1.0, 1.2, 1.5, 2.0, 3.0];
+const INITIAL_SAMPLES: [f64; 9] = [0.4, 0.6, 0.8, 0.9, 1.0, 1.2, 1.5, 2.0, 3.0];
 
 /// The number of answers in each half of the histogram.
-const HALF_COUNT: u64 = 256;
+const HALF_CAPACITY: u64 = 256;
 
 /// The largest latency that the histogram distinguishes, in milliseconds.
-const LONGEST_MS: u64 = 600_000;
+const MAX_LATENCY_MS: u64 = 600_000;
 
 /// The significant decimal digits of the histogram.
-const DIGITS: u8 = 1;
+const SIGNIFICANT_DIGITS: u8 = 1;
 
 /// The recent latencies of a route's sound answers.
 #[derive(Clone, Debug)]
@@ -34,16 +34,17 @@
 impl Times {
     /// Creates the estimate for a route without observations from its objective.
     pub fn open(objective_ms: u64) -> Times {
-        let empty = Histogram::new_with_max(LONGEST_MS, DIGITS).expect("the bounds are sound");
+        let empty = Histogram::new_with_max(MAX_LATENCY_MS, SIGNIFICANT_DIGITS)
+            .expect("the histogram bounds are valid");
         let mut times = Times { current: empty.clone(), previous: empty, median_ms: 0.0 };
-        let assumed_ms = objective_ms as f64 * ASSUMED_PART;
-        ASSUMED_SPREAD.iter().for_each(|part| times.note(assumed_ms * part));
+        let assumed_ms = objective_ms as f64 * ASSUMED_MEDIAN_SHARE;
+        INITIAL_SAMPLES.iter().for_each(|factor| times.note(assumed_ms * factor));
         times
     }
 
     /// Records the latency of a sound answer.
     pub fn note(&mut self, took_ms: f64) {
-        if self.current.len() >= HALF_COUNT {
+        if self.current.len() >= HALF_CAPACITY {
             std::mem::swap(&mut self.current, &mut self.previous);
             self.current.reset();
         }
@@ -57,8 +58,8 @@
     }
 
     /// Returns the latency quantile for a share from 0 to 1.
-    pub fn quantile_ms(&self, part: f64) -> f64 {
-        let wanted = (part * self.count() as f64).ceil() as u64;
+    pub fn quantile_ms(&self, quantile: f64) -> f64 {
+        let wanted = (quantile * self.count() as f64).ceil() as u64;
         let mut seen = 0;
         let steps = self.current.iter_recorded().chain(self.previous.iter_recorded());
         let mut steps: Vec<(u64, u64)> = steps
@@ -78,7 +79,7 @@
     /// Beyond the longest observed latency it falls with the square of the time.
     pub fn slower_share(&self, ms: f64) -> f64 {
         let from_ms = ms.max(0.0) as u64 + 1;
-        let slower = |histogram: &Histogram<u32>| histogram.count_between(from_ms, LONGEST_MS);
+        let slower = |histogram: &Histogram<u32>| histogram.count_between(from_ms, MAX_LATENCY_MS);
         let count = slower(&self.current) + slower(&self.previous);
         let share = (count as f64 + 0.5) / (self.count() as f64 + 1.0);
         let longest_ms = self.current.max().max(self.previous.max()) as f64;
--- a/crates/leverstream-core/src/words.rs
+++ b/crates/leverstream-core/src/words.rs
@@ -16,7 +16,7 @@
 
 /// The minimum time between two comparisons at other VMs, in milliseconds: they get few callers,
 /// and a list of a hundred notices takes 5 kB.
-const STRAY_PAUSE_MS: u64 = 1_000;
+const NON_SHARER_COMPARE_PAUSE_MS: u64 = 1_000;
 
 /// The state of the comparisons with other VMs.
 #[derive(Clone, Copy, Debug, Default)]
@@ -60,7 +60,7 @@
         if theirs == fleet.words_fingerprint() {
             return None;
         }
-        let pause_ms = if is_sharer { COMPARE_PAUSE_MS } else { STRAY_PAUSE_MS };
+        let pause_ms = if is_sharer { COMPARE_PAUSE_MS } else { NON_SHARER_COMPARE_PAUSE_MS };
         let is_recent = |at_ms: u64| now_ms.saturating_sub(at_ms) < pause_ms;
         if self.compared_ms.is_some_and(is_recent) {
             return None;
@@ -71,8 +71,8 @@
     }
 
     /// Applies the notices of another VM.
-    pub fn hear(said: WordsTold, fleet: &mut Fleet, now_ms: u64) -> WordsHeard {
-        let WordsTold { starts, limits, asks } = said;
+    pub fn hear(received: WordsTold, fleet: &mut Fleet, now_ms: u64) -> WordsHeard {
+        let WordsTold { starts, limits, asks } = received;
         let news = starts.into_iter().filter(|of| fleet.leave(of, now_ms)).collect();
         let mut answer =
             if asks { WordsTold::all(fleet, false, now_ms) } else { WordsTold::default() };
@@ -91,8 +91,8 @@
                 answer.limits.push(newer.told(&told.of, now_ms));
             }
         }
-        let says_something = !answer.starts.is_empty() || !answer.limits.is_empty();
-        WordsHeard { news, limits: changed, answer: (asks || says_something).then_some(answer) }
+        let has_notices = !answer.starts.is_empty() || !answer.limits.is_empty();
+        WordsHeard { news, limits: changed, answer: (asks || has_notices).then_some(answer) }
     }
 }
 
--- a/crates/leverstream-core/tests/emptied.rs
+++ b/crates/leverstream-core/tests/emptied.rs
@@ -1,11 +1,11 @@
-//! Data halls that operators ask to be emptied.
+//! Tests of data halls that operators have asked to be emptied.
 
 use leverstream_catalog::Backend;
 use leverstream_core::{Emptied, Fleet, Openness, Want, choose};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// A fleet of a backend server in each of two halls.
+/// A fleet with one backend server in each of two halls.
 fn fleet() -> Fleet {
     let mut fleet = Fleet::default();
     for hall in ["hall-a", "hall-b"] {
@@ -24,12 +24,12 @@
     fleet
 }
 
-/// Halls to be emptied, as of a revision.
+/// The halls to be emptied, as of a revision.
 fn emptied(revision: u64, halls: &[&str]) -> Emptied {
     Emptied { revision, halls: halls.iter().map(|hall| (*hall).to_owned()).collect() }
 }
 
-/// The instances that requests of a VM in the first hall go to.
+/// Returns the instances that requests of a VM in the first hall are sent to.
 fn chosen(fleet: &Fleet) -> Vec<String> {
     let want = Want {
         service: "shop",
@@ -54,13 +54,13 @@
 }
 
 #[test]
-fn nothing_is_sent_to_a_hall_that_is_to_be_emptied_until_that_is_taken_back() {
+fn an_emptied_hall_gets_no_requests_until_it_is_restored() {
     let mut fleet = fleet();
     let key = fleet.of_service("shop")[0];
     assert!(fleet.may_send(key, 10));
     assert!(fleet.set_emptied(emptied(5, &["hall-a"])));
     assert_eq!(chosen(&fleet), ["i-hall-b"]);
-    assert!(!fleet.may_send(key, 10), "nor what has waited for its turn");
+    assert!(!fleet.may_send(key, 10), "nor a request assigned before");
     assert_eq!(fleet.census(10).emptied, 1);
     assert!(fleet.set_emptied(emptied(6, &["hall-a", "hall-b"])));
     assert_eq!(fleet.openness("shop", 10), Openness::Closed);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn what_is_known_as_of_a_later_revision_stands() {
+fn emptied_halls_of_an_older_revision_are_ignored() {
     let mut fleet = fleet();
     assert!(fleet.set_emptied(emptied(5, &["hall-a"])));
     assert!(!fleet.set_emptied(emptied(4, &[])));
--- a/crates/leverstream-core/tests/entry.rs
+++ b/crates/leverstream-core/tests/entry.rs
@@ -1,15 +1,16 @@
-//! Which VMs take callers.
+//! Tests of the choice of the entry VMs.
 //!
-//! The load that is answered here: 442 VMs in five halls that all start at once before 1,080 backend servers of
-//! three slots, as after a loss of power. Each datagram that a VM hears then tells of new members.
+//! The fleet under test: 442 VMs in five halls that all start at once before 1,080 backend servers
+//! with three slots each, as after a power failure, when every datagram that a VM receives
+//! announces new members.
 
 use leverstream_core::choose_entry;
 use leverstream_member::{Identity, Member};
 
-/// The slots of all backend servers.
+/// The total slots of the backend servers.
 const SLOTS: u32 = 1_080 * 3;
 
-/// A VM of a hall that can take so many requests a second.
+/// A VM of a hall with a capacity in requests a second.
 fn member(id: u64, hall: &str, capacity_per_s: u32) -> Member {
     let identity = Identity {
         id,
@@ -21,7 +22,7 @@
     Member { table: 1, ..Member::new(identity, 0) }
 }
 
-/// The VMs of five halls, three strong ones in each.
+/// The VMs of five halls with three strong VMs each.
 fn members() -> Vec<Member> {
     let halls = ["a", "b", "c", "d", "e"];
     let capacity = |id: u64| if id < 15 { 1_000 } else { 111 };
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn three_strong_vms_of_each_hall_take_the_callers_of_a_thousand_backend_servers() {
+fn the_strongest_vms_of_each_hall_become_entries() {
     let members = members();
     let chosen = choose_entry(&members, 0, SLOTS);
     assert_eq!(chosen.len(), 15);
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn the_choice_does_not_depend_on_the_order_in_which_members_became_known() {
+fn the_choice_of_entries_does_not_depend_on_member_order() {
     let mut members = members();
     let ids = |members: &[Member]| -> Vec<u64> {
         choose_entry(members, 0, SLOTS).iter().map(|member| member.identity.id).collect()
@@ -48,19 +49,20 @@
 }
 
 #[test]
-fn when_a_strong_one_goes_the_others_of_its_hall_keep_their_places() {
+fn remaining_entries_stay_when_a_strong_vm_leaves() {
     let mut members = members();
     members.remove(0);
     let chosen = choose_entry(&members, 0, SLOTS);
-    // The two that are left take its work: each caller of the hall would be one of eight with a weak one, who gets an equal
-    // part and bears a ninth of a strong one's.
+    // The remaining two take over its work. With weak VMs the hall would need eight entries, each
+    // of which gets an equal part of the callers but handles a ninth of what a strong one does.
     assert_eq!(chosen.len(), 14);
     assert!(chosen.iter().all(|member| member.identity.capacity_per_s == 1_000));
 }
 
 #[test]
-fn weak_vms_are_no_relief_for_strong_ones_and_take_the_callers_where_there_are_no_others() {
-    // A fleet of 986: seven strong ones in each hall beside some 190 weak ones, before 10,000 backend servers.
+fn weak_vms_become_entries_only_in_halls_without_strong_ones() {
+    // A fleet of 986 VMs, with seven strong and about 190 weak ones in each hall, before 10,000
+    // backend servers.
     let halls = ["a", "b", "c", "d", "e"];
     let capacity = |id: u64| if id < 35 { 2_000 } else { 111 };
     let mut members: Vec<Member> =
@@ -71,7 +73,7 @@
         chosen.filter(|it| it.hall == hall).map(|it| it.capacity_per_s).collect()
     };
     assert_eq!(in_hall(&members, "a"), [2_000; 7]);
-    // All strong ones of a hall are lost.
+    // All strong VMs of a hall fail.
     members.retain(|member| member.identity.hall != "a" || member.identity.capacity_per_s == 111);
     assert_eq!(in_hall(&members, "a"), [111; 8]);
     assert_eq!(in_hall(&members, "b"), [2_000; 7]);
--- a/crates/leverstream-core/tests/fleet.rs
+++ b/crates/leverstream-core/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The backend servers as one VM knows them.
+//! Tests of the state that a VM keeps of its backend servers.
 
 use leverstream_catalog::{Backend, Incarnation};
 use leverstream_core::{Asker, Delta, Fleet, Floor, Outcome, Report, RouteKey, claim, used_share};
@@ -20,13 +20,13 @@
     }
 }
 
-/// A start of a backend server.
+/// An incarnation of a backend server.
 fn start(instance: &str, born_ms: u64) -> Incarnation {
     Incarnation { instance: instance.into(), born_ms }
 }
 
-/// A fleet of one backend server, and a route whose answers take about 100 ms.
-fn one() -> (Fleet, BackendKey, RouteKey) {
+/// A fleet of one backend server, and a route with a latency of about 100 ms.
+fn fleet_of_one() -> (Fleet, BackendKey, RouteKey) {
     let mut fleet = Fleet::default();
     fleet.set(backend("a"), 1, 0);
     let key = fleet.of_service("shop")[0];
@@ -34,15 +34,16 @@
     (fleet, key, route)
 }
 
-/// How all backend servers look from their own hall.
-fn looks(fleet: &Fleet, now_ms: u64) -> Vec<Choice> {
+/// Evaluates all backend servers for a request from their own hall.
+fn evaluate_all(fleet: &Fleet, now_ms: u64) -> Vec<Choice> {
     let asker = Asker { hall: "h1", far_cost: 0.2, tried: &[] };
     fleet.of_service("shop").iter().map(|key| fleet.choice(*key, &asker, now_ms)).collect()
 }
 
-/// How a backend server looks from its own hall to a request that runs once, where the service fails or not.
-fn look(fleet: &Fleet, key: BackendKey, is_failing: bool, now_ms: u64) -> Choice {
-    let mut choices = looks(fleet, now_ms);
+/// Evaluates a backend server for a non-repeatable request from its own hall, with or without a
+/// failing service.
+fn evaluate(fleet: &Fleet, key: BackendKey, is_failing: bool, now_ms: u64) -> Choice {
+    let mut choices = evaluate_all(fleet, now_ms);
     let share = if is_failing { 0.73 } else { 0.0 };
     let floor =
         Floor { share, requests_fail: is_failing, attempts_fail: is_failing, requests_per_s: None };
@@ -51,22 +52,22 @@
     choices[at]
 }
 
-/// The share of the sound backend servers that have had work of late.
+/// Returns the share of sound backend servers that are used.
 fn share(fleet: &Fleet, now_ms: u64) -> f64 {
-    used_share(&looks(fleet, now_ms))
+    used_share(&evaluate_all(fleet, now_ms))
 }
 
-/// A good answer after a time.
+/// A good answer with a latency.
 fn good(time_ms: f64) -> Outcome {
     Outcome::Good { time_ms, bytes: 400 }
 }
 
-/// What another VM tells.
+/// A report from another VM.
 fn report(in_flight: u32, good: u64, bad: u64, heard_ms: u64) -> Report {
     Report { in_flight, good, bad, overdue_odds: 1.0, reached_ms: None, heard_ms }
 }
 
-/// The instances that may take work, in order.
+/// Returns the instances in service, sorted.
 fn listed(fleet: &Fleet) -> Vec<String> {
     let keys = fleet.of_service("shop").iter();
     let mut names: Vec<String> = keys.map(|key| fleet.target(*key).1.to_owned()).collect();
@@ -75,12 +76,12 @@
 }
 
 #[test]
-fn one_that_leaves_or_is_gone_takes_no_work() {
+fn a_leaving_or_removed_backend_server_is_not_in_service() {
     let mut fleet = Fleet::default();
     for instance in ["a", "b", "c"] {
         assert!(fleet.set(backend(instance), 1, 0));
     }
-    assert!(!fleet.set(backend("a"), 2, 0), "nothing new");
+    assert!(!fleet.set(backend("a"), 2, 0), "already known");
     assert!(fleet.set(Backend { is_leaving: true, ..backend("a") }, 3, 0));
     assert!(fleet.remove("b", 4));
     assert!(!fleet.remove("b", 5));
@@ -88,84 +89,93 @@
 }
 
 #[test]
-fn an_instance_that_ended_for_certain_does_not_come_back() {
-    let (mut fleet, ..) = one();
+fn an_ended_incarnation_is_not_listed_again() {
+    let (mut fleet, ..) = fleet_of_one();
     assert!(fleet.end_incarnation(&start("a", 0)));
     assert!(!fleet.set(backend("a"), 2, 0));
     assert!(listed(&fleet).is_empty());
 }
 
 #[test]
-fn loads_of_other_vms_count_until_they_are_old() {
-    let (mut fleet, key, route) = one();
+fn load_reports_of_other_vms_expire() {
+    let (mut fleet, key, route) = fleet_of_one();
     fleet.begin(key, route, 1_000);
     fleet.report(&start("a", 0), 9, report(2, 5, 0, 1_000));
-    assert_eq!(look(&fleet, key, false, 1_100).load, 3);
-    assert_eq!(look(&fleet, key, false, 9_000).load, 1);
+    assert_eq!(evaluate(&fleet, key, false, 1_100).load, 3);
+    assert_eq!(evaluate(&fleet, key, false, 9_000).load, 1);
     fleet.end(key, 1_000, route, Outcome::Nothing, 9_000);
-    assert_eq!(look(&fleet, key, false, 9_000).load, 0);
+    assert_eq!(evaluate(&fleet, key, false, 9_000).load, 0);
 }
 
 #[test]
-fn failures_that_others_saw_count_once_each() {
-    let (mut fleet, key, _) = one();
+fn repeated_failure_reports_count_once() {
+    let (mut fleet, key, _) = fleet_of_one();
     fleet.report(&start("a", 0), 9, report(0, 3, 4, 1_000));
-    assert!(!look(&fleet, key, false, 1_000).is_avoided(false), "the first report is a baseline");
+    assert!(
+        !evaluate(&fleet, key, false, 1_000).is_avoided(false),
+        "the first report is a baseline"
+    );
     fleet.report(&start("a", 0), 9, report(0, 3, 5, 1_100));
-    assert!(look(&fleet, key, false, 1_100).is_avoided(false));
+    assert!(evaluate(&fleet, key, false, 1_100).is_avoided(false));
     fleet.report(&start("a", 0), 9, report(0, 3, 5, 4_000));
-    assert!(!look(&fleet, key, false, 4_000).is_avoided(false), "the same count says nothing new");
+    assert!(
+        !evaluate(&fleet, key, false, 4_000).is_avoided(false),
+        "the same count is no new failure"
+    );
 }
 
 #[test]
-fn a_first_report_of_a_single_failure_counts() {
-    let (mut fleet, key, _) = one();
+fn a_first_report_with_a_single_failure_counts() {
+    let (mut fleet, key, _) = fleet_of_one();
     fleet.report(&start("a", 0), 9, report(0, 0, 1, 1_000));
-    assert!(look(&fleet, key, false, 1_000).is_avoided(false));
+    assert!(evaluate(&fleet, key, false, 1_000).is_avoided(false));
 }
 
 #[test]
-fn a_request_that_should_have_ended_long_since_speaks_against_the_place_until_it_ends() {
-    let (mut fleet, key, route) = one();
+fn an_overdue_request_makes_its_backend_server_avoided_until_it_ends() {
+    let (mut fleet, key, route) = fleet_of_one();
     (0..100).for_each(|at| {
         fleet.begin(key, route, at);
         fleet.end(key, at, route, good(80.0 + at as f64 % 40.0), at);
     });
     fleet.begin(key, route, 1_000);
-    assert!(look(&fleet, key, false, 1_100).failure_chance < 0.05, "half take as long");
-    assert!(look(&fleet, key, false, 1_400).is_avoided(false));
+    assert!(
+        evaluate(&fleet, key, false, 1_100).failure_chance < 0.05,
+        "half of the answers take as long"
+    );
+    assert!(evaluate(&fleet, key, false, 1_400).is_avoided(false));
     fleet.end(key, 1_000, route, good(410.0), 1_410);
-    assert!(!look(&fleet, key, false, 1_410).is_avoided(false), "it has answered");
+    assert!(!evaluate(&fleet, key, false, 1_410).is_avoided(false), "it has answered");
 }
 
 #[test]
-fn others_hear_of_a_late_request_and_one_who_is_told_avoids_the_place() {
-    let (mut here, key, route) = one();
-    let (mut there, far_key, _) = one();
-    here.begin(key, route, 1_000);
-    here.take_unreported();
-    assert!(!here.note_overdue(1_080), "nothing to tell yet");
-    assert!(here.note_overdue(1_500));
-    let (keys, has_bad_news) = here.take_unreported();
+fn an_overdue_request_is_reported_and_makes_other_vms_avoid_the_backend_server() {
+    let (mut reporter, key, route) = fleet_of_one();
+    let (mut receiver, receiver_key, _) = fleet_of_one();
+    reporter.begin(key, route, 1_000);
+    reporter.take_unreported();
+    assert!(!reporter.note_overdue(1_080), "not overdue yet");
+    assert!(reporter.note_overdue(1_500));
+    let (keys, has_bad_news) = reporter.take_unreported();
     assert!(has_bad_news);
-    let told = here.reports(&keys, 1_500);
-    assert!(!here.note_overdue(1_510), "they were told");
-    there.report(&start("a", 0), 7, Report { heard_ms: 1_505, ..told[0].report });
-    assert!(look(&there, far_key, false, 1_505).is_avoided(false));
-    here.end(key, 1_000, route, good(520.0), 1_520);
-    let told = here.reports(&keys, 1_520);
-    there.report(&start("a", 0), 7, Report { heard_ms: 1_525, ..told[0].report });
-    assert!(!look(&there, far_key, false, 1_525).is_avoided(false), "the answer came");
+    let reports = reporter.reports(&keys, 1_500);
+    assert!(!reporter.note_overdue(1_510), "already reported");
+    receiver.report(&start("a", 0), 7, Report { heard_ms: 1_505, ..reports[0].report });
+    assert!(evaluate(&receiver, receiver_key, false, 1_505).is_avoided(false));
+    reporter.end(key, 1_000, route, good(520.0), 1_520);
+    let reports = reporter.reports(&keys, 1_520);
+    receiver.report(&start("a", 0), 7, Report { heard_ms: 1_525, ..reports[0].report });
+    assert!(!evaluate(&receiver, receiver_key, false, 1_525).is_avoided(false), "the answer came");
 }
 
 #[test]
-fn a_request_given_up_late_counts_as_a_failure_and_one_given_up_early_does_not() {
+fn an_abandoned_request_counts_as_a_failure_only_if_it_was_overdue() {
     for (gave_up_ms, is_avoided) in [(1_050, false), (1_900, true)] {
-        let (mut fleet, key, route) = one();
+        let (mut fleet, key, route) = fleet_of_one();
         fleet.begin(key, route, 1_000);
         fleet.end(key, 1_000, route, Outcome::Nothing, gave_up_ms);
         assert_eq!(
-            look(&fleet, key, false, gave_up_ms).is_avoided(false),
+            evaluate(&fleet, key, false, gave_up_ms).is_avoided(false),
             is_avoided,
             "{gave_up_ms}"
         );
@@ -173,8 +183,8 @@
 }
 
 #[test]
-fn a_service_that_slows_as_a_whole_is_soon_not_late_any_more() {
-    let (mut fleet, key, route) = one();
+fn requests_are_not_overdue_once_the_whole_service_is_slow() {
+    let (mut fleet, key, route) = fleet_of_one();
     let mut now_ms = 1_000;
     for _ in 0..300 {
         fleet.begin(key, route, now_ms);
@@ -182,32 +192,35 @@
         now_ms += 900;
     }
     fleet.begin(key, route, now_ms);
-    assert!(!look(&fleet, key, false, now_ms + 820).is_avoided(false));
+    assert!(!evaluate(&fleet, key, false, now_ms + 820).is_avoided(false));
 }
 
 #[test]
-fn the_floor_gives_work_to_one_that_failed_a_while_ago_and_is_unused() {
-    let (mut fleet, key, route) = one();
+fn the_floor_claims_an_idle_backend_server_whose_last_failure_is_old() {
+    let (mut fleet, key, route) = fleet_of_one();
     for at in 0..10 {
         fleet.begin(key, route, 1_000 + at);
         fleet.end(key, 1_000 + at, route, Outcome::Bad, 1_000 + at);
     }
-    assert!(look(&fleet, key, true, 2_500).is_avoided(false), "it may still be failing");
-    assert!(look(&fleet, key, false, 3_000).is_avoided(false), "the floor does not bind");
-    let by_floor = look(&fleet, key, true, 3_000);
+    assert!(evaluate(&fleet, key, true, 2_500).is_avoided(false), "its last failure is recent");
+    assert!(evaluate(&fleet, key, false, 3_000).is_avoided(false), "the floor does not apply");
+    let by_floor = evaluate(&fleet, key, true, 3_000);
     assert!(!by_floor.is_avoided(false) && by_floor.claim == Claim::Owed);
     fleet.begin(key, route, 3_000);
     fleet.reach(key, 3_001);
-    assert!(look(&fleet, key, true, 3_001).is_avoided(false), "one request shows enough");
+    assert!(
+        evaluate(&fleet, key, true, 3_001).is_avoided(false),
+        "one request in flight is enough"
+    );
 }
 
 #[test]
-fn the_share_in_use_leaves_out_those_that_failed_just_now() {
+fn the_used_share_excludes_backend_servers_that_failed_recently() {
     let mut fleet = Fleet::default();
     for instance in ["a", "b", "c", "d"] {
         fleet.set(backend(instance), 1, 0);
     }
-    assert_eq!(share(&fleet, 1_000), 1.0, "none has been left out for long");
+    assert_eq!(share(&fleet, 1_000), 1.0, "none has been idle for long");
     let keys = fleet.of_service("shop").to_vec();
     let route = fleet.route_key("r", 250);
     let mut ask = |key: usize, outcome: Outcome, now_ms: u64| {
@@ -217,13 +230,13 @@
         share(&fleet, now_ms)
     };
     assert_eq!(ask(0, good(10.0), 5_000), 0.25);
-    assert_eq!(ask(1, Outcome::Bad, 5_000), 1.0 / 3.0, "it failed, so it is not sound");
+    assert_eq!(ask(1, Outcome::Bad, 5_000), 1.0 / 3.0, "a failed backend server is not sound");
     assert_eq!(ask(2, good(10.0), 5_500), 2.0 / 3.0);
     assert_eq!(share(&fleet, 6_950), 0.25, "it counts as sound again");
 }
 
 #[test]
-fn work_at_slow_backend_servers_does_not_hide_that_the_others_get_none() {
+fn the_used_share_is_low_if_only_slow_backend_servers_get_work() {
     let mut fleet = Fleet::default();
     let names = ["a", "b", "c", "d"];
     names.iter().for_each(|instance| _ = fleet.set(backend(instance), 1, 0));
@@ -234,7 +247,7 @@
         fleet.reach(keys[3], 9_000 + at);
         fleet.end(keys[3], 9_000 + at, route, good(100.0), 9_100 + at);
     }
-    // Three slow ones get all of the work then, the fourth none.
+    // Then three slow ones get all of the work and the fourth gets none.
     for at in 0..8 {
         let now_ms = 10_000 + at * 500;
         for key in &keys[..3] {
@@ -243,29 +256,29 @@
             fleet.end(*key, now_ms, route, good(700.0), now_ms + 700);
         }
     }
-    assert_eq!(share(&fleet, 14_200), 0.0, "of those that are not slow");
+    assert_eq!(share(&fleet, 14_200), 0.0, "the share among those that are not slow");
 }
 
 #[test]
-fn what_reached_a_place_counts_as_use_not_what_is_told_of_it_later() {
+fn arrivals_count_as_use_but_repeated_reports_do_not() {
     let mut fleet = Fleet::default();
     fleet.set(backend("a"), 1, 0);
-    let told = |in_flight, reached_ms, heard_ms| Report {
+    let reports = |in_flight, reached_ms, heard_ms| Report {
         reached_ms: Some(reached_ms),
         ..report(in_flight, 3, 0, heard_ms)
     };
-    fleet.report(&start("a", 0), 9, told(1, 3_000, 4_000));
+    fleet.report(&start("a", 0), 9, reports(1, 3_000, 4_000));
     assert_eq!(share(&fleet, 4_000), 1.0);
-    // The request is under way still and told again each second; nothing else has arrived.
-    fleet.report(&start("a", 0), 9, told(1, 3_000, 5_000));
+    // The request is still in flight and reported again each second; no other has arrived.
+    fleet.report(&start("a", 0), 9, reports(1, 3_000, 5_000));
     assert_eq!(share(&fleet, 5_000), 0.0);
-    fleet.report(&start("a", 0), 9, told(1, 5_990, 6_000));
+    fleet.report(&start("a", 0), 9, reports(1, 5_990, 6_000));
     assert_eq!(share(&fleet, 6_000), 1.0);
 }
 
 #[test]
-fn others_are_told_how_long_ago_a_request_reached_a_place() {
-    let (mut fleet, key, route) = one();
+fn reports_contain_the_age_of_the_latest_arrival() {
+    let (mut fleet, key, route) = fleet_of_one();
     assert_eq!(fleet.reports(&[key], 900)[0].report.reached_age_ms(), None);
     fleet.begin(key, route, 1_000);
     fleet.reach(key, 1_002);
@@ -273,7 +286,7 @@
 }
 
 #[test]
-fn deltas_bring_another_vm_to_the_same_list() {
+fn applying_deltas_gives_the_same_list() {
     let (mut first, mut second) = (Fleet::default(), Fleet::default());
     for (revision, instance) in [(5, "a"), (6, "b"), (7, "c")] {
         first.set(backend(instance), revision, 0);
@@ -295,7 +308,7 @@
 }
 
 #[test]
-fn a_whole_list_takes_out_what_it_lacks() {
+fn a_whole_list_removes_missing_instances() {
     let mut fleet = Fleet::default();
     fleet.set(backend("a"), 1, 0);
     let whole = Delta { revision: 4, is_whole: true, set: vec![backend("b")], ..Delta::default() };
@@ -304,8 +317,9 @@
 }
 
 #[test]
-fn a_route_that_gets_no_answer_anywhere_speaks_against_nobody() {
-    // Its limit is shorter than its work; another route of the same service is answered as usual.
+fn a_route_that_expires_everywhere_is_no_evidence_against_a_backend_server() {
+    // The poisoned route's time limit is shorter than its work; another route of the service works
+    // normally.
     let mut fleet = Fleet::default();
     let names = ["a", "b", "c", "d"];
     names.iter().for_each(|instance| _ = fleet.set(backend(instance), 1, 0));
@@ -320,52 +334,52 @@
         fleet.begin(key, poisoned, now_ms);
         fleet.end(key, now_ms, poisoned, Outcome::Expired, now_ms + 401);
         let avoided =
-            looks(&fleet, now_ms + 402).iter().filter(|one| one.is_avoided(false)).count();
+            evaluate_all(&fleet, now_ms + 402).iter().filter(|one| one.is_avoided(false)).count();
         assert_eq!(avoided, 0, "{at}");
     }
 }
 
 #[test]
-fn one_that_does_not_answer_a_route_that_is_answered_elsewhere_is_avoided() {
-    let (mut fleet, key, route) = one();
+fn a_backend_server_is_avoided_if_a_route_expires_only_there() {
+    let (mut fleet, key, route) = fleet_of_one();
     (0..60).for_each(|at| {
         fleet.begin(key, route, at * 10);
         fleet.end(key, at * 10, route, good(100.0), at * 10);
     });
     fleet.begin(key, route, 1_000);
     fleet.end(key, 1_000, route, Outcome::Expired, 2_200);
-    assert!(look(&fleet, key, false, 2_200).is_avoided(false));
+    assert!(evaluate(&fleet, key, false, 2_200).is_avoided(false));
 }
 
 #[test]
-fn one_that_is_back_under_its_id_is_not_taken_out_by_word_of_its_going() {
-    let (mut teller, mut hearer) = (Fleet::default(), Fleet::default());
-    teller.set(backend("a"), 1, 0);
-    teller.publish(1);
-    hearer.apply(teller.since(0, 0), 0);
-    teller.remove("a", 2);
-    teller.set(backend("a"), 3, 0);
-    teller.publish(3);
-    hearer.apply(teller.since(1, 0), 0);
-    assert_eq!(listed(&hearer), ["a"]);
+fn a_delta_does_not_remove_an_instance_that_is_listed_again() {
+    let (mut sender, mut receiver) = (Fleet::default(), Fleet::default());
+    sender.set(backend("a"), 1, 0);
+    sender.publish(1);
+    receiver.apply(sender.since(0, 0), 0);
+    sender.remove("a", 2);
+    sender.set(backend("a"), 3, 0);
+    sender.publish(3);
+    receiver.apply(sender.since(1, 0), 0);
+    assert_eq!(listed(&receiver), ["a"]);
 }
 
 #[test]
-fn what_this_vm_has_read_itself_stands_against_older_word_of_another() {
-    let (mut teller, mut hearer) = (Fleet::default(), Fleet::default());
-    teller.set(backend("a"), 1, 0);
-    teller.publish(1);
-    hearer.apply(teller.since(0, 0), 0);
-    teller.remove("a", 2);
-    teller.publish(2);
-    hearer.remove("a", 2);
-    hearer.set(backend("a"), 3, 0);
-    hearer.apply(teller.since(1, 0), 0);
-    assert_eq!(listed(&hearer), ["a"]);
+fn a_delta_does_not_undo_entries_read_at_a_later_revision() {
+    let (mut sender, mut receiver) = (Fleet::default(), Fleet::default());
+    sender.set(backend("a"), 1, 0);
+    sender.publish(1);
+    receiver.apply(sender.since(0, 0), 0);
+    sender.remove("a", 2);
+    sender.publish(2);
+    receiver.remove("a", 2);
+    receiver.set(backend("a"), 3, 0);
+    receiver.apply(sender.since(1, 0), 0);
+    assert_eq!(listed(&receiver), ["a"]);
 }
 
 #[test]
-fn one_that_starts_again_under_its_id_is_another() {
+fn a_restarted_instance_has_no_history() {
     let mut fleet = Fleet::default();
     let born = |born_ms: u64| Backend { born_ms, ..backend("a") };
     fleet.set(born(100), 1, 0);
@@ -375,66 +389,66 @@
         fleet.end(before, at * 10, route, Outcome::Bad, at * 10);
     });
     fleet.begin(before, route, 100);
-    assert!(look(&fleet, before, false, 100).is_avoided(false));
+    assert!(evaluate(&fleet, before, false, 100).is_avoided(false));
     assert!(fleet.set(born(200), 2, 100));
     let after = fleet.of_service("shop")[0];
-    let look_after = look(&fleet, after, false, 100);
-    assert!(!look_after.is_avoided(false), "it has not failed");
-    assert_eq!(look_after.load, 0, "nothing is under way there");
-    // Late word of the start before changes nothing.
+    let evaluated = evaluate(&fleet, after, false, 100);
+    assert!(!evaluated.is_avoided(false), "it has not failed");
+    assert_eq!(evaluated.load, 0, "it has no requests in flight");
+    // Late events of the earlier incarnation change nothing.
     fleet.end(before, 100, route, Outcome::Bad, 110);
     assert!(!fleet.set(born(100), 3, 120));
     assert!(!fleet.report(&start("a", 100), 9, report(2, 0, 9, 120)));
     assert!(!fleet.end_incarnation(&start("a", 100)));
-    assert_eq!(look(&fleet, after, false, 120).load, 0);
-    assert!(!look(&fleet, after, false, 120).is_avoided(false));
+    assert_eq!(evaluate(&fleet, after, false, 120).load, 0);
+    assert!(!evaluate(&fleet, after, false, 120).is_avoided(false));
     assert_eq!(fleet.of_service("shop"), [after]);
 }
 
 #[test]
-fn one_that_ended_for_certain_is_back_when_it_has_started_again() {
+fn an_ended_instance_is_listed_again_after_a_restart() {
     let mut fleet = Fleet::default();
     let born = |born_ms: u64| Backend { born_ms, ..backend("a") };
     fleet.set(born(100), 1, 0);
     assert!(fleet.end_incarnation(&start("a", 100)));
-    assert!(!fleet.set(born(100), 2, 0), "the platform lists it for a while");
+    assert!(!fleet.set(born(100), 2, 0), "the platform may list it a while longer");
     assert!(fleet.set(born(200), 3, 0));
     assert_eq!(listed(&fleet), ["a"]);
 }
 
-/// What may be heard of two starts of one backend server.
+/// An event about one of two incarnations of a backend server.
 #[derive(Clone, Copy, Debug)]
-enum Word {
-    /// The platform lists a start, or another VM does.
+enum Event {
+    /// The platform or another VM lists the incarnation.
     Listed(u64),
-    /// Another VM tells of failures at a start.
+    /// Another VM reports failures of the incarnation.
     Failed(u64),
-    /// A start has ended for certain.
+    /// The incarnation has ended.
     Ended(u64),
 }
 
 proptest! {
-    /// Whatever comes in whichever order, the later start is listed once it was heard of, unless it has ended, and
-    /// no word of the earlier one speaks against it.
+    /// In any order of events, the later incarnation is in service once listed, unless it has
+    /// ended, and no event of the earlier incarnation counts against it.
     #[test]
-    fn no_order_of_words_mixes_two_starts(
-        words in proptest::collection::vec((0..3_usize, prop_oneof![Just(100_u64), Just(200)]), 1..12),
+    fn no_order_of_events_mixes_two_incarnations(
+        events in proptest::collection::vec((0..3_usize, prop_oneof![Just(100_u64), Just(200)]), 1..12),
     ) {
         let mut fleet = Fleet::default();
         let (mut is_known, mut has_ended, mut has_failed) = (false, false, false);
-        for (at, (kind, born_ms)) in words.into_iter().enumerate() {
-            let word = [Word::Listed(born_ms), Word::Failed(born_ms), Word::Ended(born_ms)][kind];
+        for (at, (kind, born_ms)) in events.into_iter().enumerate() {
+            let event = [Event::Listed(born_ms), Event::Failed(born_ms), Event::Ended(born_ms)][kind];
             let at_ms = at as u64 * 10;
-            match word {
-                Word::Listed(born_ms) => {
+            match event {
+                Event::Listed(born_ms) => {
                     fleet.set(Backend { born_ms, ..backend("a") }, at as u64 + 1, at_ms);
                     is_known |= born_ms == 200;
                 }
-                Word::Failed(born_ms) => {
+                Event::Failed(born_ms) => {
                     fleet.report(&start("a", born_ms), 9, report(0, 0, at as u64 * 9, at_ms));
                     has_failed |= born_ms == 200 && is_known;
                 }
-                Word::Ended(born_ms) => {
+                Event::Ended(born_ms) => {
                     fleet.end_incarnation(&start("a", born_ms));
                     has_ended |= born_ms == 200;
                 }
@@ -444,7 +458,7 @@
                 prop_assert_eq!(keys.is_empty(), has_ended);
                 for key in keys {
                     prop_assert_eq!(fleet.incarnation(key).born_ms, 200);
-                    prop_assert!(has_failed || !look(&fleet, key, false, at_ms).is_avoided(false));
+                    prop_assert!(has_failed || !evaluate(&fleet, key, false, at_ms).is_avoided(false));
                 }
             }
         }
--- a/crates/leverstream-core/tests/floor.rs
+++ b/crates/leverstream-core/tests/floor.rs
@@ -1,7 +1,7 @@
-//! What the floor of sound backend servers with work claims for whom.
+//! Tests of the claims that the floor makes on sound backend servers.
 //!
-//! The load that is answered here: a service of 105 backend servers of which 22 are new and slow from their
-//! start and many fail, as seen on a day with trouble; callers bring 170 requests a second.
+//! The load under test: a service of 105 backend servers, 22 of them new and slow from their start
+//! and many failing, with 170 requests a second.
 
 use leverstream_core::{Demand, Floor, claim, used_share};
 use leverstream_route::{Choice, Claim, FloorStanding, steer};
@@ -23,22 +23,22 @@
     stands_for: 1.0,
 };
 
-/// One that a request reached so long ago.
+/// A backend server that a request last reached `unused_ms` ago.
 fn unused(unused_ms: u64) -> Choice {
     Choice { standing: FloorStanding { unused_ms, ..USED.standing }, ..USED }
 }
 
-/// The floor of a service that fails.
+/// The floor of a failing service.
 const FAILING: Floor =
     Floor { share: 0.73, requests_fail: true, attempts_fail: true, requests_per_s: None };
 
-/// The floor of a service that does not.
+/// The floor of a healthy service.
 const QUIET: Floor = Floor { requests_fail: false, attempts_fail: false, ..FAILING };
 
-/// The floor of a service at which attempts fail that are made up for elsewhere.
+/// The floor of a service with failing attempts that are retried successfully.
 const ATTEMPTS: Floor = Floor { requests_fail: false, ..FAILING };
 
-/// What is claimed for the last one.
+/// Returns the claim on the last backend server.
 fn claimed(choices: &[Choice], floor: Floor, is_repeatable: bool) -> Claim {
     let mut choices = choices.to_vec();
     claim(&mut choices, floor, is_repeatable);
@@ -46,8 +46,9 @@
 }
 
 #[test]
-fn a_new_one_that_works_long_on_its_first_request_is_owed_the_next() {
-    // It is loaded, slow, and its first request reached it 1.8 s ago; the share among all is kept.
+fn a_slow_new_backend_server_is_claimed_again_while_the_service_fails() {
+    // It is busy and slow, and its first request reached it 1.8 s ago; the share among all is above
+    // the floor.
     let mut new = Choice { load: 1, slowness: 5.0, is_cold: true, ..unused(1_800) };
     new.standing.is_steady = false;
     let mut all = vec![USED; 20];
@@ -57,14 +58,14 @@
 }
 
 #[test]
-fn requests_that_may_run_again_go_first() {
+fn repeatable_requests_claim_earlier() {
     let all = [USED, USED, USED, unused(1_300)];
     assert_eq!(claimed(&all, FAILING, true), Claim::Owed);
     assert_eq!(claimed(&all, FAILING, false), Claim::None);
 }
 
 #[test]
-fn one_in_doubt_is_owed_work_only_below_the_share() {
+fn a_doubtful_backend_server_is_claimed_only_below_the_floor() {
     let doubtful = Choice { failure_chance: 0.7, ..unused(3_000) };
     assert_eq!(claimed(&[USED, USED, USED, doubtful], FAILING, false), Claim::None);
     assert_eq!(claimed(&[USED, USED, USED, doubtful], ATTEMPTS, true), Claim::None);
@@ -73,8 +74,9 @@
 }
 
 #[test]
-fn while_requests_fail_those_that_may_run_again_reach_nearly_all_in_doubt() {
-    // Nobody can tell which of a service's backend servers are undisturbed: the share must hold among any few.
+fn repeatable_requests_aim_above_the_floor_while_requests_fail() {
+    // A VM cannot tell which backend servers are undisturbed, so the share must hold in any small
+    // subset.
     let doubtful = Choice { failure_chance: 0.7, ..unused(3_000) };
     let nine_in_ten = [vec![USED; 9], vec![doubtful]].concat();
     assert_eq!(claimed(&nine_in_ten, FAILING, true), Claim::Owed);
@@ -84,30 +86,32 @@
 }
 
 #[test]
-fn one_that_runs_once_tries_nobody_in_doubt_while_only_attempts_fail() {
+fn non_repeatable_requests_avoid_doubtful_backend_servers_while_only_attempts_fail() {
     let doubtful = Choice { failure_chance: 0.6, ..unused(3_000) };
     let below = [USED, USED, doubtful, doubtful];
     assert_eq!(claimed(&below, ATTEMPTS, true), Claim::Owed);
     assert_eq!(claimed(&below, ATTEMPTS, false), Claim::Preferred);
-    // A failing service would feed on such claims: three of ten that nobody has heard of fail again.
+    // Such claims would make a failing service worse: three of ten unobserved backend servers fail
+    // again.
     let in_question = Choice { failure_chance: 0.3, ..unused(3_000) };
     assert_eq!(claimed(&[USED, USED, USED, USED, in_question], FAILING, true), Claim::Owed);
     assert_eq!(claimed(&[USED, USED, USED, USED, in_question], FAILING, false), Claim::None);
-    // Nothing was heard of it, and most of the others fail.
+    // It has no observations, and most of the others fail.
     let unseen = Choice { unseen_chance: 0.6, ..doubtful };
     assert_eq!(claimed(&[USED, USED, USED, USED, unseen], ATTEMPTS, false), Claim::None);
 }
 
 #[test]
-fn one_that_failed_just_now_is_owed_nothing() {
+fn a_backend_server_that_failed_recently_is_not_claimed() {
     let mut failed = unused(5_000);
     failed.standing.is_sound = false;
     assert_eq!(claimed(&[failed, failed], FAILING, true), Claim::None);
 }
 
 #[test]
-fn what_the_requests_that_come_cannot_reach_is_not_claimed() {
-    // 800 requests a second reach some 1,400 of 4,000 backend servers while the floor looks, 8,000 reach them all.
+fn nothing_is_claimed_if_the_request_rate_cannot_reach_the_floor() {
+    // Within the time the floor measures, 800 requests a second reach about 1,400 of 4,000 backend
+    // servers; 8,000 reach all.
     let all = [vec![USED; 200], vec![unused(3_000); 3_800]].concat();
     let claimed_at = |requests_per_s: Option<f64>, floor: Floor, is_repeatable: bool| {
         claimed(&all, Floor { requests_per_s, ..floor }, is_repeatable)
@@ -116,16 +120,16 @@
         for floor in [FAILING, QUIET, ATTEMPTS] {
             assert_eq!(claimed_at(Some(800.0), floor, is_repeatable), Claim::None);
             assert_ne!(claimed_at(Some(8_000.0), floor, is_repeatable), Claim::None);
-            assert_ne!(claimed_at(None, floor, is_repeatable), Claim::None, "nobody knows yet");
+            assert_ne!(claimed_at(None, floor, is_repeatable), Claim::None, "the rate is unknown");
         }
     }
 }
 
 #[test]
-fn how_many_requests_come_is_known_soon_and_whatever_chance_does() {
+fn the_arrival_rate_is_estimated_early_and_within_bounds() {
     let mut demand = Demand::default();
     assert_eq!(demand.per_s(5_000), None);
-    // One each half second, then thirty seconds later for eight seconds, ten a second.
+    // One request each half second; thirty seconds later, ten a second for eight seconds.
     demand.note_arrival(10_000);
     assert_eq!(demand.per_s(10_290), None);
     assert!(demand.per_s(10_300).is_some());
@@ -138,9 +142,10 @@
 }
 
 #[test]
-fn all_that_are_not_in_doubt_are_reached_within_two_seconds_while_a_service_fails() {
+fn undoubted_backend_servers_are_reached_within_two_seconds_while_a_service_fails() {
     let mut rng = StdRng::seed_from_u64(3);
-    // The last arrival at each; 22 are new, 30 in doubt. Work takes 1.1 s, at a new one five times as long.
+    // The latest arrival at each backend server; 22 are new and 30 in doubt. A request takes 250
+    // ms, at a new one 3 s.
     let mut reached_ms = vec![0_u64; 105];
     let mut works: Vec<Vec<u64>> = vec![Vec::new(); 105];
     let is_new = |at: usize| at < 22;
@@ -158,7 +163,7 @@
                 choice
             })
             .collect();
-        // One request in three may run again.
+        // One request in three is repeatable.
         let is_repeatable = (now_ms / 6).is_multiple_of(3);
         claim(&mut choices, FAILING, is_repeatable);
         let at = steer(&choices, is_repeatable, false, &mut rng).expect("there are free slots");
@@ -175,9 +180,9 @@
 }
 
 #[test]
-fn refusals_for_an_allotment_bind_requests_that_run_once_only_if_they_are_many() {
-    // One workspace sends more than its allotment: of 60 requests a second for the service, one in so many is refused
-    // before it comes to it, and one in thirty fails there.
+fn refusals_apply_the_floor_to_non_repeatable_requests_only_above_a_higher_share() {
+    // One workspace exceeds its allotment: of 60 requests a second for the service, one in `one_in`
+    // is refused before it reaches the service, and one in thirty fails there.
     let refusing = |one_in: u64| {
         let mut demand = Demand::default();
         for at in 0..300_u64 {
--- a/crates/leverstream-core/tests/hedge.rs
+++ b/crates/leverstream-core/tests/hedge.rs
@@ -1,4 +1,4 @@
-//! When a second backend server is asked.
+//! Tests of when a request is hedged.
 
 use leverstream_catalog::Backend;
 use leverstream_core::{
@@ -6,7 +6,7 @@
 };
 use leverstream_health::BackendKey;
 
-/// A fleet of one backend server and a route whose answers have taken so long, with an objective of 600 ms.
+/// A fleet of one backend server and a route with an observed latency and an objective of 600 ms.
 fn fleet(answer_ms: f64) -> (Fleet, BackendKey, RouteKey) {
     let mut fleet = Fleet::default();
     let backend = Backend {
@@ -30,7 +30,7 @@
     (fleet, key, route)
 }
 
-/// The gain of a hedge for a request that has been under way for so long.
+/// Returns the gain of a hedge for a request that has been in flight for some time.
 fn gain(answer_ms: f64, under_way_ms: u64) -> f64 {
     let (mut fleet, key, route) = fleet(answer_ms);
     fleet.begin(key, route, 1_000);
@@ -40,24 +40,24 @@
 }
 
 #[test]
-fn a_hedge_pays_once_an_answer_is_overdue_and_not_before() {
+fn a_hedge_is_worthwhile_only_once_the_answer_is_overdue() {
     assert!(!is_hedge_worth(gain(200.0, 150), 0.0), "{}", gain(200.0, 150));
     assert!(is_hedge_worth(gain(200.0, 320), 0.0), "{}", gain(200.0, 320));
 }
 
 #[test]
-fn a_hedge_that_comes_too_late_for_the_objective_still_counts_towards_the_deadline() {
+fn a_hedge_too_late_for_the_objective_is_judged_by_the_deadline() {
     assert!(is_hedge_worth(gain(200.0, 550), 0.0));
-    assert!(!is_hedge_worth(gain(200.0, 900), 0.0), "no other could answer by the deadline");
+    assert!(!is_hedge_worth(gain(200.0, 900), 0.0), "no hedge could be answered by the deadline");
 }
 
 #[test]
-fn where_the_whole_service_is_slow_no_hedge_pays_for_the_usual_time() {
+fn no_hedge_is_worthwhile_at_the_usual_latency_of_a_slow_service() {
     assert!(!is_hedge_worth(gain(450.0, 320), 0.0));
 }
 
 #[test]
-fn it_is_looked_for_the_first_time_when_half_of_the_answers_have_come() {
+fn the_first_hedge_check_is_at_the_median_latency() {
     let (mut fleet, key, route) = fleet(200.0);
     fleet.begin(key, route, 1_000);
     let flights = [(key, 1_000)];
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn it_is_looked_at_once_where_the_backend_server_was_in_doubt() {
+fn the_first_hedge_check_is_immediate_at_a_doubtful_backend_server() {
     let (mut fleet, key, route) = fleet(200.0);
     for at in 0..4 {
         fleet.begin(key, route, 1_000 + at);
@@ -82,9 +82,9 @@
 }
 
 #[test]
-fn what_is_left_of_the_allowance_is_kept_for_those_that_win_most() {
-    // On a day when a third of the backend servers are cut off, hedges that win a fifth use all up, and errors
-    // come back that a repeat would nearly always make up for.
+fn the_minimum_gain_rises_as_the_retry_budget_is_used() {
+    // When a third of the backend servers are cut off, hedges with a gain of a fifth would use up
+    // the budget, and errors would reach callers that a retry nearly always avoids.
     assert!(is_hedge_worth(0.25, 0.3));
     assert!(!is_hedge_worth(0.25, 0.6));
     assert!(is_hedge_worth(0.8, 0.6));
--- a/crates/leverstream-core/tests/hold_off.rs
+++ b/crates/leverstream-core/tests/hold_off.rs
@@ -1,4 +1,4 @@
-//! Backend servers that want nothing of this VM for a while.
+//! Tests of backend servers that hold off a VM.
 
 use leverstream_catalog::{Backend, Incarnation};
 use leverstream_core::{Delta, Fleet, Openness, Outcome, RouteKey, Want, choose};
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// A fleet of backend servers `a`, `b`, ... of two slots, and a route.
+/// A fleet of backend servers `a`, `b`, ... with two slots each, and a route.
 fn fleet(count: usize) -> (Fleet, RouteKey) {
     let mut fleet = Fleet::default();
     ["a", "b", "c"].iter().take(count).for_each(|instance| {
@@ -31,8 +31,8 @@
     }
 }
 
-/// Where a request goes.
-fn goes_to(fleet: &Fleet, now_ms: u64) -> Option<BackendKey> {
+/// Returns the backend server that a request is sent to.
+fn chosen(fleet: &Fleet, now_ms: u64) -> Option<BackendKey> {
     let want = Want {
         service: "shop",
         hall: "h1",
@@ -48,26 +48,28 @@
     Some(choose(fleet, &want, now_ms, &mut StdRng::seed_from_u64(1))?.key)
 }
 
-/// The key of an instance.
+/// Returns the key of an instance.
 fn key(fleet: &Fleet, instance: &str) -> BackendKey {
     let keys = fleet.of_service("shop").iter().copied();
-    keys.into_iter().find(|key| fleet.target(*key).1 == instance).expect("it is in service")
+    keys.into_iter()
+        .find(|key| fleet.target(*key).1 == instance)
+        .expect("the instance is in service")
 }
 
 #[test]
-fn nothing_goes_there_until_the_end_and_the_floor_makes_no_exception() {
+fn no_request_is_sent_during_a_hold_off_even_for_the_floor() {
     let (mut fleet, _) = fleet(2);
     let held = key(&fleet, "a");
     fleet.hold_off(held, 5_000, 1_000);
     for now_ms in [1_000, 2_000, 5_999] {
-        assert_eq!(goes_to(&fleet, now_ms), Some(key(&fleet, "b")), "{now_ms}");
-        assert!(!fleet.may_send(held, now_ms), "nor one that chose it before");
+        assert_eq!(chosen(&fleet, now_ms), Some(key(&fleet, "b")), "{now_ms}");
+        assert!(!fleet.may_send(held, now_ms), "nor a request assigned before");
     }
     assert!(fleet.may_send(held, 6_000));
 }
 
 #[test]
-fn of_overlapping_times_the_later_end_holds() {
+fn the_later_end_of_overlapping_hold_offs_applies() {
     let (mut fleet, _) = fleet(1);
     let held = key(&fleet, "a");
     fleet.hold_off(held, 5_000, 1_000);
@@ -79,7 +81,7 @@
 }
 
 #[test]
-fn one_request_goes_first_and_more_once_it_was_answered() {
+fn after_a_hold_off_one_request_must_be_answered_before_more_are_sent() {
     let (mut fleet, route) = fleet(1);
     let held = key(&fleet, "a");
     fleet.begin(held, route, 900);
@@ -87,17 +89,17 @@
     let good = Outcome::Good { time_ms: 50.0, bytes: 10 };
     fleet.end(held, 900, route, good, 1_100);
     fleet.begin(held, route, 2_000);
-    assert_eq!(goes_to(&fleet, 2_010), None, "what was sent before the end shows nothing");
+    assert_eq!(chosen(&fleet, 2_010), None, "an answer to an earlier request does not count");
     fleet.end(held, 2_000, route, Outcome::NoEvidence, 2_020);
     fleet.begin(held, route, 2_030);
-    assert_eq!(goes_to(&fleet, 2_040), None, "nor one that was turned away");
+    assert_eq!(chosen(&fleet, 2_040), None, "nor does a rejected request");
     fleet.end(held, 2_030, route, good, 2_080);
     fleet.begin(held, route, 2_090);
-    assert_eq!(goes_to(&fleet, 2_090), Some(held));
+    assert_eq!(chosen(&fleet, 2_090), Some(held));
 }
 
 #[test]
-fn it_speaks_of_load_and_is_no_failure() {
+fn a_neutral_outcome_is_no_failure() {
     let (mut fleet, route) = fleet(1);
     let held = key(&fleet, "a");
     let before = fleet.failed_share("shop");
@@ -106,23 +108,23 @@
         fleet.end(held, at * 10, route, Outcome::NoEvidence, at * 10 + 5);
     }
     assert_eq!(fleet.failed_share("shop"), before);
-    assert!(goes_to(&fleet, 1_000).is_some());
+    assert!(chosen(&fleet, 1_000).is_some());
 }
 
 #[test]
-fn where_all_want_nothing_the_earliest_end_is_told() {
+fn the_earliest_end_is_returned_if_all_hold_off() {
     let (mut fleet, _) = fleet(2);
     fleet.hold_off(key(&fleet, "a"), 5_000, 1_000);
     assert_eq!(fleet.openness("shop", 1_000), Openness::Open);
     fleet.hold_off(key(&fleet, "b"), 3_000, 1_000);
     assert_eq!(fleet.openness("shop", 1_000), Openness::HoldsOffUntil(4_000));
-    assert_eq!(goes_to(&fleet, 1_000), None);
+    assert_eq!(chosen(&fleet, 1_000), None);
     assert_eq!(fleet.openness("shop", 4_000), Openness::Open);
     assert_eq!(fleet.openness("other", 1_000), Openness::Closed);
 }
 
 #[test]
-fn an_entry_that_lapses_and_comes_back_ends_nothing_and_another_start_is_free() {
+fn a_hold_off_survives_relisting_but_not_a_restart() {
     let (mut fleet, _) = fleet(2);
     fleet.hold_off(key(&fleet, "a"), 5_000, 1_000);
     let list = |revision, set| Delta { revision, is_whole: true, set, ..Delta::default() };
@@ -134,7 +136,7 @@
 }
 
 #[test]
-fn one_that_leaves_and_wants_nothing_is_no_last_resort() {
+fn a_leaving_backend_server_that_holds_off_is_no_last_resort() {
     let (mut fleet, _) = fleet(1);
     fleet.set_last_resort(2_000);
     let held = key(&fleet, "a");
--- a/crates/leverstream-core/tests/leavers.rs
+++ b/crates/leverstream-core/tests/leavers.rs
@@ -1,4 +1,4 @@
-//! Backend servers that say in their answers that they leave.
+//! Tests of backend servers that announce in an answer that they leave.
 
 use leverstream_catalog::{Backend, Incarnation};
 use leverstream_core::{Census, Delta, Fleet, Openness, Outcome, Want, choose};
@@ -19,27 +19,27 @@
     }
 }
 
-/// One that the platform lists as leaving.
+/// A backend server that the platform lists as leaving.
 fn leaving(instance: &str, born_ms: u64) -> Backend {
     Backend { is_leaving: true, ..backend(instance, born_ms) }
 }
 
-/// A start of a backend server.
-fn start(instance: &str, born_ms: u64) -> Incarnation {
+/// An incarnation of a backend server.
+fn incarnation_of(instance: &str, born_ms: u64) -> Incarnation {
     Incarnation { instance: instance.into(), born_ms }
 }
 
-/// A fleet of two that started at 10, the first of which has said that it leaves.
-fn told() -> Fleet {
+/// A fleet of two backend servers that started at 10; the first has announced that it leaves.
+fn fleet_with_leave_notice() -> Fleet {
     let mut fleet = Fleet::default();
     fleet.set(backend("a", 10), 1, 0);
     fleet.set(backend("b", 10), 1, 0);
     fleet.publish(1);
-    assert!(fleet.leave(&start("a", 10), 1_000));
+    assert!(fleet.leave(&incarnation_of("a", 10), 1_000));
     fleet
 }
 
-/// The instances that may take work, in order.
+/// Returns the instances in service, sorted.
 fn in_service(fleet: &Fleet) -> Vec<String> {
     let keys = fleet.of_service("shop").iter();
     let mut names: Vec<String> = keys.map(|key| fleet.target(*key).1.to_owned()).collect();
@@ -47,8 +47,8 @@
     names
 }
 
-/// Which instance a request goes to, if any.
-fn goes_to(fleet: &Fleet, now_ms: u64) -> Option<String> {
+/// Returns the instance that a request is sent to, if any.
+fn chosen(fleet: &Fleet, now_ms: u64) -> Option<String> {
     let want = Want {
         service: "shop",
         hall: "h1",
@@ -65,82 +65,85 @@
     Some(fleet.target(pick.key).1.to_owned())
 }
 
-/// Takes a whole list in, as another VM tells it.
-fn take_list(fleet: &mut Fleet, revision: u64, set: Vec<Backend>) {
+/// Applies a whole list from another VM.
+fn apply_whole_list(fleet: &mut Fleet, revision: u64, set: Vec<Backend>) {
     let delta = Delta { revision, is_whole: true, set, ..Delta::default() };
     fleet.apply(delta, 2_000);
 }
 
 #[test]
-fn the_word_takes_it_out_of_service_once() {
-    let mut fleet = told();
+fn a_leave_notice_takes_an_incarnation_out_of_service_once() {
+    let mut fleet = fleet_with_leave_notice();
     assert_eq!(in_service(&fleet), ["b"]);
     assert_eq!(fleet.slots("shop"), 2);
-    assert!(!fleet.leave(&start("a", 10), 1_100), "nothing new");
-    assert_eq!(fleet.leavers().collect::<Vec<_>>(), [start("a", 10)]);
+    assert!(!fleet.leave(&incarnation_of("a", 10), 1_100), "already known");
+    assert_eq!(fleet.leavers().collect::<Vec<_>>(), [incarnation_of("a", 10)]);
 }
 
 #[test]
-fn an_entry_that_still_says_it_is_ready_takes_nothing_back() {
-    let mut fleet = told();
-    assert!(!fleet.set(backend("a", 10), 2, 2_000), "a periodic entry is no news");
+fn a_ready_entry_does_not_undo_a_leave_notice() {
+    let mut fleet = fleet_with_leave_notice();
+    assert!(!fleet.set(backend("a", 10), 2, 2_000), "an unchanged entry");
     let moved = "127.0.0.1:9".parse().expect("an address");
     assert!(fleet.set(Backend { address: moved, ..backend("a", 10) }, 3, 3_000));
     assert_eq!(in_service(&fleet), ["b"]);
 }
 
 #[test]
-fn a_late_entry_takes_the_platforms_own_word_back_neither() {
+fn a_late_ready_entry_does_not_undo_a_leaving_entry() {
     let mut fleet = Fleet::default();
     fleet.set(leaving("a", 10), 2, 0);
-    assert!(!fleet.set(leaving("a", 10), 3, 10), "a periodic entry is no news");
+    assert!(!fleet.set(leaving("a", 10), 3, 10), "an unchanged entry");
     fleet.set(backend("a", 10), 1, 20);
     assert!(in_service(&fleet).is_empty());
 }
 
 #[test]
-fn a_whole_list_taken_anew_takes_nothing_back() {
-    let mut fleet = told();
-    take_list(&mut fleet, 5, vec![backend("a", 10), backend("b", 10)]);
+fn a_whole_list_does_not_undo_a_leave_notice() {
+    let mut fleet = fleet_with_leave_notice();
+    apply_whole_list(&mut fleet, 5, vec![backend("a", 10), backend("b", 10)]);
     assert_eq!(in_service(&fleet), ["b"]);
 }
 
 #[test]
-fn an_entry_that_lapses_and_comes_back_takes_nothing_back() {
-    let mut fleet = told();
+fn relisting_does_not_undo_a_leave_notice() {
+    let mut fleet = fleet_with_leave_notice();
     fleet.set_last_resort(2_000);
-    take_list(&mut fleet, 5, vec![backend("b", 10)]);
-    take_list(&mut fleet, 6, vec![backend("a", 10)]);
+    apply_whole_list(&mut fleet, 5, vec![backend("b", 10)]);
+    apply_whole_list(&mut fleet, 6, vec![backend("a", 10)]);
     assert!(in_service(&fleet).is_empty());
-    assert_eq!(fleet.openness("shop", 2_100), Openness::Closed, "nor is it a last resort again");
+    assert_eq!(fleet.openness("shop", 2_100), Openness::Closed, "it is no last resort again");
 }
 
 #[test]
-fn one_that_is_listed_only_after_the_word_never_comes_into_service() {
+fn an_incarnation_listed_after_its_leave_notice_is_never_in_service() {
     let mut fleet = Fleet::default();
-    assert!(fleet.leave(&start("a", 10), 1_000));
+    assert!(fleet.leave(&incarnation_of("a", 10), 1_000));
     fleet.set(backend("a", 10), 1, 1_500);
     assert!(in_service(&fleet).is_empty());
-    assert_eq!(fleet.leavers().count(), 1, "others hear of it now");
+    assert_eq!(fleet.leavers().count(), 1, "other VMs are told from now on");
 }
 
 #[test]
-fn only_another_start_is_free_of_it() {
-    let mut fleet = told();
+fn only_a_new_incarnation_undoes_a_leave_notice() {
+    let mut fleet = fleet_with_leave_notice();
     fleet.set(backend("a", 20), 2, 2_000);
     assert_eq!(in_service(&fleet), ["a", "b"]);
-    assert!(!fleet.leave(&start("a", 10), 2_100), "late word of the earlier start");
+    assert!(
+        !fleet.leave(&incarnation_of("a", 10), 2_100),
+        "a late notice of the earlier incarnation"
+    );
     assert_eq!(in_service(&fleet), ["a", "b"]);
-    assert!(fleet.leave(&start("a", 20), 2_200));
+    assert!(fleet.leave(&incarnation_of("a", 20), 2_200));
     fleet.set(backend("a", 10), 3, 2_300);
     assert_eq!(in_service(&fleet), ["b"]);
 }
 
 #[test]
-fn word_of_a_start_that_is_not_listed_yet_covers_the_one_before() {
+fn a_leave_notice_of_an_unlisted_incarnation_covers_earlier_ones() {
     let mut fleet = Fleet::default();
     fleet.set(backend("a", 10), 1, 0);
-    fleet.leave(&start("a", 20), 1_000);
+    fleet.leave(&incarnation_of("a", 20), 1_000);
     assert!(in_service(&fleet).is_empty());
     fleet.set(backend("a", 20), 2, 2_000);
     assert!(in_service(&fleet).is_empty());
@@ -149,18 +152,18 @@
 }
 
 #[test]
-fn a_full_memory_brings_no_listed_one_back() {
-    let mut fleet = told();
+fn evicted_leave_notices_still_apply_to_listed_incarnations() {
+    let mut fleet = fleet_with_leave_notice();
     (0..40_000).for_each(|number| {
-        fleet.leave(&start(&format!("other-{number}"), 10), 2_000);
+        fleet.leave(&incarnation_of(&format!("other-{number}"), 10), 2_000);
     });
     assert!(!fleet.set(backend("a", 10), 2, 3_000));
     assert_eq!(in_service(&fleet), ["b"]);
 }
 
 #[test]
-fn a_vm_that_takes_the_list_from_another_is_told_before_it_knows_anybody() {
-    let told = told();
+fn a_whole_list_brings_its_leave_notices_to_a_new_vm() {
+    let told = fleet_with_leave_notice();
     let mut newcomer = Fleet::default();
     let applied = newcomer.apply(told.since(0, 5_000), 5_000);
     assert_eq!(applied.set, 2);
@@ -169,10 +172,10 @@
 }
 
 #[test]
-fn nothing_is_compared_once_the_platform_tells_the_same() {
-    let mut fleet = told();
+fn the_fingerprint_is_zero_once_the_platform_lists_the_same() {
+    let mut fleet = fleet_with_leave_notice();
     assert_ne!(fleet.words_fingerprint(), 0);
-    let mut gone = told();
+    let mut gone = fleet_with_leave_notice();
     fleet.set(leaving("a", 10), 2, 2_000);
     assert_eq!(fleet.words_fingerprint(), 0);
     gone.remove("a", 2);
@@ -181,20 +184,24 @@
 }
 
 #[test]
-fn a_service_of_which_all_leave_is_served_on_for_a_while_and_then_refused() {
-    let mut fleet = told();
+fn a_service_without_others_is_served_as_a_last_resort_for_a_limited_time() {
+    let mut fleet = fleet_with_leave_notice();
     fleet.set_last_resort(2_000);
-    assert_eq!(goes_to(&fleet, 1_100).as_deref(), Some("b"), "while there is another, it gets all");
-    fleet.leave(&start("b", 10), 2_000);
+    assert_eq!(chosen(&fleet, 1_100).as_deref(), Some("b"), "another backend server is in service");
+    fleet.leave(&incarnation_of("b", 10), 2_000);
     assert_eq!(fleet.openness("shop", 2_100), Openness::Open);
-    assert!(goes_to(&fleet, 2_999).is_some());
-    assert_eq!(goes_to(&fleet, 3_500).as_deref(), Some("b"), "the first has had its time");
-    assert_eq!(goes_to(&fleet, 4_000), None);
+    assert!(chosen(&fleet, 2_999).is_some());
+    assert_eq!(
+        chosen(&fleet, 3_500).as_deref(),
+        Some("b"),
+        "the last resort of the first has ended"
+    );
+    assert_eq!(chosen(&fleet, 4_000), None);
     assert_eq!(fleet.openness("shop", 4_000), Openness::Closed);
 }
 
 #[test]
-fn a_request_that_chose_before_the_word_is_not_sent_after_it() {
+fn a_request_assigned_before_a_leave_notice_is_not_sent_after_it() {
     let mut fleet = Fleet::default();
     fleet.set_last_resort(2_000);
     fleet.set(backend("a", 10), 1, 0);
@@ -206,18 +213,18 @@
 }
 
 #[test]
-fn the_platforms_own_word_ends_the_last_resort() {
-    let mut fleet = told();
+fn a_leaving_entry_ends_the_last_resort() {
+    let mut fleet = fleet_with_leave_notice();
     fleet.set_last_resort(2_000);
     fleet.remove("b", 2);
-    assert!(goes_to(&fleet, 1_500).is_some());
+    assert!(chosen(&fleet, 1_500).is_some());
     fleet.set(leaving("a", 10), 3, 1_600);
-    assert_eq!(goes_to(&fleet, 1_700), None);
+    assert_eq!(chosen(&fleet, 1_700), None);
 }
 
 #[test]
-fn the_end_of_one_that_leaves_is_no_failure_of_its_service() {
-    let mut fleet = told();
+fn failed_requests_at_a_leaving_backend_server_are_no_failures_of_the_service() {
+    let mut fleet = fleet_with_leave_notice();
     fleet.set(backend("c", 10), 1, 0);
     let before = fleet.failed_share("shop");
     let route = fleet.route_key("r", 250);
@@ -233,8 +240,8 @@
 }
 
 #[test]
-fn operators_see_who_leaves_by_whose_word() {
-    let mut fleet = told();
+fn state_counts_distinguish_announced_from_listed_leaving() {
+    let mut fleet = fleet_with_leave_notice();
     fleet.set(leaving("c", 10), 2, 0);
     let expected = Census {
         in_service: 1,
--- a/crates/leverstream-core/tests/leaving/mod.rs
+++ b/crates/leverstream-core/tests/leaving/mod.rs
@@ -1,4 +1,5 @@
-//! A simulated fleet: VMs with the code that decides, datagrams, a store that is away for a while, and backend servers.
+//! A simulation of VMs that run the real fleet code, their datagrams, an unavailable store, and
+//! backend servers that leave.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -9,168 +10,180 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// How long a request is worked on, in milliseconds.
+/// The service time of a request, in milliseconds.
 const WORK_MS: u64 = 50;
 
-/// How often VMs that share the traffic tell each other something.
+/// The interval of the evidence messages between VMs that share the traffic, in milliseconds.
 const EVIDENCE_MS: u64 = 30;
 
-/// How often a VM pings another.
+/// The ping interval of a VM, in milliseconds.
 const PING_MS: u64 = 400;
 
-/// How often entries are written to the store.
+/// The interval at which entries are written to the store, in milliseconds.
 const HEARTBEAT_MS: u64 = 1_500;
 
-/// How many VMs that do not share the traffic are told at once.
-const OTHERS_TOLD: usize = 48;
+/// The number of VMs outside the traffic that a notice is sent to at once.
+const OTHERS_NOTIFIED: usize = 48;
 
-/// One request in so many goes to any VM.
-const STRAY_ONE_IN: u32 = 20;
+/// One request in this many goes to a random VM.
+const NON_SHARER_ONE_IN: u32 = 20;
 
-/// What a datagram takes besides the starts it tells of, and each of those, in bytes.
+/// The size of a datagram without incarnations, and of each incarnation, in bytes.
 const DATAGRAM_BYTES: (u64, u64) = (30, 45);
 
-/// What is played.
+/// The parameters of a simulation.
 #[derive(Clone, Debug)]
-pub struct Story {
-    /// How many VMs there are.
+pub struct Scenario {
+    /// The number of VMs.
     pub vms: usize,
-    /// How many of them share the traffic.
-    pub placed: usize,
-    /// How many backend servers there are.
+    /// The number of VMs that share the traffic.
+    pub sharers: usize,
+    /// The number of backend servers.
     pub servers: usize,
-    /// How many of them leave, from one second on.
+    /// The number of backend servers that leave, from one second on.
     pub leaving: usize,
-    /// Over how long.
+    /// The time over which they begin to leave, in milliseconds.
     pub over_ms: u64,
-    /// For how long one serves on where there is no other.
+    /// How long a leaving backend server still serves a service without others, in milliseconds.
     pub last_resort_ms: u64,
-    /// When the store is back, which is away from the start on.
-    pub store_back_ms: u64,
-    /// Requests a second.
+    /// When the store becomes available, in milliseconds; it is unavailable from the start.
+    pub store_available_ms: u64,
+    /// The request rate.
     pub requests_per_s: u32,
-    /// What befalls VMs: when, which, what.
-    pub events: Vec<(u64, usize, Event)>,
+    /// The faults of VMs: time, VM, fault.
+    pub events: Vec<(u64, usize, Fault)>,
     /// The share of datagrams that are lost.
-    pub lost: f64,
-    /// The share that comes twice.
-    pub doubled: f64,
-    /// How late they come at the most.
-    pub late_ms: u64,
-    /// How long it is played.
-    pub length_ms: u64,
-    /// What decides by chance.
+    pub lost_share: f64,
+    /// The share of datagrams that are duplicated.
+    pub duplicated_share: f64,
+    /// The maximum delay of a datagram, in milliseconds.
+    pub max_delay_ms: u64,
+    /// The length of the simulation, in milliseconds.
+    pub duration_ms: u64,
+    /// The seed of the random numbers.
     pub seed: u64,
 }
 
-/// What befalls a VM, for so many milliseconds.
+/// A fault of a VM that lasts for some milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub enum Event {
-    /// It is gone and starts anew, knowing nothing.
+pub enum Fault {
+    /// The VM is killed and starts again without state.
     Kill(u64),
-    /// It stands still.
-    Freeze(u64),
-    /// No datagram reaches it or leaves it, nor does the store.
-    Cut(u64),
+    /// The VM is paused.
+    Pause(u64),
+    /// The VM is cut off from all other VMs and from the store.
+    Partition(u64),
 }
 
-/// What backend servers saw.
+/// The observations at the backend servers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Seen {
-    /// The longest time from a word to a VM to a request of that VM, in milliseconds.
+pub struct Observations {
+    /// The longest time from a backend server's announcement to a VM until a request of that VM, in
+    /// milliseconds.
     pub longest_own_ms: u64,
-    /// The longest time from the first word to any VM to a request of any, in milliseconds.
+    /// The longest time from a backend server's first announcement to any VM until a request of any
+    /// VM, in milliseconds.
     pub longest_any_ms: u64,
-    /// Requests that found no backend server in service.
+    /// The number of requests without a backend server in service.
     pub refused: usize,
-    /// Requests.
+    /// The number of requests.
     pub requests: usize,
-    /// What the busiest VM sent about who leaves, in bytes.
-    pub busiest_bytes: u64,
+    /// The bytes about leaving incarnations that the busiest VM sent.
+    pub busiest_vm_bytes: u64,
 }
 
-/// One VM.
+/// A simulated VM.
 struct Vm {
-    /// What it knows.
+    /// Its fleet state.
     fleet: Fleet,
-    /// How it compares.
+    /// The state of its comparisons.
     compared: Words,
     /// Its route.
     route: RouteKey,
-    /// Until when it is gone or stands still.
-    away_until_ms: u64,
-    /// Until when it is cut off.
-    cut_until_ms: u64,
-    /// Which life this is.
-    life: u32,
-    /// When it was first told by which backend server, in this life.
-    words: HashMap<usize, u64>,
-    /// What it sent about who leaves.
+    /// The end of its downtime or pause.
+    down_until_ms: u64,
+    /// The end of its partition.
+    partitioned_until_ms: u64,
+    /// The number of its restarts.
+    restarts: u32,
+    /// When each backend server first announced to it that it leaves, since its restart.
+    announced_ms: HashMap<usize, u64>,
+    /// The bytes it sent about leaving incarnations.
     bytes: u64,
 }
 
-/// What happens at a moment.
+/// A scheduled event.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    /// A backend server has answered a request of a VM's life.
-    Answer { vm: usize, life: u32, server: usize, key: u32, since_ms: u64 },
-    /// A VM hears of starts that leave.
+enum Scheduled {
+    /// A backend server answers a request that a VM sent before any further restart.
+    Answer { vm: usize, restarts: u32, server: usize, key: u32, since_ms: u64 },
+    /// A VM receives leaving incarnations.
     Told { from: usize, to: usize, starts: Vec<usize>, asks: bool },
-    /// A VM hears another's fingerprint.
+    /// A VM receives another's fingerprint.
     Compared { from: usize, to: usize, fingerprint: u64 },
 }
 
-/// The world.
-struct World {
-    /// What is played.
-    story: Story,
-    /// The VMs; the first share the traffic.
+/// The state of a simulation.
+struct Simulation {
+    /// The parameters.
+    scenario: Scenario,
+    /// The VMs; the first `sharers` share the traffic.
     vms: Vec<Vm>,
-    /// When the first word of each backend server was passed on.
-    first_words: HashMap<usize, u64>,
-    /// What is due.
-    due: BinaryHeap<Reverse<(u64, u64, Due)>>,
-    /// How much was ever due, for an order.
+    /// When each backend server first announced to any VM that it leaves.
+    first_announced_ms: HashMap<usize, u64>,
+    /// The scheduled events.
+    scheduled: BinaryHeap<Reverse<(u64, u64, Scheduled)>>,
+    /// The number of events scheduled so far, as a tie breaker.
     count: u64,
-    /// What decides by chance.
+    /// The random numbers.
     rng: StdRng,
-    /// What was seen.
-    seen: Seen,
+    /// The observations.
+    observations: Observations,
 }
 
-/// Plays a story.
-pub fn play(story: Story) -> Seen {
-    let mut world = World {
-        vms: (0..story.vms).map(|_| start(&story, 0, 0)).collect(),
-        first_words: HashMap::new(),
-        due: BinaryHeap::new(),
+/// Runs a simulation.
+pub fn simulate(scenario: Scenario) -> Observations {
+    let mut simulation = Simulation {
+        vms: (0..scenario.vms).map(|_| start(&scenario, 0, 0)).collect(),
+        first_announced_ms: HashMap::new(),
+        scheduled: BinaryHeap::new(),
         count: 0,
-        rng: StdRng::seed_from_u64(story.seed),
-        seen: Seen::default(),
-        story,
+        rng: StdRng::seed_from_u64(scenario.seed),
+        observations: Observations::default(),
+        scenario,
     };
-    for now_ms in 0..world.story.length_ms {
-        world.befall(now_ms);
-        world.do_due(now_ms);
-        world.tick(now_ms);
+    for now_ms in 0..simulation.scenario.duration_ms {
+        simulation.apply_faults(now_ms);
+        simulation.handle_due(now_ms);
+        simulation.tick(now_ms);
     }
-    world.seen.busiest_bytes = world.vms.iter().map(|vm| vm.bytes).max().unwrap_or(0);
-    world.seen
+    simulation.observations.busiest_vm_bytes =
+        simulation.vms.iter().map(|vm| vm.bytes).max().unwrap_or(0);
+    simulation.observations
 }
 
-/// A VM that has just read the list from another, which tells of no word.
-fn start(story: &Story, life: u32, now_ms: u64) -> Vm {
+/// Creates a VM that has just read the list from another VM, without any notices.
+fn start(scenario: &Scenario, restarts: u32, now_ms: u64) -> Vm {
     let mut fleet = Fleet::default();
-    fleet.set_last_resort(story.last_resort_ms);
-    (0..story.servers).for_each(|server| {
+    fleet.set_last_resort(scenario.last_resort_ms);
+    (0..scenario.servers).for_each(|server| {
         fleet.set(entry(server, false), 1, now_ms);
     });
     let route = fleet.route_key("r", 400);
-    let (compared, words) = (Words::default(), HashMap::new());
-    Vm { fleet, compared, route, away_until_ms: 0, cut_until_ms: 0, life, words, bytes: 0 }
+    let (compared, announced_ms) = (Words::default(), HashMap::new());
+    Vm {
+        fleet,
+        compared,
+        route,
+        down_until_ms: 0,
+        partitioned_until_ms: 0,
+        restarts,
+        announced_ms,
+        bytes: 0,
+    }
 }
 
-/// The entry of a backend server.
+/// The store entry of a backend server.
 fn entry(server: usize, is_leaving: bool) -> Backend {
     Backend {
         instance: format!("i-{server}"),
@@ -184,87 +197,89 @@
     }
 }
 
-/// The start of a backend server.
+/// The incarnation of a backend server.
 fn of(server: usize) -> Incarnation {
     entry(server, false).incarnation()
 }
 
-/// The backend server of a start.
+/// The number of an incarnation's backend server.
 fn server(of: &Incarnation) -> usize {
     of.instance[2..].parse().expect("a number")
 }
 
-impl World {
-    /// When a backend server begins to say that it leaves.
+impl Simulation {
+    /// Returns when a backend server begins to announce that it leaves.
     fn leaves_ms(&self, server: usize) -> Option<u64> {
-        let Story { leaving, over_ms, .. } = self.story;
+        let Scenario { leaving, over_ms, .. } = self.scenario;
         (server < leaving).then(|| 1_000 + over_ms * server as u64 / leaving as u64)
     }
 
-    /// Lets happen what befalls VMs.
-    fn befall(&mut self, now_ms: u64) {
-        let due: Vec<(usize, Event)> = self
-            .story
+    /// Applies the faults that begin now.
+    fn apply_faults(&mut self, now_ms: u64) {
+        let scheduled: Vec<(usize, Fault)> = self
+            .scenario
             .events
             .iter()
             .filter(|event| event.0 == now_ms)
             .map(|event| (event.1, event.2))
             .collect();
-        for (at, event) in due {
-            let life = self.vms[at].life + 1;
+        for (at, event) in scheduled {
+            let restarts = self.vms[at].restarts + 1;
             match event {
-                Event::Kill(for_ms) => {
+                Fault::Kill(for_ms) => {
                     let bytes = self.vms[at].bytes;
-                    self.vms[at] = start(&self.story, life, now_ms + for_ms);
+                    self.vms[at] = start(&self.scenario, restarts, now_ms + for_ms);
                     self.vms[at].bytes = bytes;
-                    self.vms[at].away_until_ms = now_ms + for_ms;
+                    self.vms[at].down_until_ms = now_ms + for_ms;
                 }
-                Event::Freeze(for_ms) => {
-                    self.vms[at].away_until_ms = now_ms + for_ms;
-                    self.vms[at].words.clear();
+                Fault::Pause(for_ms) => {
+                    self.vms[at].down_until_ms = now_ms + for_ms;
+                    self.vms[at].announced_ms.clear();
                 }
-                Event::Cut(for_ms) => self.vms[at].cut_until_ms = now_ms + for_ms,
+                Fault::Partition(for_ms) => self.vms[at].partitioned_until_ms = now_ms + for_ms,
             }
         }
     }
 
-    /// Does what is due.
-    fn do_due(&mut self, now_ms: u64) {
-        while self.due.peek().is_some_and(|Reverse((at_ms, ..))| *at_ms <= now_ms) {
-            let Some(Reverse((_, _, due))) = self.due.pop() else { return };
-            match due {
-                Due::Answer { vm, life, server, key, since_ms } => {
-                    self.answer(vm, life, server, BackendKey(key), since_ms, now_ms);
+    /// Handles the events that are due.
+    fn handle_due(&mut self, now_ms: u64) {
+        while self.scheduled.peek().is_some_and(|Reverse((at_ms, ..))| *at_ms <= now_ms) {
+            let Some(Reverse((_, _, scheduled))) = self.scheduled.pop() else { return };
+            match scheduled {
+                Scheduled::Answer { vm, restarts, server, key, since_ms } => {
+                    self.answer(vm, restarts, server, BackendKey(key), since_ms, now_ms);
+                }
+                Scheduled::Told { from, to, starts, asks } => {
+                    self.hear(from, to, &starts, asks, now_ms)
                 }
-                Due::Told { from, to, starts, asks } => self.hear(from, to, &starts, asks, now_ms),
-                Due::Compared { from, to, fingerprint } => {
+                Scheduled::Compared { from, to, fingerprint } => {
                     self.compare(from, to, fingerprint, now_ms);
                 }
             }
         }
     }
 
-    /// Sends requests, pings and evidence, and lets the store tell.
+    /// Sends requests, pings and evidence, and lets the VMs read the store.
     fn tick(&mut self, now_ms: u64) {
-        if self.rng.random_range(0..1_000) < self.story.requests_per_s {
+        if self.rng.random_range(0..1_000) < self.scenario.requests_per_s {
             self.request(now_ms);
         }
-        let placed = self.story.placed;
-        for vm in 0..self.story.vms {
+        let sharers = self.scenario.sharers;
+        for vm in 0..self.scenario.vms {
             if (now_ms + vm as u64).is_multiple_of(PING_MS) {
-                let to = self.rng.random_range(0..self.story.vms);
+                let to = self.rng.random_range(0..self.scenario.vms);
                 self.tell_fingerprint(vm, to, now_ms);
                 self.tell_fingerprint(to, vm, now_ms);
             }
-            if vm < placed && (now_ms + vm as u64).is_multiple_of(EVIDENCE_MS) {
-                (0..placed).for_each(|to| self.tell_fingerprint(vm, to, now_ms));
+            if vm < sharers && (now_ms + vm as u64).is_multiple_of(EVIDENCE_MS) {
+                (0..sharers).for_each(|to| self.tell_fingerprint(vm, to, now_ms));
             }
         }
-        let back_ms = self.story.store_back_ms;
+        let back_ms = self.scenario.store_available_ms;
         if now_ms >= back_ms && (now_ms - back_ms).is_multiple_of(HEARTBEAT_MS) {
-            // The first entries after its return still say that all are ready.
+            // The first entries after the store's return still list all backend servers as ready.
             let is_late = now_ms == back_ms;
-            for vm in 0..self.story.vms {
+            for vm in 0..self.scenario.vms {
                 self.read_store(vm, is_late, now_ms);
             }
         }
@@ -275,22 +290,23 @@
         if !self.reaches(at, now_ms) {
             return;
         }
-        for server in 0..self.story.servers {
+        for server in 0..self.scenario.servers {
             let is_leaving =
                 !is_late && self.leaves_ms(server).is_some_and(|at_ms| at_ms <= now_ms);
             self.vms[at].fleet.set(entry(server, is_leaving), now_ms, now_ms);
         }
     }
 
-    /// Has a caller send a request to a VM.
+    /// Sends a caller's request to a VM.
     fn request(&mut self, now_ms: u64) {
-        let is_stray = self.rng.random_range(0..STRAY_ONE_IN) == 0;
-        let at =
-            self.rng.random_range(0..if is_stray { self.story.vms } else { self.story.placed });
-        if self.vms[at].away_until_ms > now_ms {
+        let is_stray = self.rng.random_range(0..NON_SHARER_ONE_IN) == 0;
+        let at = self
+            .rng
+            .random_range(0..if is_stray { self.scenario.vms } else { self.scenario.sharers });
+        if self.vms[at].down_until_ms > now_ms {
             return;
         }
-        self.seen.requests += 1;
+        self.observations.requests += 1;
         let want = Want {
             service: "shop",
             hall: "h1",
@@ -305,36 +321,40 @@
         };
         let vm = &mut self.vms[at];
         let Some(pick) = choose(&vm.fleet, &want, now_ms, &mut self.rng) else {
-            self.seen.refused += 1;
+            self.observations.refused += 1;
             return;
         };
         let server = server(&vm.fleet.incarnation(pick.key));
         vm.fleet.begin(pick.key, vm.route, now_ms);
-        let own_ms = vm.words.get(&server).map_or(0, |word_ms| now_ms - word_ms);
-        let any_ms = self.first_words.get(&server).map_or(0, |word_ms| now_ms - word_ms);
-        self.seen.longest_own_ms = self.seen.longest_own_ms.max(own_ms);
-        self.seen.longest_any_ms = self.seen.longest_any_ms.max(any_ms);
-        let life = self.vms[at].life;
-        let answer = Due::Answer { vm: at, life, server, key: pick.key.0, since_ms: now_ms };
+        let own_ms = vm.announced_ms.get(&server).map_or(0, |word_ms| now_ms - word_ms);
+        let any_ms = self.first_announced_ms.get(&server).map_or(0, |word_ms| now_ms - word_ms);
+        self.observations.longest_own_ms = self.observations.longest_own_ms.max(own_ms);
+        self.observations.longest_any_ms = self.observations.longest_any_ms.max(any_ms);
+        let restarts = self.vms[at].restarts;
+        let answer =
+            Scheduled::Answer { vm: at, restarts, server, key: pick.key.0, since_ms: now_ms };
         self.at(now_ms + WORK_MS, answer);
     }
 
-    /// Takes in an answer, which tells whether its backend server leaves.
+    /// Handles an answer, which says whether its backend server leaves.
     fn answer(
         &mut self,
         at: usize,
-        life: u32,
+        restarts: u32,
         server: usize,
         key: BackendKey,
         since_ms: u64,
         now_ms: u64,
     ) {
-        if self.vms[at].life != life {
+        if self.vms[at].restarts != restarts {
             return;
         }
-        let away_until_ms = self.vms[at].away_until_ms;
-        if away_until_ms > now_ms {
-            self.at(away_until_ms, Due::Answer { vm: at, life, server, key: key.0, since_ms });
+        let down_until_ms = self.vms[at].down_until_ms;
+        if down_until_ms > now_ms {
+            self.at(
+                down_until_ms,
+                Scheduled::Answer { vm: at, restarts, server, key: key.0, since_ms },
+            );
             return;
         }
         let leaves = self.leaves_ms(server).is_some_and(|at_ms| at_ms <= now_ms);
@@ -343,18 +363,18 @@
         let good = Outcome::Good { time_ms: WORK_MS as f64, bytes: 100 };
         vm.fleet.end(key, since_ms, vm.route, good, now_ms);
         if leaves {
-            vm.words.entry(server).or_insert(now_ms);
-            self.first_words.entry(server).or_insert(now_ms);
+            vm.announced_ms.entry(server).or_insert(now_ms);
+            self.first_announced_ms.entry(server).or_insert(now_ms);
         }
         if is_news {
-            let mut others: Vec<usize> = (self.story.placed..self.story.vms).collect();
-            others.truncate(OTHERS_TOLD);
-            let sharers = 0..self.story.placed;
+            let mut others: Vec<usize> = (self.scenario.sharers..self.scenario.vms).collect();
+            others.truncate(OTHERS_NOTIFIED);
+            let sharers = 0..self.scenario.sharers;
             sharers.chain(others).for_each(|to| self.tell(at, to, vec![server], false, now_ms));
         }
     }
 
-    /// Takes in what another VM tells.
+    /// Handles the notices of another VM.
     fn hear(&mut self, from: usize, to: usize, starts: &[usize], asks: bool, now_ms: u64) {
         let told = WordsTold {
             starts: starts.iter().copied().map(of).collect(),
@@ -367,48 +387,48 @@
         }
     }
 
-    /// Takes in another VM's fingerprint.
+    /// Handles another VM's fingerprint.
     fn compare(&mut self, from: usize, to: usize, fingerprint: u64, now_ms: u64) {
-        let is_sharer = to < self.story.placed;
+        let is_sharer = to < self.scenario.sharers;
         let vm = &mut self.vms[to];
         if let Some(told) = vm.compared.compare(fingerprint, &vm.fleet, is_sharer, now_ms) {
             self.tell(to, from, told.starts.iter().map(server).collect(), told.asks, now_ms);
         }
     }
 
-    /// Tells a VM of starts that leave.
+    /// Sends leaving incarnations to a VM.
     fn tell(&mut self, from: usize, to: usize, starts: Vec<usize>, asks: bool, now_ms: u64) {
         let (head, each) = DATAGRAM_BYTES;
         self.vms[from].bytes += head + each * starts.len() as u64;
-        self.send(from, to, &Due::Told { from, to, starts, asks }, now_ms);
+        self.send(from, to, &Scheduled::Told { from, to, starts, asks }, now_ms);
     }
 
-    /// Tells a VM the fingerprint of what another knows.
+    /// Sends a VM's fingerprint to another.
     fn tell_fingerprint(&mut self, from: usize, to: usize, now_ms: u64) {
         let fingerprint = self.vms[from].fleet.words_fingerprint();
-        self.send(from, to, &Due::Compared { from, to, fingerprint }, now_ms);
+        self.send(from, to, &Scheduled::Compared { from, to, fingerprint }, now_ms);
     }
 
-    /// Sends a datagram, which may be lost, late or doubled.
-    fn send(&mut self, from: usize, to: usize, due: &Due, now_ms: u64) {
-        let copies = 1 + usize::from(self.rng.random_bool(self.story.doubled));
+    /// Sends a datagram, which may be lost, delayed or duplicated.
+    fn send(&mut self, from: usize, to: usize, scheduled: &Scheduled, now_ms: u64) {
+        let copies = 1 + usize::from(self.rng.random_bool(self.scenario.duplicated_share));
         for _ in 0..copies {
-            let is_lost = self.rng.random_bool(self.story.lost);
-            let at_ms = now_ms + self.rng.random_range(1..=self.story.late_ms);
+            let is_lost = self.rng.random_bool(self.scenario.lost_share);
+            let at_ms = now_ms + self.rng.random_range(1..=self.scenario.max_delay_ms);
             if from != to && !is_lost && self.reaches(from, now_ms) && self.reaches(to, at_ms) {
-                self.at(at_ms, due.clone());
+                self.at(at_ms, scheduled.clone());
             }
         }
     }
 
-    /// Tells whether a VM is there and not cut off.
+    /// Tells whether a VM is running and connected.
     fn reaches(&self, vm: usize, at_ms: u64) -> bool {
-        self.vms[vm].away_until_ms <= at_ms && self.vms[vm].cut_until_ms <= at_ms
+        self.vms[vm].down_until_ms <= at_ms && self.vms[vm].partitioned_until_ms <= at_ms
     }
 
-    /// Has something happen at a moment.
-    fn at(&mut self, at_ms: u64, due: Due) {
+    /// Schedules an event.
+    fn at(&mut self, at_ms: u64, scheduled: Scheduled) {
         self.count += 1;
-        self.due.push(Reverse((at_ms, self.count, due)));
+        self.scheduled.push(Reverse((at_ms, self.count, scheduled)));
     }
 }
--- a/crates/leverstream-core/tests/leaving_model.rs
+++ b/crates/leverstream-core/tests/leaving_model.rs
@@ -1,44 +1,45 @@
-//! All orders of words about two starts of one backend server, from its answers, the platform and another VM.
+//! Checks all sequences of up to five events about two incarnations of one backend server, from its
+//! answers, the platform and another VM.
 //!
-//! In every state: no start of which any word has said that it leaves or has ended is in service, nor any before it; and a
-//! later one that the platform lists as ready last is.
+//! In every state, no incarnation is in service if it or a later one has left or ended by any
+//! event; and a later one is in service if the platform listed it as ready last.
 
 use leverstream_catalog::{Backend, Incarnation};
 use leverstream_core::{Delta, Fleet};
 
-/// How many words follow each other at the most.
-const LENGTH: usize = 5;
+/// The maximum number of events in a sequence.
+const MAX_EVENTS: usize = 5;
 
-/// A word about a start, by when that began.
+/// An event about an incarnation, identified by its start time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Word {
-    /// It says in an answer, or another VM tells, that it leaves.
+enum Event {
+    /// The incarnation announces that it leaves, in an answer or through another VM.
     Leaves(u64),
-    /// Its address answers for another.
+    /// Another incarnation answers at its address.
     Ended(u64),
     /// The platform lists it as ready.
     Ready(u64),
     /// The platform lists it as leaving.
     Leaving(u64),
-    /// The platform no longer lists the backend server.
+    /// The platform no with_event lists the backend server.
     Gone,
-    /// Another VM tells a whole list with this start, ready, and that it leaves.
+    /// Another VM sends a whole list with this incarnation as ready, and a notice that it leaves.
     Listed(u64),
 }
 
-/// All words.
-const WORDS: [Word; 11] = [
-    Word::Leaves(1),
-    Word::Leaves(2),
-    Word::Ended(1),
-    Word::Ended(2),
-    Word::Ready(1),
-    Word::Ready(2),
-    Word::Leaving(1),
-    Word::Leaving(2),
-    Word::Gone,
-    Word::Listed(1),
-    Word::Listed(2),
+/// All events.
+const EVENTS: [Event; 11] = [
+    Event::Leaves(1),
+    Event::Leaves(2),
+    Event::Ended(1),
+    Event::Ended(2),
+    Event::Ready(1),
+    Event::Ready(2),
+    Event::Leaving(1),
+    Event::Leaving(2),
+    Event::Gone,
+    Event::Listed(1),
+    Event::Listed(2),
 ];
 
 /// A backend server of the service `shop`.
@@ -55,30 +56,30 @@
     }
 }
 
-/// A start.
+/// An incarnation.
 fn start(born_ms: u64) -> Incarnation {
     Incarnation { instance: "a".into(), born_ms }
 }
 
-/// Takes a word in; revisions rise.
-fn take(fleet: &mut Fleet, word: Word, at: u64) {
-    match word {
-        Word::Leaves(born_ms) => {
+/// Applies an event; revisions increase.
+fn apply(fleet: &mut Fleet, event: Event, at: u64) {
+    match event {
+        Event::Leaves(born_ms) => {
             fleet.leave(&start(born_ms), at);
         }
-        Word::Ended(born_ms) => {
+        Event::Ended(born_ms) => {
             fleet.end_incarnation(&start(born_ms));
         }
-        Word::Ready(born_ms) => {
+        Event::Ready(born_ms) => {
             fleet.set(backend(born_ms, false), at, at);
         }
-        Word::Leaving(born_ms) => {
+        Event::Leaving(born_ms) => {
             fleet.set(backend(born_ms, true), at, at);
         }
-        Word::Gone => {
+        Event::Gone => {
             fleet.remove("a", at);
         }
-        Word::Listed(born_ms) => {
+        Event::Listed(born_ms) => {
             let set = vec![backend(born_ms, false)];
             let leaving = vec![start(born_ms)];
             let delta = Delta { revision: at, is_whole: true, set, leaving, ..Delta::default() };
@@ -87,51 +88,56 @@
     }
 }
 
-/// The last start of which a word says that it takes no more work; 0 if there is none.
-fn last_gone(words: &[Word]) -> u64 {
-    let born = words.iter().map(|word| match word {
-        Word::Leaves(born) | Word::Ended(born) | Word::Leaving(born) | Word::Listed(born) => *born,
-        Word::Ready(_) | Word::Gone => 0,
+/// Returns the latest incarnation that left or ended by any event; 0 if there is none.
+fn last_unavailable(events: &[Event]) -> u64 {
+    let born = events.iter().map(|event| match event {
+        Event::Leaves(born) | Event::Ended(born) | Event::Leaving(born) | Event::Listed(born) => {
+            *born
+        }
+        Event::Ready(_) | Event::Gone => 0,
     });
     born.max().unwrap_or(0)
 }
 
-/// Holds a state against the words that led to it.
-fn check(words: &[Word]) {
+/// Checks the state after a sequence of events.
+fn check(events: &[Event]) {
     let mut fleet = Fleet::default();
-    words.iter().enumerate().for_each(|(at, word)| take(&mut fleet, *word, at as u64 + 1));
+    events.iter().enumerate().for_each(|(at, event)| apply(&mut fleet, *event, at as u64 + 1));
     let serving: Vec<u64> =
         fleet.of_service("shop").iter().map(|key| fleet.incarnation(*key).born_ms).collect();
-    let gone = last_gone(words);
-    assert!(serving.iter().all(|born_ms| *born_ms > gone), "{words:?}: {serving:?} serve");
-    if let Some(Word::Ready(born_ms)) = words.last()
-        && *born_ms > gone
-        && !words.contains(&Word::Ready(2))
+    let unavailable = last_unavailable(events);
+    assert!(
+        serving.iter().all(|born_ms| *born_ms > unavailable),
+        "{events:?}: {serving:?} in service"
+    );
+    if let Some(Event::Ready(born_ms)) = events.last()
+        && *born_ms > unavailable
+        && !events.contains(&Event::Ready(2))
     {
-        assert_eq!(serving, [*born_ms], "{words:?}");
+        assert_eq!(serving, [*born_ms], "{events:?}");
     }
-    if words.last() == Some(&Word::Ready(2)) && gone < 2 {
-        assert_eq!(serving, [2], "{words:?}");
+    if events.last() == Some(&Event::Ready(2)) && unavailable < 2 {
+        assert_eq!(serving, [2], "{events:?}");
     }
 }
 
 #[test]
-fn whatever_the_order_nothing_takes_back_that_a_start_leaves() {
-    let orders = walk(&mut Vec::new());
-    println!("{orders} orders");
+fn no_order_of_events_undoes_that_an_incarnation_leaves() {
+    let sequences = extend(&mut Vec::new());
+    println!("{sequences} sequences");
 }
 
-/// Goes on from a series of words with each that may follow; how many series that makes.
-fn walk(words: &mut Vec<Word>) -> u64 {
-    if words.len() == LENGTH {
+/// Extends a sequence with every possible event; returns the number of sequences checked.
+fn extend(events: &mut Vec<Event>) -> u64 {
+    if events.len() == MAX_EVENTS {
         return 0;
     }
-    let longer = |word: Word| {
-        words.push(word);
-        check(words);
-        let count = 1 + walk(words);
-        words.pop();
+    let with_event = |event: Event| {
+        events.push(event);
+        check(events);
+        let count = 1 + extend(events);
+        events.pop();
         count
     };
-    WORDS.into_iter().map(longer).sum()
+    EVENTS.into_iter().map(with_event).sum()
 }
--- a/crates/leverstream-core/tests/limits.rs
+++ b/crates/leverstream-core/tests/limits.rs
@@ -1,11 +1,11 @@
-//! What backend servers say of how many requests a second they take from all VMs together.
+//! Tests of the rate limits that backend servers announce over all VMs together.
 
 use leverstream_catalog::{Backend, Incarnation};
 use leverstream_core::{Fleet, LimitTold, LimitWord, Openness, Want, Words, WordsTold, choose};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// The entry of a start.
+/// The platform's entry of an incarnation.
 fn entry(number: usize, born_ms: u64) -> Backend {
     Backend {
         instance: format!("i-{number}"),
@@ -19,12 +19,12 @@
     }
 }
 
-/// The start of an entry.
+/// The incarnation of an entry.
 fn of(number: usize, born_ms: u64) -> Incarnation {
     entry(number, born_ms).incarnation()
 }
 
-/// A fleet of so many backend servers.
+/// A fleet with a number of backend servers.
 fn fleet(count: usize) -> Fleet {
     let mut fleet = Fleet::default();
     (0..count).for_each(|number| {
@@ -33,17 +33,17 @@
     fleet
 }
 
-/// What an answer to a request has said that was sent at a moment.
+/// The limit in an answer to a request sent at some time.
 fn word(per_s: Option<f64>, sent_ms: i64) -> LimitWord {
     LimitWord { per_s, sent_ms }
 }
 
-/// The limit of the first backend server.
+/// Returns the limit of the first backend server.
 fn limit(fleet: &Fleet) -> Option<f64> {
     fleet.limit_word(&of(0, 7)).and_then(|word| word.per_s)
 }
 
-/// Where a request would go.
+/// Returns the backend server that a request is sent to.
 fn chosen(fleet: &Fleet, now_ms: u64) -> Option<usize> {
     let want = Want {
         service: "shop",
@@ -62,12 +62,12 @@
 }
 
 #[test]
-fn the_newest_word_holds_raised_lowered_or_gone() {
+fn the_notice_of_the_latest_request_applies() {
     let mut fleet = fleet(1);
     assert!(fleet.note_limit(&of(0, 7), word(Some(2.0), 100), 150));
-    assert!(!fleet.note_limit(&of(0, 7), word(Some(2.0), 200), 250), "nothing new");
+    assert!(!fleet.note_limit(&of(0, 7), word(Some(2.0), 200), 250), "already known");
     assert!(fleet.note_limit(&of(0, 7), word(Some(0.0), 300), 350));
-    // An answer to an earlier request came late.
+    // An answer to an earlier request is delayed.
     assert!(!fleet.note_limit(&of(0, 7), word(None, 250), 400));
     assert_eq!(limit(&fleet), Some(0.0));
     assert!(fleet.note_limit(&of(0, 7), word(None, 400), 450));
@@ -77,39 +77,39 @@
 }
 
 #[test]
-fn it_is_a_fact_of_one_start() {
+fn a_limit_belongs_to_one_incarnation() {
     let mut fleet = fleet(1);
     fleet.note_limit(&of(0, 7), word(Some(2.0), 100), 150);
-    assert!(!fleet.note_limit(&of(0, 6), word(Some(1.0), 200), 250), "of a start before");
+    assert!(!fleet.note_limit(&of(0, 6), word(Some(1.0), 200), 250), "an earlier incarnation");
     assert_eq!(limit(&fleet), Some(2.0));
-    // Its entry lapses and comes back.
+    // Its entry is removed and listed again.
     fleet.remove("i-0", 2);
     fleet.set(entry(0, 7), 3, 300);
     assert_eq!(limit(&fleet), Some(2.0));
     assert_eq!(fleet.limits(400).len(), 1);
-    // Another start is free of it.
+    // A new incarnation has no limit.
     fleet.set(entry(0, 8), 4, 500);
     assert!(fleet.limits(600).is_empty());
-    // The word came before the entry.
+    // The limit is known before the entry.
     fleet.note_limit(&of(1, 7), word(Some(3.0), 600), 650);
     fleet.set(entry(1, 7), 5, 700);
     assert_eq!(fleet.limits(800)[0].per_s, Some(3.0));
 }
 
 #[test]
-fn a_vm_that_starts_hears_it_with_the_list() {
+fn a_whole_list_brings_its_limits_to_a_new_vm() {
     let mut elder = fleet(3);
     elder.note_limit(&of(1, 7), word(Some(2.0), 40_000), 40_100);
     elder.publish(9);
     let mut newcomer = Fleet::default();
     newcomer.apply(elder.since(0, 41_000), 50);
-    let told = newcomer.limit_word(&of(1, 7)).expect("it was told");
-    assert_eq!(told, word(Some(2.0), 50 - 1_000), "a second old, by its own clock");
+    let told = newcomer.limit_word(&of(1, 7)).expect("the limit came with the list");
+    assert_eq!(told, word(Some(2.0), 50 - 1_000), "one second old by the receiver's clock");
     assert_eq!(elder.words_fingerprint(), newcomer.words_fingerprint());
 }
 
 #[test]
-fn vms_come_to_know_the_same_also_of_one_that_is_lifted() {
+fn comparisons_converge_for_new_and_lifted_limits() {
     let (mut knows, mut missed) = (fleet(2), fleet(2));
     for fleet in [&mut knows, &mut missed] {
         fleet.note_limit(&of(0, 7), word(Some(2.0), 100), 150);
@@ -117,11 +117,12 @@
     knows.note_limit(&of(0, 7), word(None, 200), 250);
     let told = Words::default().compare(knows.words_fingerprint(), &missed, true, 300);
     let heard = Words::hear(told.expect("they differ"), &mut knows, 302);
-    assert!(heard.limits.is_empty(), "what it was told is older");
-    let heard = Words::hear(heard.answer.expect("it knows better"), &mut missed, 304);
+    assert!(heard.limits.is_empty(), "the received limit is older");
+    let heard =
+        Words::hear(heard.answer.expect("the reply has the lifted limit"), &mut missed, 304);
     assert_eq!(heard.limits.len(), 1);
     assert_eq!(missed.words_fingerprint(), 0);
-    // The other way round: who has missed that there is one.
+    // In the other direction: the VM that missed a limit learns it.
     knows.note_limit(&of(1, 7), word(Some(1.0), 400), 450);
     let told = Words::default().compare(0, &knows, true, 500).expect("they differ");
     Words::hear(told, &mut missed, 502);
@@ -129,18 +130,18 @@
 }
 
 #[test]
-fn what_is_no_limit_or_of_no_known_start_does_no_harm() {
+fn limits_of_unknown_incarnations_or_extreme_age_are_harmless() {
     let mut fleet = fleet(1);
     let told = |number, per_s, age_ms| LimitTold { of: of(number, 7), per_s, age_ms };
     let limits = vec![told(0, Some(2.0), u64::MAX), told(5, None, 3), told(6, Some(1.0), 0)];
     Words::hear(WordsTold { limits, ..WordsTold::default() }, &mut fleet, 100);
     assert_eq!(limit(&fleet), Some(2.0));
     fleet.note_limit(&of(0, 7), word(None, 1), 101);
-    assert_eq!(limit(&fleet), None, "any answer is newer");
+    assert_eq!(limit(&fleet), None, "any answer is more recent");
 }
 
 #[test]
-fn a_denied_one_is_left_out_until_a_permit_may_be_asked_for_again() {
+fn a_backend_server_with_denied_permits_is_skipped_until_the_denial_ends() {
     let mut fleet = fleet(2);
     let key = fleet.of_service("shop")[0];
     fleet.note_limit(&of(0, 7), word(Some(2.0), 100), 150);
@@ -151,7 +152,7 @@
     assert_eq!(chosen(&fleet, 300), None);
     assert_eq!(fleet.openness("shop", 300), Openness::Limited { per_s: 0.5, from_ms: 700 });
     assert_eq!(chosen(&fleet, 700), Some(0));
-    // Lifted, it is open at once.
+    // Once the limit is lifted, it accepts requests at once.
     fleet.deny(key, 9_000, None);
     fleet.note_limit(&of(0, 7), word(None, 800), 850);
     assert_eq!(chosen(&fleet, 860), Some(0));
--- a/crates/leverstream-core/tests/roster.rs
+++ b/crates/leverstream-core/tests/roster.rs
@@ -1,6 +1,7 @@
-//! Which backend servers of a service a request looks at, and what a change of one touches.
+//! Tests of the backend servers that a request considers, and of the updates of the rosters.
 //!
-//! The load that is answered here: services of thousands of backend servers, each of which gets a request in some seconds.
+//! The load under test: services with thousands of backend servers, each of which gets a request
+//! every few seconds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -34,12 +35,12 @@
     fleet
 }
 
-/// What a request looks at.
+/// Returns the candidates of a request.
 fn candidates(fleet: &Fleet, seed: u64) -> Candidates {
     fleet.candidates("shop", 1_000, &mut StdRng::seed_from_u64(seed))
 }
 
-/// Has a request answered well at some backend servers.
+/// Records a good answer from each of some backend servers.
 fn use_some(fleet: &mut Fleet, keys: &[BackendKey]) {
     let route = fleet.route_key("r", 500);
     for key in keys {
@@ -49,31 +50,35 @@
 }
 
 #[test]
-fn a_request_looks_at_as_many_of_ten_thousand_as_of_four_hundred() {
+fn the_number_of_candidates_is_bounded_in_large_services() {
     for count in [100, 320] {
-        assert_eq!(candidates(&fleet(count), 1).keys.len(), count, "all of a few");
+        assert_eq!(
+            candidates(&fleet(count), 1).keys.len(),
+            count,
+            "a small service is scanned fully"
+        );
     }
     for count in [400, 2_000, 10_000, 20_000] {
         let mut fleet = fleet(count);
         let keys = fleet.of_service("shop").to_vec();
-        assert!(candidates(&fleet, 1).keys.len() <= 320, "{count}, nothing was heard");
+        assert!(candidates(&fleet, 1).keys.len() <= 320, "{count}, none observed");
         use_some(&mut fleet, &keys[..count / 2]);
-        assert!(candidates(&fleet, 1).keys.len() <= 320, "{count}, half were heard of");
+        assert!(candidates(&fleet, 1).keys.len() <= 320, "{count}, half observed");
     }
 }
 
 #[test]
-fn those_heard_of_last_are_among_them_and_the_drawn_stand_for_the_rest() {
+fn candidates_are_the_recently_observed_and_a_sample_that_represents_the_rest() {
     let mut fleet = fleet(4_000);
     let keys = fleet.of_service("shop").to_vec();
     use_some(&mut fleet, &keys[..300]);
-    // Others tell of one that this VM has not used.
+    // Another VM reports one that this VM has not used.
     let told = Report { good: 1, overdue_odds: 1.0, heard_ms: 700, ..Report::default() };
     assert!(!fleet.report(&Incarnation { instance: "b3999".into(), born_ms: 0 }, 7, told));
     for seed in 0..20 {
         let Candidates { keys: looked, known, stands_for } = candidates(&fleet, seed);
         let distinct: BTreeSet<&BackendKey> = looked.iter().collect();
-        assert_eq!(distinct.len(), looked.len(), "none twice");
+        assert_eq!(distinct.len(), looked.len(), "no duplicates");
         assert!(looked[..known].contains(&keys[3_999]));
         assert!(keys[120..300].iter().all(|key| looked[..known].contains(key)));
         let all = known as f64 + stands_for * (looked.len() - known) as f64;
@@ -82,7 +87,7 @@
 }
 
 #[test]
-fn all_that_nothing_was_heard_of_are_drawn_now_and_then() {
+fn every_unobserved_backend_server_is_sampled_eventually() {
     let mut fleet = fleet(1_000);
     let keys = fleet.of_service("shop").to_vec();
     use_some(&mut fleet, &keys[..300]);
@@ -91,18 +96,18 @@
     assert_eq!(drawn.len(), 1_000);
 }
 
-/// Something that happens to a fleet.
+/// A change to a fleet.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The platform lists a backend server, in one of two services, with so many slots.
+    /// The platform lists a backend server with a number of slots, in one of two services.
     Set(usize, bool, u32),
-    /// It no longer does.
+    /// The platform no longer lists it.
     Remove(usize),
-    /// One says that it leaves.
+    /// It announces that it leaves.
     Leave(usize),
 }
 
-/// Steps in any order.
+/// Generates a sequence of changes.
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         4 => (0..12_usize, any::<bool>(), 1..4_u32).prop_map(|(number, is_other, slots)| Step::Set(number, is_other, slots)),
@@ -114,9 +119,10 @@
 
 proptest! {
     #[test]
-    fn lists_slots_and_what_changed_are_those_that_going_through_all_would_give(steps in steps()) {
+    fn rosters_slots_and_deltas_match_a_full_scan(steps in steps()) {
         let mut fleet = Fleet::default();
-        // What the platform lists, with the revision of its last change, and who leaves.
+        // The platform's list with the revision of each last change, and the leaving backend
+        // servers.
         let mut listed: BTreeMap<usize, (Backend, u64)> = BTreeMap::new();
         let mut left = BTreeSet::new();
         for (step, revision) in steps.into_iter().zip(1..) {
--- a/crates/leverstream-core/tests/select.rs
+++ b/crates/leverstream-core/tests/select.rs
@@ -1,11 +1,11 @@
-//! To which backend server a request goes.
+//! Tests of the choice of a backend server for a request.
 
 use leverstream_catalog::Backend;
 use leverstream_core::{Fleet, Outcome, Want, choose};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// A fleet with backend servers of two slots in some halls, one letter each.
+/// A fleet of backend servers `a`, `b`, ... with two slots each, in the given halls.
 fn fleet(halls: &[&str]) -> Fleet {
     let mut fleet = Fleet::default();
     for (hall, instance) in halls.iter().zip(["a", "b", "c", "d"]) {
@@ -24,7 +24,7 @@
     fleet
 }
 
-/// A request from hall `h1` whose bytes between halls cost so much.
+/// A request from hall `h1` with a cost of its traffic between halls.
 fn want(far_bytes_cost: f64) -> Want<'static> {
     Want {
         service: "shop",
@@ -40,24 +40,24 @@
     }
 }
 
-/// The instance that a request goes to.
+/// Returns the instance that a request is sent to.
 fn chosen(fleet: &Fleet, want: &Want<'_>, now_ms: u64) -> Option<String> {
     let pick = choose(fleet, want, now_ms, &mut StdRng::seed_from_u64(1))?;
     Some(fleet.target(pick.key).1.to_owned())
 }
 
 #[test]
-fn a_large_answer_stays_in_the_hall_where_a_small_one_leaves_it() {
+fn a_large_answer_stays_in_its_hall_while_a_small_one_leaves_it() {
     let mut fleet = fleet(&["h1", "h2"]);
     let near = fleet.of_service("shop")[0];
     let route = fleet.route_key("r", 600);
     fleet.begin(near, route, 1_000);
-    assert_eq!(chosen(&fleet, &want(0.005), 1_000).as_deref(), Some("b"), "less load there");
+    assert_eq!(chosen(&fleet, &want(0.005), 1_000).as_deref(), Some("b"), "it has less load");
     assert_eq!(chosen(&fleet, &want(0.9), 1_000).as_deref(), Some("a"));
 }
 
 #[test]
-fn a_large_answer_leaves_the_hall_when_the_near_ones_fail() {
+fn a_large_answer_leaves_its_hall_if_the_near_backend_servers_fail() {
     let mut fleet = fleet(&["h1", "h2"]);
     let near = fleet.of_service("shop")[0];
     let route = fleet.route_key("r", 600);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn in_doubt_a_repeatable_request_tries_soon_and_another_waits_for_a_sound_slot() {
+fn repeatable_requests_accept_a_doubtful_backend_server_sooner() {
     let mut fleet = fleet(&["h1", "h1"]);
     let keys = fleet.of_service("shop").to_vec();
     let route = fleet.route_key("r", 600);
@@ -87,11 +87,11 @@
 }
 
 #[test]
-fn sound_backend_servers_do_not_lie_idle_below_the_floor() {
+fn idle_sound_backend_servers_get_work_below_the_floor() {
     let mut fleet = fleet(&["h1", "h1", "h1", "h1"]);
     let keys = fleet.of_service("shop").to_vec();
     let route = fleet.route_key("r", 600);
-    // Two have answered all along; the others were left alone for so long that little is known of them.
+    // Two have answered all along; the others have been idle so long that little is known of them.
     for at in 0..200 {
         let now_ms = 1_000 + at * 100;
         let key = keys[at as usize % 2];
@@ -106,8 +106,9 @@
 }
 
 #[test]
-fn one_that_failed_once_already_is_not_sent_where_the_floor_asks_for_work() {
-    // Two have answered all along; the others have not been reached for long, and requests fail elsewhere.
+fn a_request_that_has_failed_once_ignores_the_floors_claims() {
+    // Two have answered all along; the others have not been reached for long, and requests fail
+    // elsewhere.
     let mut fleet = fleet(&["h1", "h1", "h1", "h1"]);
     let keys = fleet.of_service("shop").to_vec();
     let route = fleet.route_key("r", 600);
