--- a/crates/leverstream-core/src/fleet.rs
+++ b/crates/leverstream-core/src/fleet.rs
@@ -258,7 +258,7 @@
             return is_news;
         }
         let is_announced_only = leaves && !backend.is_leaving;
-        let mut member = BackendState::open(backend, entry_revision, now_ms);
+        let mut member = BackendState::new(backend, entry_revision, now_ms);
         member.hold_off = self.hold_offs.remove(&of).unwrap_or_default();
         member.limit = self.unlisted_limits.remove(&of).unwrap_or_default();
         let is_limited = member.limit.per_s().is_some();
@@ -367,7 +367,7 @@
         if let Some(key) = self.key_by_route.get(route) {
             return *key;
         }
-        let key = RouteKey(self.routes.insert(RouteProfile::open(objective_ms)) as u32);
+        let key = RouteKey(self.routes.insert(RouteProfile::new(objective_ms)) as u32);
         self.key_by_route.insert(route.to_owned(), key);
         key
     }
--- a/crates/leverstream-core/src/fleet/backend_state.rs
+++ b/crates/leverstream-core/src/fleet/backend_state.rs
@@ -183,7 +183,7 @@
 
 impl BackendState {
     /// Creates the state of a backend server without observations.
-    pub fn open(backend: Backend, entry_revision: u64, now_ms: u64) -> BackendState {
+    pub fn new(backend: Backend, entry_revision: u64, now_ms: u64) -> BackendState {
         BackendState {
             entry_revision,
             listed_ms: now_ms,
--- a/crates/leverstream-core/src/floor.rs
+++ b/crates/leverstream-core/src/floor.rs
@@ -2,7 +2,7 @@
 //! fail.
 //!
 //! A backend server is sound if it has not failed recently, and used if a request reached it within
-//! [`NON_REPEATABLE_CLAIM_IDLE_MS`]. [`claim`] marks the unused ones that the next request must or
+//! [`NON_REPEATABLE_CLAIM_IDLE_MS`]. [`assign_claims`] marks the unused ones that the next request must or
 //! should go to.
 
 use leverstream_route::{Choice, Claim, FloorStanding};
@@ -56,7 +56,7 @@
 /// follow claims as soon as attempts fail, others only when requests fail, and only to backend
 /// servers that are likely sound unless the share is below the floor. Otherwise idle backend
 /// servers are preferred while the share is low, as the requests in flight may yet fail.
-pub fn claim(choices: &mut [Choice], floor: Floor, is_repeatable: bool) {
+pub fn assign_claims(choices: &mut [Choice], floor: Floor, is_repeatable: bool) {
     if !floor.is_reachable(sound_count(choices)) {
         return;
     }
--- a/crates/leverstream-core/src/times.rs
+++ b/crates/leverstream-core/src/latency.rs
@@ -22,7 +22,7 @@
 
 /// The recent latencies of a route's sound answers.
 #[derive(Clone, Debug)]
-pub struct Times {
+pub struct LatencyHistogram {
     /// The current half.
     current: Histogram<u32>,
     /// The previous half.
@@ -31,12 +31,13 @@
     median_ms: f64,
 }
 
-impl Times {
+impl LatencyHistogram {
     /// Creates the estimate for a route without observations from its objective.
-    pub fn open(objective_ms: u64) -> Times {
+    pub fn new(objective_ms: u64) -> LatencyHistogram {
         let empty = Histogram::new_with_max(MAX_LATENCY_MS, SIGNIFICANT_DIGITS)
             .expect("the histogram bounds are valid");
-        let mut times = Times { current: empty.clone(), previous: empty, median_ms: 0.0 };
+        let mut times =
+            LatencyHistogram { current: empty.clone(), previous: empty, median_ms: 0.0 };
         let assumed_ms = objective_ms as f64 * ASSUMED_MEDIAN_SHARE;
         INITIAL_SAMPLES.iter().for_each(|factor| times.note(assumed_ms * factor));
         times
--- a/crates/leverstream-core/src/lib.rs
+++ b/crates/leverstream-core/src/lib.rs
@@ -9,10 +9,10 @@
 mod fleet;
 mod floor;
 mod hedge;
+mod latency;
+mod notices;
 mod profile;
 mod select;
-mod times;
-mod words;
 
 pub use demand::Demand;
 pub use entry::choose_entry;
@@ -20,9 +20,9 @@
     Applied, Asker, BackendReport, Candidates, Census, Delta, Emptied, Fleet, LimitTold, LimitWord,
     Openness, Outcome, Report, RouteKey,
 };
-pub use floor::{Floor, claim, used_share};
+pub use floor::{Floor, assign_claims, used_share};
 pub use hedge::{Pending, hedge_gain, hedge_look_ms, is_hedge_worth};
+pub use latency::LatencyHistogram;
+pub use notices::{Words, WordsHeard, WordsTold};
 pub use profile::RouteProfile;
 pub use select::{Pick, Want, choose};
-pub use times::Times;
-pub use words::{Words, WordsHeard, WordsTold};
--- a/crates/leverstream-core/src/profile.rs
+++ b/crates/leverstream-core/src/profile.rs
@@ -1,6 +1,6 @@
 //! The observed latencies, answer sizes and expiries of a route.
 
-use crate::Times;
+use crate::LatencyHistogram;
 
 /// The weight of one answer in the moving average of answer sizes.
 const SIZE_WEIGHT: f64 = 0.1;
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub struct RouteProfile {
     /// The latencies of sound answers.
-    pub times: Times,
+    pub times: LatencyHistogram,
     /// The moving average of the size of sound answers, in bytes.
     answer_bytes: Option<f64>,
     /// The number of recent requests answered by sound backend servers.
@@ -23,9 +23,9 @@
 
 impl RouteProfile {
     /// Creates the profile of a route without observations from its objective.
-    pub fn open(objective_ms: u64) -> RouteProfile {
+    pub fn new(objective_ms: u64) -> RouteProfile {
         RouteProfile {
-            times: Times::open(objective_ms),
+            times: LatencyHistogram::new(objective_ms),
             answer_bytes: None,
             answered: 0.0,
             expired: 0.0,
--- a/crates/leverstream-core/src/select.rs
+++ b/crates/leverstream-core/src/select.rs
@@ -4,7 +4,7 @@
 use leverstream_route::{Choice, steer};
 use rand::Rng;
 
-use crate::{Asker, Candidates, Fleet, Floor, claim};
+use crate::{Asker, Candidates, Fleet, Floor, assign_claims};
 
 /// The share of its objective that a repeatable request waits before it accepts an avoided backend
 /// server: a trial only costs an idle slot, and the request keeps looking for a sound one.
@@ -83,7 +83,7 @@
     };
     // A request that has failed once goes to proven backend servers, whatever the floor claims.
     if want.tried.is_empty() {
-        claim(&mut choices, floor, want.is_repeatable);
+        assign_claims(&mut choices, floor, want.is_repeatable);
     }
     let wait_share = if want.is_repeatable {
         AVOID_WAIT_SHARE_REPEATABLE
--- a/crates/leverstream-core/tests/fleet.rs
+++ b/crates/leverstream-core/tests/fleet.rs
@@ -1,7 +1,9 @@
 //! Tests of the state that a VM keeps of its backend servers.
 
 use leverstream_catalog::{Backend, Incarnation};
-use leverstream_core::{Asker, Delta, Fleet, Floor, Outcome, Report, RouteKey, claim, used_share};
+use leverstream_core::{
+    Asker, Delta, Fleet, Floor, Outcome, Report, RouteKey, assign_claims, used_share,
+};
 use leverstream_health::BackendKey;
 use leverstream_route::{Choice, Claim};
 use proptest::prelude::*;
@@ -47,7 +49,7 @@
     let share = if is_failing { 0.73 } else { 0.0 };
     let floor =
         Floor { share, requests_fail: is_failing, attempts_fail: is_failing, requests_per_s: None };
-    claim(&mut choices, floor, false);
+    assign_claims(&mut choices, floor, false);
     let at = fleet.of_service("shop").iter().position(|other| *other == key).expect("it is listed");
     choices[at]
 }
--- a/crates/leverstream-core/tests/floor.rs
+++ b/crates/leverstream-core/tests/floor.rs
@@ -3,7 +3,7 @@
 //! The load under test: a service of 105 backend servers, 22 of them new and slow from their start
 //! and many failing, with 170 requests a second.
 
-use leverstream_core::{Demand, Floor, claim, used_share};
+use leverstream_core::{Demand, Floor, assign_claims, used_share};
 use leverstream_route::{Choice, Claim, FloorStanding, steer};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -41,7 +41,7 @@
 /// Returns the claim on the last backend server.
 fn claimed(choices: &[Choice], floor: Floor, is_repeatable: bool) -> Claim {
     let mut choices = choices.to_vec();
-    claim(&mut choices, floor, is_repeatable);
+    assign_claims(&mut choices, floor, is_repeatable);
     choices.last().expect("there is one").claim
 }
 
@@ -165,7 +165,7 @@
             .collect();
         // One request in three is repeatable.
         let is_repeatable = (now_ms / 6).is_multiple_of(3);
-        claim(&mut choices, FAILING, is_repeatable);
+        assign_claims(&mut choices, FAILING, is_repeatable);
         let at = steer(&choices, is_repeatable, false, &mut rng).expect("there are free slots");
         works[at].push(now_ms + if is_new(at) { 3_000 } else { 250 });
         reached_ms[at] = now_ms;
--- a/crates/leverstream-core/tests/leaving_fleet.rs
+++ b/crates/leverstream-core/tests/leaving_fleet.rs
@@ -42,7 +42,7 @@
     for vms in [3, 36, 44] {
         for seed in 0..20 {
             let observations = simulate(scenario(vms, seed));
-            assert_bound_holds("no faults", seed, &observations);
+            assert_bound_holds("calm", seed, &observations);
             assert!(observations.longest_any_ms <= 100, "{vms} VMs, seed {seed}: {observations:?}");
             assert_eq!(observations.refused, 0, "{vms} VMs, seed {seed}: {observations:?}");
         }
@@ -58,7 +58,7 @@
             max_delay_ms: 50,
             ..scenario(44, seed)
         });
-        assert_bound_holds("lossy network", seed, &observations);
+        assert_bound_holds("losses", seed, &observations);
         assert!(observations.longest_any_ms <= BOUND_MS, "seed {seed}: {observations:?}");
     }
 }
