--- a/crates/leverstream-core/src/fleet/leaving.rs
+++ b/crates/leverstream-core/src/fleet/leaving.rs
@@ -14,11 +14,11 @@
 
 /// Whether a service accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Openness {
+pub enum Availability {
     /// A backend server accepts requests, now or once it has a free slot.
-    Open,
+    Available,
     /// No backend server is in service.
-    Closed,
+    NoBackendServer,
     /// All hold off; the earliest hold-off ends at this time, in milliseconds.
     HoldsOffUntil(u64),
     /// All that do not hold off have a rate limit.
@@ -114,7 +114,7 @@
     }
 
     /// Tells whether a service accepts requests.
-    pub fn openness(&self, service: &str, now_ms: u64) -> Openness {
+    pub fn availability(&self, service: &str, now_ms: u64) -> Availability {
         let mut first_ms: Option<u64> = None;
         let mut shares: Vec<(f64, u64)> = Vec::new();
         for key in self.serving(service, now_ms) {
@@ -122,15 +122,15 @@
             match (member.hold_off.until_ms(now_ms), member.limit.share()) {
                 (Some(until_ms), _) => first_ms = Some(first_ms.unwrap_or(until_ms).min(until_ms)),
                 (None, Some(share)) => shares.push(share),
-                (None, None) => return Openness::Open,
+                (None, None) => return Availability::Available,
             }
         }
         match shares.iter().map(|(_, from_ms)| *from_ms).min() {
             Some(from_ms) => {
                 let per_s = shares.iter().map(|(per_s, _)| per_s).sum();
-                Openness::Limited { per_s, from_ms }
+                Availability::Limited { per_s, from_ms }
             }
-            None => first_ms.map_or(Openness::Closed, Openness::HoldsOffUntil),
+            None => first_ms.map_or(Availability::NoBackendServer, Availability::HoldsOffUntil),
         }
     }
 
--- a/crates/leverstream-core/tests/emptied.rs
+++ b/crates/leverstream-core/tests/emptied.rs
@@ -1,7 +1,7 @@
 //! Tests of data halls that operators have asked to be emptied.
 
 use leverstream_catalog::Backend;
-use leverstream_core::{Emptied, Fleet, Openness, Want, choose};
+use leverstream_core::{Availability, Emptied, Fleet, Want, choose};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -63,7 +63,7 @@
     assert!(!fleet.may_send(key, 10), "nor a request assigned before");
     assert_eq!(fleet.census(10).emptied, 1);
     assert!(fleet.set_emptied(emptied(6, &["hall-a", "hall-b"])));
-    assert_eq!(fleet.openness("shop", 10), Openness::Closed);
+    assert_eq!(fleet.availability("shop", 10), Availability::NoBackendServer);
     assert!(fleet.set_emptied(emptied(9, &[])));
     assert!(fleet.may_send(key, 10));
 }
--- a/crates/leverstream-core/tests/hold_off.rs
+++ b/crates/leverstream-core/tests/hold_off.rs
@@ -1,7 +1,7 @@
 //! Tests of backend servers that hold off a VM.
 
 use leverstream_catalog::{Backend, Incarnation};
-use leverstream_core::{Delta, Fleet, Openness, Outcome, RouteKey, Want, choose};
+use leverstream_core::{Availability, Delta, Fleet, Outcome, RouteKey, Want, choose};
 use leverstream_health::BackendKey;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -115,12 +115,12 @@
 fn the_earliest_end_is_returned_if_all_hold_off() {
     let (mut fleet, _) = fleet(2);
     fleet.hold_off(key(&fleet, "a"), 5_000, 1_000);
-    assert_eq!(fleet.openness("shop", 1_000), Openness::Open);
+    assert_eq!(fleet.availability("shop", 1_000), Availability::Available);
     fleet.hold_off(key(&fleet, "b"), 3_000, 1_000);
-    assert_eq!(fleet.openness("shop", 1_000), Openness::HoldsOffUntil(4_000));
+    assert_eq!(fleet.availability("shop", 1_000), Availability::HoldsOffUntil(4_000));
     assert_eq!(chosen(&fleet, 1_000), None);
-    assert_eq!(fleet.openness("shop", 4_000), Openness::Open);
-    assert_eq!(fleet.openness("other", 1_000), Openness::Closed);
+    assert_eq!(fleet.availability("shop", 4_000), Availability::Available);
+    assert_eq!(fleet.availability("other", 1_000), Availability::NoBackendServer);
 }
 
 #[test]
@@ -142,7 +142,7 @@
     let held = key(&fleet, "a");
     fleet.hold_off(held, 700, 1_000);
     fleet.leave(&Incarnation { instance: "a".into(), born_ms: 10 }, 1_000);
-    assert_eq!(fleet.openness("shop", 1_100), Openness::HoldsOffUntil(1_700));
+    assert_eq!(fleet.availability("shop", 1_100), Availability::HoldsOffUntil(1_700));
     assert!(!fleet.may_send(held, 1_100));
     assert!(fleet.may_send(held, 1_800));
 }
--- a/crates/leverstream-core/tests/leavers.rs
+++ b/crates/leverstream-core/tests/leavers.rs
@@ -1,7 +1,7 @@
 //! Tests of backend servers that announce in an answer that they leave.
 
 use leverstream_catalog::{Backend, Incarnation};
-use leverstream_core::{Census, Delta, Fleet, Openness, Outcome, Want, choose};
+use leverstream_core::{Availability, Census, Delta, Fleet, Outcome, Want, choose};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -112,7 +112,11 @@
     apply_whole_list(&mut fleet, 5, vec![backend("b", 10)]);
     apply_whole_list(&mut fleet, 6, vec![backend("a", 10)]);
     assert!(in_service(&fleet).is_empty());
-    assert_eq!(fleet.openness("shop", 2_100), Openness::Closed, "it is no last resort again");
+    assert_eq!(
+        fleet.availability("shop", 2_100),
+        Availability::NoBackendServer,
+        "it is no last resort again"
+    );
 }
 
 #[test]
@@ -189,7 +193,7 @@
     fleet.set_last_resort(2_000);
     assert_eq!(chosen(&fleet, 1_100).as_deref(), Some("b"), "another backend server is in service");
     fleet.leave(&incarnation_of("b", 10), 2_000);
-    assert_eq!(fleet.openness("shop", 2_100), Openness::Open);
+    assert_eq!(fleet.availability("shop", 2_100), Availability::Available);
     assert!(chosen(&fleet, 2_999).is_some());
     assert_eq!(
         chosen(&fleet, 3_500).as_deref(),
@@ -197,7 +201,7 @@
         "the last resort of the first has ended"
     );
     assert_eq!(chosen(&fleet, 4_000), None);
-    assert_eq!(fleet.openness("shop", 4_000), Openness::Closed);
+    assert_eq!(fleet.availability("shop", 4_000), Availability::NoBackendServer);
 }
 
 #[test]
--- a/crates/leverstream-core/tests/limits.rs
+++ b/crates/leverstream-core/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Tests of the rate limits that backend servers announce over all VMs together.
 
 use leverstream_catalog::{Backend, Incarnation};
-use leverstream_core::{Fleet, LimitTold, LimitWord, Openness, Want, Words, WordsTold, choose};
+use leverstream_core::{Availability, Fleet, LimitTold, LimitWord, Want, Words, WordsTold, choose};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -150,11 +150,11 @@
     let other = fleet.of_service("shop")[1];
     fleet.hold_off(other, 60_000, 200);
     assert_eq!(chosen(&fleet, 300), None);
-    assert_eq!(fleet.openness("shop", 300), Openness::Limited { per_s: 0.5, from_ms: 700 });
+    assert_eq!(fleet.availability("shop", 300), Availability::Limited { per_s: 0.5, from_ms: 700 });
     assert_eq!(chosen(&fleet, 700), Some(0));
     // Once the limit is lifted, it accepts requests at once.
     fleet.deny(key, 9_000, None);
     fleet.note_limit(&of(0, 7), word(None, 800), 850);
     assert_eq!(chosen(&fleet, 860), Some(0));
-    assert_eq!(fleet.openness("shop", 860), Openness::Open);
+    assert_eq!(fleet.availability("shop", 860), Availability::Available);
 }
--- a/crates/leverstream-gateway/src/serve.rs
+++ b/crates/leverstream-gateway/src/serve.rs
@@ -5,7 +5,7 @@
 use actix_http::body::BoxBody;
 use actix_http::{Request, Response};
 use leverstream_catalog::{Catalog, Route};
-use leverstream_core::Openness;
+use leverstream_core::Availability;
 use leverstream_error::Kind;
 use leverstream_route::Claim;
 use leverstream_wire::Answer;
@@ -135,17 +135,17 @@
         return kind.into();
     }
     let now_ms = inner.now_ms();
-    let (from_ms, over_ms) = match inner.fleet.borrow().openness(service, now_ms) {
+    let (from_ms, over_ms) = match inner.fleet.borrow().availability(service, now_ms) {
         // Not all at once, and after the first ones that try how much is wanted again.
-        Openness::HoldsOffUntil(until_ms) => (until_ms, RETURN_SPREAD_MS),
+        Availability::HoldsOffUntil(until_ms) => (until_ms, RETURN_SPREAD_MS),
         // Over the time that the limits need for those that wait already, and once more.
-        Openness::Limited { per_s, from_ms } => {
+        Availability::Limited { per_s, from_ms } => {
             let waiting =
                 inner.services.borrow().get(service).map_or(0, |state| state.waiting.count());
             let needed_ms = ((waiting + 1) as f64 / per_s * 1_000.0) as u64;
             (from_ms.max(now_ms).saturating_add(needed_ms), needed_ms.max(RETURN_SPREAD_MS))
         }
-        Openness::Open | Openness::Closed => return kind.into(),
+        Availability::Available | Availability::NoBackendServer => return kind.into(),
     };
     let spread_ms = rand::rng().random_range(0..=over_ms);
     let retry_after_ms = from_ms.saturating_sub(now_ms).saturating_add(spread_ms);
--- a/crates/leverstream-gateway/src/slot.rs
+++ b/crates/leverstream-gateway/src/slot.rs
@@ -2,7 +2,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use leverstream_core::{Fleet, Openness, Outcome, Pick, RouteKey, Want, choose};
+use leverstream_core::{Availability, Fleet, Outcome, Pick, RouteKey, Want, choose};
 use leverstream_error::Kind;
 use leverstream_health::BackendKey;
 use leverstream_workspace::WorkspaceId;
@@ -42,17 +42,19 @@
 impl SlotWant<'_> {
     /// Refuses a request that no backend server will take in its time, so that its caller is told at once.
     fn check_open(&self, fleet: &Fleet, queue: Queue, now_ms: u64) -> Result<(), Kind> {
-        match fleet.openness(self.service, now_ms) {
-            Openness::Closed => Err(Kind::NoBackend),
-            Openness::HoldsOffUntil(at_ms) if at_ms >= self.until_ms => Err(Kind::BackendsHoldOff),
-            Openness::Limited { per_s, from_ms } => {
+        match fleet.availability(self.service, now_ms) {
+            Availability::NoBackendServer => Err(Kind::NoBackend),
+            Availability::HoldsOffUntil(at_ms) if at_ms >= self.until_ms => {
+                Err(Kind::BackendsHoldOff)
+            }
+            Availability::Limited { per_s, from_ms } => {
                 let is_next = queue.ahead == 0 && (from_ms <= now_ms || queue.has_waited);
                 let needed_ms = (queue.ahead + 1) as f64 / per_s * 1_000.0;
                 let margin = if queue.has_waited { 1.0 } else { LIMITED_MARGIN };
                 let fits = now_ms as f64 + needed_ms * margin <= self.until_ms as f64;
                 if is_next || fits { Ok(()) } else { Err(Kind::BackendsHoldOff) }
             }
-            Openness::HoldsOffUntil(_) | Openness::Open => Ok(()),
+            Availability::HoldsOffUntil(_) | Availability::Available => Ok(()),
         }
     }
 }
