--- a/crates/leverstream-core/src/fleet.rs
+++ b/crates/leverstream-core/src/fleet.rs
@@ -30,7 +30,7 @@
 pub use emptied::Emptied;
 use hold_off::HoldOff;
 use incarnation_set::IncarnationSet;
-pub use leaving::{Availability, Census};
+pub use leaving::{Availability, StateCounts};
 use limit::Limit;
 pub use limit::{LimitTold, LimitWord};
 pub use roster::Candidates;
--- a/crates/leverstream-core/src/fleet/leaving.rs
+++ b/crates/leverstream-core/src/fleet/leaving.rs
@@ -135,21 +135,23 @@
     }
 
     /// Counts the listed backend servers by state, for operators.
-    pub fn census(&self, now_ms: u64) -> Census {
-        let mut census = Census::default();
+    pub fn state_counts(&self, now_ms: u64) -> StateCounts {
+        let mut state_counts = StateCounts::default();
         for key in self.by_instance.values() {
             let member = &self.arena[key.0 as usize];
             let count = match member {
-                BackendState { announced_leaving_ms: Some(_), .. } => &mut census.leaving_by_word,
-                BackendState { is_out_of_service: true, .. } => &mut census.leaving,
-                _ if self.is_emptied(&member.backend.hall) => &mut census.emptied,
-                _ if member.hold_off.until_ms(now_ms).is_some() => &mut census.holding_off,
-                _ if member.limit.per_s().is_some() => &mut census.limited,
-                _ => &mut census.in_service,
+                BackendState { announced_leaving_ms: Some(_), .. } => {
+                    &mut state_counts.leaving_announced
+                }
+                BackendState { is_out_of_service: true, .. } => &mut state_counts.leaving,
+                _ if self.is_emptied(&member.backend.hall) => &mut state_counts.emptied,
+                _ if member.hold_off.until_ms(now_ms).is_some() => &mut state_counts.holding_off,
+                _ if member.limit.per_s().is_some() => &mut state_counts.limited,
+                _ => &mut state_counts.in_service,
             };
             *count += 1;
         }
-        census
+        state_counts
     }
 
     /// Iterates over the backend servers that serve a service, including those that hold off: those
@@ -181,13 +183,13 @@
 
 /// The number of listed backend servers by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Census {
+pub struct StateCounts {
     /// Those that take requests.
     pub in_service: u32,
     /// Those that the platform lists as leaving.
     pub leaving: u32,
     /// Those that announced that they leave while the platform lists them as ready.
-    pub leaving_by_word: u32,
+    pub leaving_announced: u32,
     /// Those that hold off this VM.
     pub holding_off: u32,
     /// Those with a rate limit.
--- a/crates/leverstream-core/src/lib.rs
+++ b/crates/leverstream-core/src/lib.rs
@@ -17,8 +17,8 @@
 pub use demand::Demand;
 pub use entry::choose_entry;
 pub use fleet::{
-    Applied, Asker, Availability, BackendReport, Candidates, Census, Delta, Emptied, Fleet,
-    LimitTold, LimitWord, Outcome, Report, RouteKey,
+    Applied, Asker, Availability, BackendReport, Candidates, Delta, Emptied, Fleet, LimitTold,
+    LimitWord, Outcome, Report, RouteKey, StateCounts,
 };
 pub use floor::{Floor, assign_claims, used_share};
 pub use hedge::{Pending, hedge_gain, hedge_look_ms, is_hedge_worth};
--- a/crates/leverstream-core/tests/emptied.rs
+++ b/crates/leverstream-core/tests/emptied.rs
@@ -61,7 +61,7 @@
     assert!(fleet.set_emptied(emptied(5, &["hall-a"])));
     assert_eq!(chosen(&fleet), ["i-hall-b"]);
     assert!(!fleet.may_send(key, 10), "nor a request assigned before");
-    assert_eq!(fleet.census(10).emptied, 1);
+    assert_eq!(fleet.state_counts(10).emptied, 1);
     assert!(fleet.set_emptied(emptied(6, &["hall-a", "hall-b"])));
     assert_eq!(fleet.availability("shop", 10), Availability::NoBackendServer);
     assert!(fleet.set_emptied(emptied(9, &[])));
--- a/crates/leverstream-core/tests/leavers.rs
+++ b/crates/leverstream-core/tests/leavers.rs
@@ -1,7 +1,7 @@
 //! Tests of backend servers that announce in an answer that they leave.
 
 use leverstream_catalog::{Backend, Incarnation};
-use leverstream_core::{Availability, Census, Delta, Fleet, Outcome, Want, choose};
+use leverstream_core::{Availability, Delta, Fleet, Outcome, StateCounts, Want, choose};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -247,13 +247,13 @@
 fn state_counts_distinguish_announced_from_listed_leaving() {
     let mut fleet = fleet_with_leave_notice();
     fleet.set(leaving("c", 10), 2, 0);
-    let expected = Census {
+    let expected = StateCounts {
         in_service: 1,
         leaving: 1,
-        leaving_by_word: 1,
+        leaving_announced: 1,
         holding_off: 0,
         limited: 0,
         emptied: 0,
     };
-    assert_eq!(fleet.census(2_000), expected);
+    assert_eq!(fleet.state_counts(2_000), expected);
 }
--- a/crates/leverstream-gateway/src/listeners.rs
+++ b/crates/leverstream-gateway/src/listeners.rs
@@ -80,7 +80,7 @@
 /// Shows the metrics.
 pub(crate) async fn metrics(address: SocketAddr, inner: &Rc<Inner>) -> std::io::Result<()> {
     open(address, "metrics", inner, |inner, _| async move {
-        inner.meters.show_backends(inner.fleet.borrow().census(inner.now_ms()));
+        inner.meters.show_backends(inner.fleet.borrow().state_counts(inner.now_ms()));
         inner.meters.show_limits(inner.fleet.borrow().limits_by_service());
         let text = leverstream_observe::encode(&inner.meters.registry);
         Response::build(StatusCode::OK).body(text).map_into_boxed_body()
--- a/crates/leverstream-gateway/src/meters.rs
+++ b/crates/leverstream-gateway/src/meters.rs
@@ -1,7 +1,7 @@
 use std::sync::atomic::AtomicU64;
 
 use leverstream_catalog::Notice;
-use leverstream_core::Census;
+use leverstream_core::StateCounts;
 use leverstream_error::Kind;
 use leverstream_observe::{Registry, register_count};
 use leverstream_platform::{Call, Store};
@@ -249,14 +249,14 @@
     }
 
     /// Shows how the listed backend servers stand.
-    pub fn show_backends(&self, census: Census) {
+    pub fn show_backends(&self, state_counts: StateCounts) {
         let counts = [
-            (BackendsState::InService, census.in_service),
-            (BackendsState::Leaving, census.leaving),
-            (BackendsState::LeavingByWord, census.leaving_by_word),
-            (BackendsState::HoldingOff, census.holding_off),
-            (BackendsState::Limited, census.limited),
-            (BackendsState::Emptied, census.emptied),
+            (BackendsState::InService, state_counts.in_service),
+            (BackendsState::Leaving, state_counts.leaving),
+            (BackendsState::LeavingByWord, state_counts.leaving_announced),
+            (BackendsState::HoldingOff, state_counts.holding_off),
+            (BackendsState::Limited, state_counts.limited),
+            (BackendsState::Emptied, state_counts.emptied),
         ];
         for (state, count) in counts {
             self.backends.get_or_create(&StateLabel { state }).set(count.into());
