--- a/crates/leverstream-core/src/fleet.rs
+++ b/crates/leverstream-core/src/fleet.rs
@@ -27,7 +27,7 @@
 
 use backend_state::BackendState;
 pub use backend_state::{BackendReport, Outcome, Report};
-pub use emptied::Emptied;
+pub use emptied::EmptiedHalls;
 use hold_off::HoldOff;
 use incarnation_set::IncarnationSet;
 pub use leaving::{Availability, StateCounts};
@@ -101,7 +101,7 @@
     /// The hold-offs of incarnations that are no longer listed, in case they are listed again.
     hold_offs: HashMap<Incarnation, HoldOff>,
     /// The data halls that operators have asked to be emptied.
-    emptied: Emptied,
+    emptied: EmptiedHalls,
     /// The store revision up to which all changes are known.
     revision: u64,
     /// The latest removals, each with the revision at which it became known.
--- a/crates/leverstream-core/src/fleet/emptied.rs
+++ b/crates/leverstream-core/src/fleet/emptied.rs
@@ -6,7 +6,7 @@
 
 /// The data halls to be emptied, as of a store revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Emptied {
+pub struct EmptiedHalls {
     /// The revision; 0 until one is known.
     pub revision: u64,
     /// The names of the halls.
@@ -15,13 +15,13 @@
 
 impl Fleet {
     /// Returns the data halls to be emptied, as far as known.
-    pub fn emptied(&self) -> &Emptied {
+    pub fn emptied(&self) -> &EmptiedHalls {
         &self.emptied
     }
 
     /// Applies a newer set of halls; returns whether the halls changed. A set of the same or an
     /// earlier revision is ignored.
-    pub fn set_emptied(&mut self, emptied: Emptied) -> bool {
+    pub fn set_emptied(&mut self, emptied: EmptiedHalls) -> bool {
         if emptied.revision <= self.emptied.revision {
             return false;
         }
--- a/crates/leverstream-core/src/lib.rs
+++ b/crates/leverstream-core/src/lib.rs
@@ -17,7 +17,7 @@
 pub use demand::Demand;
 pub use entry::choose_entry;
 pub use fleet::{
-    Applied, Asker, Availability, BackendReport, Candidates, Delta, Emptied, Fleet, LimitTold,
+    Applied, Asker, Availability, BackendReport, Candidates, Delta, EmptiedHalls, Fleet, LimitTold,
     LimitWord, Outcome, Report, RouteKey, StateCounts,
 };
 pub use floor::{Floor, assign_claims, used_share};
--- a/crates/leverstream-core/tests/emptied.rs
+++ b/crates/leverstream-core/tests/emptied.rs
@@ -1,7 +1,7 @@
 //! Tests of data halls that operators have asked to be emptied.
 
 use leverstream_catalog::Backend;
-use leverstream_core::{Availability, Emptied, Fleet, Want, choose};
+use leverstream_core::{Availability, EmptiedHalls, Fleet, Want, choose};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -25,8 +25,8 @@
 }
 
 /// The halls to be emptied, as of a revision.
-fn emptied(revision: u64, halls: &[&str]) -> Emptied {
-    Emptied { revision, halls: halls.iter().map(|hall| (*hall).to_owned()).collect() }
+fn emptied(revision: u64, halls: &[&str]) -> EmptiedHalls {
+    EmptiedHalls { revision, halls: halls.iter().map(|hall| (*hall).to_owned()).collect() }
 }
 
 /// Returns the instances that requests of a VM in the first hall are sent to.
--- a/crates/leverstream-gateway/src/emptied.rs
+++ b/crates/leverstream-gateway/src/emptied.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use leverstream_core::Emptied;
+use leverstream_core::EmptiedHalls;
 use leverstream_peer as peer;
 use leverstream_platform::{Change, Listing, Store};
 use rand::Rng;
@@ -40,7 +40,7 @@
         };
         link.succeed(&inner);
         let halls = items.into_iter().map(|item| item.name).collect();
-        take(&inner, Emptied { revision, halls }, "store");
+        take(&inner, EmptiedHalls { revision, halls }, "store");
         let mut is_broken = false;
         while !is_broken && inner.mesh.watches() {
             let watched = tokio::select! {
@@ -61,7 +61,7 @@
                             Change::Removed(hall) => halls.remove(&hall),
                         };
                     }
-                    take(&inner, Emptied { revision, halls }, "store");
+                    take(&inner, EmptiedHalls { revision, halls }, "store");
                 }
                 Err(error) => {
                     link.fail(&inner, &error).await;
@@ -97,7 +97,7 @@
 /// What other VMs are told of them with each packet; nothing before anything is known.
 pub(crate) fn told(inner: &Inner) -> Option<peer::Emptied> {
     let fleet = inner.fleet.borrow();
-    let Emptied { revision, halls } = fleet.emptied();
+    let EmptiedHalls { revision, halls } = fleet.emptied();
     (*revision > 0)
         .then(|| peer::Emptied { revision: *revision, halls: halls.iter().cloned().collect() })
 }
@@ -105,12 +105,12 @@
 /// Takes in what another VM knows of them.
 pub(crate) fn hear(inner: &Inner, told: &peer::Emptied) {
     let halls = told.halls.iter().cloned().collect();
-    take(inner, Emptied { revision: told.revision, halls }, "another VM");
+    take(inner, EmptiedHalls { revision: told.revision, halls }, "another VM");
 }
 
 /// Takes in which they are by now; who has read it from the store tells the others at once.
-fn take(inner: &Inner, emptied: Emptied, source: &str) {
-    let Emptied { revision, halls } = emptied.clone();
+fn take(inner: &Inner, emptied: EmptiedHalls, source: &str) {
+    let EmptiedHalls { revision, halls } = emptied.clone();
     let is_first = inner.fleet.borrow().emptied().revision == 0 && revision > 0;
     let has_changed = inner.fleet.borrow_mut().set_emptied(emptied);
     if !has_changed && !is_first {
