--- a/crates/leverstream-bench/src/capacity/choosing.rs
+++ b/crates/leverstream-bench/src/capacity/choosing.rs
@@ -1,5 +1,5 @@
 use leverstream_catalog::Backend;
-use leverstream_core::{Fleet, Outcome, Report, Want, choose};
+use leverstream_core::{Fleet, Outcome, PickRequest, Report, choose};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -46,7 +46,7 @@
         fleet.end(*key, now_ms, route, Outcome::Good { time_ms: 200.0, bytes: 5_000 }, now_ms);
     }
     let mut rng = StdRng::seed_from_u64(1);
-    let want = Want {
+    let want = PickRequest {
         service: "s",
         hall: "h0",
         is_repeatable: false,
--- a/crates/leverstream-bench/src/decide/run.rs
+++ b/crates/leverstream-bench/src/decide/run.rs
@@ -3,8 +3,8 @@
 
 use leverstream_catalog::Backend;
 use leverstream_core::{
-    Asker, Demand, Fleet, Outcome, Pending, Report, RouteKey, Want, choose, hedge_gain,
-    hedge_look_ms, is_hedge_worth,
+    Demand, Fleet, Outcome, Pending, PickRequest, Report, RequestOrigin, RouteKey, choose,
+    hedge_gain, hedge_look_ms, is_hedge_worth,
 };
 use leverstream_health::BackendKey;
 use rand::rngs::StdRng;
@@ -221,7 +221,7 @@
         };
         let chosen = match self.policy {
             Policy::Shipped => {
-                let want = Want {
+                let want = PickRequest {
                     service: "s",
                     hall: HALLS[request.vm],
                     is_repeatable: self.shape.is_repeatable,
@@ -508,7 +508,7 @@
 
     /// Counts which backend servers a VM has begun to avoid although they are sound for it.
     fn count_avoided(&mut self, vm: usize, now_ms: u64) {
-        let asker = Asker { hall: HALLS[vm], far_cost: 0.2, tried: &[] };
+        let asker = RequestOrigin { hall: HALLS[vm], far_cost: 0.2, tried: &[] };
         let (mut sound, mut in_use) = (0_u32, 0_u32);
         for server in 0..self.servers.len() {
             let state = &self.vms[vm];
--- a/crates/leverstream-bench/src/wide/run.rs
+++ b/crates/leverstream-bench/src/wide/run.rs
@@ -4,8 +4,8 @@
 
 use leverstream_catalog::Backend;
 use leverstream_core::{
-    BackendReport, Demand, Fleet, Outcome, Pending, Report, RouteKey, Want, choose, hedge_gain,
-    hedge_look_ms, is_hedge_worth,
+    BackendReport, Demand, Fleet, Outcome, Pending, PickRequest, Report, RouteKey, choose,
+    hedge_gain, hedge_look_ms, is_hedge_worth,
 };
 use leverstream_health::BackendKey;
 use rand::rngs::StdRng;
@@ -296,7 +296,7 @@
         let sharers = self.vms.len() as f64;
         let vm = &self.vms[request.vm];
         let is_repeatable = request.is_again && request.tried.len() + 1 < ATTEMPTS;
-        let want = Want {
+        let want = PickRequest {
             service: "s",
             hall: HALLS[vm.hall],
             is_repeatable,
--- a/crates/leverstream-core/src/fleet.rs
+++ b/crates/leverstream-core/src/fleet.rs
@@ -51,7 +51,7 @@
 
 /// The request for which a backend server is evaluated.
 #[derive(Clone, Copy, Debug)]
-pub struct Asker<'a> {
+pub struct RequestOrigin<'a> {
     /// The data hall of the VM.
     pub hall: &'a str,
     /// The cost of a backend server in another data hall, on the scale of `Choice::cost`.
@@ -339,7 +339,7 @@
     }
 
     /// Evaluates a backend server for a request.
-    pub fn choice(&self, key: BackendKey, asker: &Asker<'_>, now_ms: u64) -> Choice {
+    pub fn choice(&self, key: BackendKey, asker: &RequestOrigin<'_>, now_ms: u64) -> Choice {
         let member = &self.arena[key.0 as usize];
         member.choice(key, asker, &self.routes, self.episodes_at(member), now_ms)
     }
--- a/crates/leverstream-core/src/fleet/backend_state.rs
+++ b/crates/leverstream-core/src/fleet/backend_state.rs
@@ -11,7 +11,7 @@
 use crate::RouteProfile;
 use crate::fleet::hold_off::HoldOff;
 use crate::fleet::limit::Limit;
-use crate::fleet::{Asker, RouteKey};
+use crate::fleet::{RequestOrigin, RouteKey};
 
 /// How long another VM's count of requests in flight stays valid, in milliseconds: slightly more
 /// than two periods of the repeated reports that make up for lost datagrams.
@@ -212,7 +212,7 @@
     pub fn choice(
         &self,
         key: BackendKey,
-        asker: &Asker<'_>,
+        asker: &RequestOrigin<'_>,
         routes: &Slab<RouteProfile>,
         episodes: &Episodes,
         now_ms: u64,
--- a/crates/leverstream-core/src/lib.rs
+++ b/crates/leverstream-core/src/lib.rs
@@ -17,12 +17,12 @@
 pub use demand::Demand;
 pub use entry::choose_entry;
 pub use fleet::{
-    Applied, Asker, Availability, BackendReport, Candidates, Delta, EmptiedHalls, Fleet, LimitTold,
-    LimitWord, Outcome, Report, RouteKey, StateCounts,
+    Applied, Availability, BackendReport, Candidates, Delta, EmptiedHalls, Fleet, LimitTold,
+    LimitWord, Outcome, Report, RequestOrigin, RouteKey, StateCounts,
 };
 pub use floor::{Floor, assign_claims, used_share};
 pub use hedge::{Pending, hedge_gain, hedge_look_ms, is_hedge_worth};
 pub use latency::LatencyHistogram;
 pub use notices::{Words, WordsHeard, WordsTold};
 pub use profile::RouteProfile;
-pub use select::{Pick, Want, choose};
+pub use select::{Pick, PickRequest, choose};
--- a/crates/leverstream-core/src/select.rs
+++ b/crates/leverstream-core/src/select.rs
@@ -4,7 +4,7 @@
 use leverstream_route::{Choice, steer};
 use rand::Rng;
 
-use crate::{Asker, Candidates, Fleet, Floor, assign_claims};
+use crate::{Candidates, Fleet, Floor, RequestOrigin, assign_claims};
 
 /// The share of its objective that a repeatable request waits before it accepts an avoided backend
 /// server: a trial only costs an idle slot, and the request keeps looking for a sound one.
@@ -28,7 +28,7 @@
 
 /// What a request needs from a backend server.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
+pub struct PickRequest<'a> {
     /// The service.
     pub service: &'a str,
     /// The data hall of this VM.
@@ -65,9 +65,14 @@
 }
 
 /// Chooses a backend server with a free slot; none if the request should wait.
-pub fn choose(fleet: &Fleet, want: &Want<'_>, now_ms: u64, rng: &mut impl Rng) -> Option<Pick> {
+pub fn choose(
+    fleet: &Fleet,
+    want: &PickRequest<'_>,
+    now_ms: u64,
+    rng: &mut impl Rng,
+) -> Option<Pick> {
     let Candidates { keys, known, stands_for } = fleet.candidates(want.service, now_ms, rng);
-    let asker = Asker {
+    let asker = RequestOrigin {
         hall: want.hall,
         far_cost: FAR_COST + FAILURE_COST * want.far_bytes_cost,
         tried: want.tried,
--- a/crates/leverstream-core/tests/emptied.rs
+++ b/crates/leverstream-core/tests/emptied.rs
@@ -1,7 +1,7 @@
 //! Tests of data halls that operators have asked to be emptied.
 
 use leverstream_catalog::Backend;
-use leverstream_core::{Availability, EmptiedHalls, Fleet, Want, choose};
+use leverstream_core::{Availability, EmptiedHalls, Fleet, PickRequest, choose};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -31,7 +31,7 @@
 
 /// Returns the instances that requests of a VM in the first hall are sent to.
 fn chosen(fleet: &Fleet) -> Vec<String> {
-    let want = Want {
+    let want = PickRequest {
         service: "shop",
         hall: "hall-a",
         is_repeatable: true,
--- a/crates/leverstream-core/tests/fleet.rs
+++ b/crates/leverstream-core/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use leverstream_catalog::{Backend, Incarnation};
 use leverstream_core::{
-    Asker, Delta, Fleet, Floor, Outcome, Report, RouteKey, assign_claims, used_share,
+    Delta, Fleet, Floor, Outcome, Report, RequestOrigin, RouteKey, assign_claims, used_share,
 };
 use leverstream_health::BackendKey;
 use leverstream_route::{Choice, Claim};
@@ -38,7 +38,7 @@
 
 /// Evaluates all backend servers for a request from their own hall.
 fn evaluate_all(fleet: &Fleet, now_ms: u64) -> Vec<Choice> {
-    let asker = Asker { hall: "h1", far_cost: 0.2, tried: &[] };
+    let asker = RequestOrigin { hall: "h1", far_cost: 0.2, tried: &[] };
     fleet.of_service("shop").iter().map(|key| fleet.choice(*key, &asker, now_ms)).collect()
 }
 
--- a/crates/leverstream-core/tests/hold_off.rs
+++ b/crates/leverstream-core/tests/hold_off.rs
@@ -1,7 +1,7 @@
 //! Tests of backend servers that hold off a VM.
 
 use leverstream_catalog::{Backend, Incarnation};
-use leverstream_core::{Availability, Delta, Fleet, Outcome, RouteKey, Want, choose};
+use leverstream_core::{Availability, Delta, Fleet, Outcome, PickRequest, RouteKey, choose};
 use leverstream_health::BackendKey;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -33,7 +33,7 @@
 
 /// Returns the backend server that a request is sent to.
 fn chosen(fleet: &Fleet, now_ms: u64) -> Option<BackendKey> {
-    let want = Want {
+    let want = PickRequest {
         service: "shop",
         hall: "h1",
         is_repeatable: true,
--- a/crates/leverstream-core/tests/leavers.rs
+++ b/crates/leverstream-core/tests/leavers.rs
@@ -1,7 +1,7 @@
 //! Tests of backend servers that announce in an answer that they leave.
 
 use leverstream_catalog::{Backend, Incarnation};
-use leverstream_core::{Availability, Delta, Fleet, Outcome, StateCounts, Want, choose};
+use leverstream_core::{Availability, Delta, Fleet, Outcome, PickRequest, StateCounts, choose};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -49,7 +49,7 @@
 
 /// Returns the instance that a request is sent to, if any.
 fn chosen(fleet: &Fleet, now_ms: u64) -> Option<String> {
-    let want = Want {
+    let want = PickRequest {
         service: "shop",
         hall: "h1",
         is_repeatable: true,
--- a/crates/leverstream-core/tests/leaving/mod.rs
+++ b/crates/leverstream-core/tests/leaving/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::{BinaryHeap, HashMap};
 
 use leverstream_catalog::{Backend, Incarnation};
-use leverstream_core::{Fleet, Outcome, RouteKey, Want, Words, WordsTold, choose};
+use leverstream_core::{Fleet, Outcome, PickRequest, RouteKey, Words, WordsTold, choose};
 use leverstream_health::BackendKey;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -307,7 +307,7 @@
             return;
         }
         self.observations.requests += 1;
-        let want = Want {
+        let want = PickRequest {
             service: "shop",
             hall: "h1",
             is_repeatable: true,
--- a/crates/leverstream-core/tests/limits.rs
+++ b/crates/leverstream-core/tests/limits.rs
@@ -1,7 +1,9 @@
 //! Tests of the rate limits that backend servers announce over all VMs together.
 
 use leverstream_catalog::{Backend, Incarnation};
-use leverstream_core::{Availability, Fleet, LimitTold, LimitWord, Want, Words, WordsTold, choose};
+use leverstream_core::{
+    Availability, Fleet, LimitTold, LimitWord, PickRequest, Words, WordsTold, choose,
+};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -45,7 +47,7 @@
 
 /// Returns the backend server that a request is sent to.
 fn chosen(fleet: &Fleet, now_ms: u64) -> Option<usize> {
-    let want = Want {
+    let want = PickRequest {
         service: "shop",
         hall: "h1",
         is_repeatable: true,
--- a/crates/leverstream-core/tests/select.rs
+++ b/crates/leverstream-core/tests/select.rs
@@ -1,7 +1,7 @@
 //! Tests of the choice of a backend server for a request.
 
 use leverstream_catalog::Backend;
-use leverstream_core::{Fleet, Outcome, Want, choose};
+use leverstream_core::{Fleet, Outcome, PickRequest, choose};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -25,8 +25,8 @@
 }
 
 /// A request from hall `h1` with a cost of its traffic between halls.
-fn want(far_bytes_cost: f64) -> Want<'static> {
-    Want {
+fn want(far_bytes_cost: f64) -> PickRequest<'static> {
+    PickRequest {
         service: "shop",
         hall: "h1",
         is_repeatable: true,
@@ -41,7 +41,7 @@
 }
 
 /// Returns the instance that a request is sent to.
-fn chosen(fleet: &Fleet, want: &Want<'_>, now_ms: u64) -> Option<String> {
+fn chosen(fleet: &Fleet, want: &PickRequest<'_>, now_ms: u64) -> Option<String> {
     let pick = choose(fleet, want, now_ms, &mut StdRng::seed_from_u64(1))?;
     Some(fleet.target(pick.key).1.to_owned())
 }
@@ -79,7 +79,7 @@
     }
     fleet.begin(keys[1], route, 1_010);
     fleet.begin(keys[1], route, 1_010);
-    let waited = |waited_ms, is_repeatable| Want { waited_ms, is_repeatable, ..want(0.0) };
+    let waited = |waited_ms, is_repeatable| PickRequest { waited_ms, is_repeatable, ..want(0.0) };
     assert_eq!(chosen(&fleet, &waited(0, true), 1_020), None);
     assert_eq!(chosen(&fleet, &waited(70, true), 1_090).as_deref(), Some("a"));
     assert_eq!(chosen(&fleet, &waited(70, false), 1_090), None);
@@ -99,7 +99,7 @@
         fleet.reach(key, now_ms);
         fleet.end(key, now_ms, route, Outcome::Good { time_ms: 50.0, bytes: 400 }, now_ms + 50);
     }
-    let once = |floor_share| Want { is_repeatable: false, floor_share, ..want(0.0) };
+    let once = |floor_share| PickRequest { is_repeatable: false, floor_share, ..want(0.0) };
     let is_left_alone = |instance: Option<String>| matches!(instance.as_deref(), Some("c" | "d"));
     assert!(!is_left_alone(chosen(&fleet, &once(0.4), 21_000)));
     assert!(is_left_alone(chosen(&fleet, &once(0.7), 21_000)));
@@ -118,9 +118,9 @@
         fleet.reach(key, now_ms);
         fleet.end(key, now_ms, route, Outcome::Good { time_ms: 50.0, bytes: 400 }, now_ms + 50);
     }
-    let failing = Want { requests_fail: true, ..want(0.0) };
+    let failing = PickRequest { requests_fail: true, ..want(0.0) };
     let is_left_alone = |instance: Option<String>| matches!(instance.as_deref(), Some("c" | "d"));
     assert!(is_left_alone(chosen(&fleet, &failing, 21_000)));
-    let again = Want { tried: &keys[..1], is_repeatable: false, ..failing };
+    let again = PickRequest { tried: &keys[..1], is_repeatable: false, ..failing };
     assert_eq!(chosen(&fleet, &again, 21_000).as_deref(), Some("b"));
 }
--- a/crates/leverstream-gateway/src/slot.rs
+++ b/crates/leverstream-gateway/src/slot.rs
@@ -2,7 +2,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use leverstream_core::{Availability, Fleet, Outcome, Pick, RouteKey, Want, choose};
+use leverstream_core::{Availability, Fleet, Outcome, Pick, PickRequest, RouteKey, choose};
 use leverstream_error::Kind;
 use leverstream_health::BackendKey;
 use leverstream_workspace::WorkspaceId;
@@ -129,7 +129,7 @@
     let requests_fail = demand.fails(want.is_repeatable, now_ms);
     let sharers = inner.mesh.sharing.count() as f64;
     let bytes = want.bytes as f64 + fleet.route(want.route).answer_bytes();
-    let wanted = Want {
+    let wanted = PickRequest {
         service: want.service,
         hall: &inner.settings.hall,
         is_repeatable: want.is_repeatable,
