--- a/crates/leverstream-core/src/fleet.rs
+++ b/crates/leverstream-core/src/fleet.rs
@@ -32,7 +32,7 @@
 use incarnation_set::IncarnationSet;
 pub use leaving::{Availability, StateCounts};
 use limit::Limit;
-pub use limit::{LimitTold, LimitWord};
+pub use limit::{LimitNotice, LimitUpdate};
 pub use roster::Candidates;
 use roster::Roster;
 
@@ -126,7 +126,7 @@
     pub leaving: Vec<Incarnation>,
     /// The rate limits that incarnations have announced.
     #[serde(default)]
-    pub limits: Vec<LimitTold>,
+    pub limits: Vec<LimitUpdate>,
 }
 
 /// The part of a [`Delta`] that was not known before.
@@ -184,7 +184,7 @@
             self.leave(of, now_ms);
         });
         delta.limits.iter().for_each(|told| {
-            self.note_limit(&told.of, told.word(now_ms), now_ms);
+            self.note_limit(&told.of, told.to_notice(now_ms), now_ms);
         });
         if delta.revision <= self.revision {
             return applied;
--- a/crates/leverstream-core/src/fleet/limit.rs
+++ b/crates/leverstream-core/src/fleet/limit.rs
@@ -21,7 +21,7 @@
 /// older limit. If the backend server made two answers in the other order, the one to the later
 /// request applies until the next answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitWord {
+pub struct LimitNotice {
     /// The limit in requests a second; none if the answer had no limit.
     pub per_s: Option<f64>,
     /// When the request was sent, in milliseconds by the holder's clock; negative if that was
@@ -31,7 +31,7 @@
 
 /// A limit as one VM sends it to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LimitTold {
+pub struct LimitUpdate {
     /// The incarnation that announced it.
     pub of: Incarnation,
     /// The limit in requests a second; none if it has been lifted.
@@ -44,33 +44,33 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Limit {
     /// The latest notice.
-    notice: Option<LimitWord>,
+    notice: Option<LimitNotice>,
     /// The time until which permits are denied.
     denied_until_ms: u64,
     /// The rate that this VM can count on, in requests a second, if known.
     share_per_s: Option<f64>,
 }
 
-impl LimitTold {
+impl LimitUpdate {
     /// Converts it to the receiver's clock.
-    pub fn word(&self, now_ms: u64) -> LimitWord {
+    pub fn to_notice(&self, now_ms: u64) -> LimitNotice {
         let age_ms = i64::try_from(self.age_ms).unwrap_or(i64::MAX);
-        LimitWord { per_s: self.per_s, sent_ms: signed(now_ms).saturating_sub(age_ms) }
+        LimitNotice { per_s: self.per_s, sent_ms: signed(now_ms).saturating_sub(age_ms) }
     }
 }
 
-impl LimitWord {
+impl LimitNotice {
     /// Builds the message to another VM.
-    pub fn told(&self, of: &Incarnation, now_ms: u64) -> LimitTold {
+    pub fn to_update(&self, of: &Incarnation, now_ms: u64) -> LimitUpdate {
         let age_ms = signed(now_ms).saturating_sub(self.sent_ms);
         let age_ms = u64::try_from(age_ms).unwrap_or(0);
-        LimitTold { of: of.clone(), per_s: self.per_s, age_ms }
+        LimitUpdate { of: of.clone(), per_s: self.per_s, age_ms }
     }
 }
 
 impl Limit {
     /// Applies a notice unless a newer one is known; returns whether the limit changed.
-    fn note(&mut self, notice: LimitWord) -> bool {
+    fn note(&mut self, notice: LimitNotice) -> bool {
         if self.notice.is_some_and(|known| notice.sent_ms <= known.sent_ms) {
             return false;
         }
@@ -88,7 +88,7 @@
     }
 
     /// Returns the latest notice.
-    pub fn word(&self) -> Option<LimitWord> {
+    pub fn word(&self) -> Option<LimitNotice> {
         self.notice
     }
 
@@ -107,7 +107,7 @@
 
 impl Fleet {
     /// Applies a notice about an incarnation; returns whether the limit changed.
-    pub fn note_limit(&mut self, of: &Incarnation, notice: LimitWord, now_ms: u64) -> bool {
+    pub fn note_limit(&mut self, of: &Incarnation, notice: LimitNotice, now_ms: u64) -> bool {
         let key = self.by_instance.get(&of.instance).copied();
         let known = key.map(|key| (key, self.arena[key.0 as usize].backend.born_ms));
         match known {
@@ -118,7 +118,7 @@
     }
 
     /// Applies a notice about a listed incarnation.
-    fn note_listed(&mut self, key: BackendKey, notice: LimitWord, now_ms: u64) -> bool {
+    fn note_listed(&mut self, key: BackendKey, notice: LimitNotice, now_ms: u64) -> bool {
         let member = &mut self.arena[key.0 as usize];
         if !member.limit.note(notice) {
             return false;
@@ -134,7 +134,7 @@
     }
 
     /// Applies a notice about an unlisted incarnation, which may be listed later or again.
-    pub(super) fn note_unlisted(&mut self, of: &Incarnation, notice: LimitWord) -> bool {
+    pub(super) fn note_unlisted(&mut self, of: &Incarnation, notice: LimitNotice) -> bool {
         if let Some(limit) = self.unlisted_limits.get_mut(of) {
             return limit.note(notice);
         }
@@ -168,7 +168,7 @@
     }
 
     /// Returns the latest limit notice of an incarnation.
-    pub fn limit_word(&self, of: &Incarnation) -> Option<LimitWord> {
+    pub fn limit_notice(&self, of: &Incarnation) -> Option<LimitNotice> {
         let listed = self.by_instance.get(&of.instance).map(|key| &self.arena[key.0 as usize]);
         let listed = listed.filter(|member| member.backend.born_ms == of.born_ms);
         let limit = listed.map(|member| &member.limit).or_else(|| self.unlisted_limits.get(of));
@@ -185,10 +185,10 @@
     }
 
     /// Returns the limits of listed incarnations for other VMs.
-    pub fn limits(&self, now_ms: u64) -> Vec<LimitTold> {
+    pub fn limits(&self, now_ms: u64) -> Vec<LimitUpdate> {
         let told = |key: &BackendKey| {
             let notice = self.arena[key.0 as usize].limit.word()?;
-            Some(notice.told(&self.incarnation(*key), now_ms))
+            Some(notice.to_update(&self.incarnation(*key), now_ms))
         };
         self.limited.iter().filter_map(told).collect()
     }
--- a/crates/leverstream-core/src/lib.rs
+++ b/crates/leverstream-core/src/lib.rs
@@ -17,8 +17,8 @@
 pub use demand::Demand;
 pub use entry::choose_entry;
 pub use fleet::{
-    Applied, Availability, BackendReport, Candidates, Delta, EmptiedHalls, Fleet, LimitTold,
-    LimitWord, Outcome, Report, RequestOrigin, RouteKey, StateCounts,
+    Applied, Availability, BackendReport, Candidates, Delta, EmptiedHalls, Fleet, LimitNotice,
+    LimitUpdate, Outcome, Report, RequestOrigin, RouteKey, StateCounts,
 };
 pub use floor::{Floor, assign_claims, used_share};
 pub use hedge::{Pending, hedge_gain, hedge_look_ms, is_hedge_worth};
--- a/crates/leverstream-core/src/notices.rs
+++ b/crates/leverstream-core/src/notices.rs
@@ -8,7 +8,7 @@
 
 use leverstream_catalog::Incarnation;
 
-use crate::{Fleet, LimitTold};
+use crate::{Fleet, LimitUpdate};
 
 /// The minimum time between two comparisons at a VM that shares the traffic, in milliseconds; the
 /// answer to the last one may be in flight.
@@ -31,7 +31,7 @@
     /// Incarnations that leave.
     pub starts: Vec<Incarnation>,
     /// Rate limits, including lifted ones.
-    pub limits: Vec<LimitTold>,
+    pub limits: Vec<LimitUpdate>,
     /// Whether the sender asks for the receiver's notices.
     pub asks: bool,
 }
@@ -42,7 +42,7 @@
     /// The leaving incarnations that were not known.
     pub news: Vec<Incarnation>,
     /// The limits that changed.
-    pub limits: Vec<LimitTold>,
+    pub limits: Vec<LimitUpdate>,
     /// The reply to send, if any.
     pub answer: Option<WordsTold>,
 }
@@ -78,17 +78,17 @@
             if asks { WordsTold::all(fleet, false, now_ms) } else { WordsTold::default() };
         let mut changed = Vec::new();
         for told in limits {
-            let word = told.word(now_ms);
+            let word = told.to_notice(now_ms);
             if fleet.note_limit(&told.of, word, now_ms) {
                 changed.push(told);
                 continue;
             }
             // A lifted limit is in no list, so a VM that still sends the limit has missed that it
             // was lifted.
-            let newer = fleet.limit_word(&told.of).filter(|known| known.sent_ms > word.sent_ms);
+            let newer = fleet.limit_notice(&told.of).filter(|known| known.sent_ms > word.sent_ms);
             if let Some(newer) = newer.filter(|known| known.per_s.is_none() && told.per_s.is_some())
             {
-                answer.limits.push(newer.told(&told.of, now_ms));
+                answer.limits.push(newer.to_update(&told.of, now_ms));
             }
         }
         let has_notices = !answer.starts.is_empty() || !answer.limits.is_empty();
--- a/crates/leverstream-core/tests/limits.rs
+++ b/crates/leverstream-core/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use leverstream_catalog::{Backend, Incarnation};
 use leverstream_core::{
-    Availability, Fleet, LimitTold, LimitWord, PickRequest, Words, WordsTold, choose,
+    Availability, Fleet, LimitNotice, LimitUpdate, PickRequest, Words, WordsTold, choose,
 };
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -36,13 +36,13 @@
 }
 
 /// The limit in an answer to a request sent at some time.
-fn word(per_s: Option<f64>, sent_ms: i64) -> LimitWord {
-    LimitWord { per_s, sent_ms }
+fn word(per_s: Option<f64>, sent_ms: i64) -> LimitNotice {
+    LimitNotice { per_s, sent_ms }
 }
 
 /// Returns the limit of the first backend server.
 fn limit(fleet: &Fleet) -> Option<f64> {
-    fleet.limit_word(&of(0, 7)).and_then(|word| word.per_s)
+    fleet.limit_notice(&of(0, 7)).and_then(|word| word.per_s)
 }
 
 /// Returns the backend server that a request is sent to.
@@ -105,7 +105,7 @@
     elder.publish(9);
     let mut newcomer = Fleet::default();
     newcomer.apply(elder.since(0, 41_000), 50);
-    let told = newcomer.limit_word(&of(1, 7)).expect("the limit came with the list");
+    let told = newcomer.limit_notice(&of(1, 7)).expect("the limit came with the list");
     assert_eq!(told, word(Some(2.0), 50 - 1_000), "one second old by the receiver's clock");
     assert_eq!(elder.words_fingerprint(), newcomer.words_fingerprint());
 }
@@ -134,7 +134,7 @@
 #[test]
 fn limits_of_unknown_incarnations_or_extreme_age_are_harmless() {
     let mut fleet = fleet(1);
-    let told = |number, per_s, age_ms| LimitTold { of: of(number, 7), per_s, age_ms };
+    let told = |number, per_s, age_ms| LimitUpdate { of: of(number, 7), per_s, age_ms };
     let limits = vec![told(0, Some(2.0), u64::MAX), told(5, None, 3), told(6, Some(1.0), 0)];
     Words::hear(WordsTold { limits, ..WordsTold::default() }, &mut fleet, 100);
     assert_eq!(limit(&fleet), Some(2.0));
--- a/crates/leverstream-gateway/src/attempt.rs
+++ b/crates/leverstream-gateway/src/attempt.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use leverstream_catalog::{Incarnation, Notice};
-use leverstream_core::{LimitWord, Outcome};
+use leverstream_core::{LimitNotice, Outcome};
 use leverstream_error::Kind;
 use leverstream_platform::{decode_notice, headers};
 use leverstream_route::Claim;
@@ -302,13 +302,13 @@
         if per_s.is_none() && notice.is_limit_garbled {
             return;
         }
-        let word = LimitWord { per_s, sent_ms: i64::try_from(sent_ms).unwrap_or(i64::MAX) };
+        let word = LimitNotice { per_s, sent_ms: i64::try_from(sent_ms).unwrap_or(i64::MAX) };
         let now_ms = inner.now_ms();
         if inner.fleet.borrow_mut().note_limit(of, word, now_ms) {
             let id = request.id.as_deref().unwrap_or("-");
             let Incarnation { instance, born_ms } = of;
             info!(id, backend = instance, born_ms, per_s, source = "answer", "backend limit");
-            words::tell_limit(inner, word.told(of, now_ms));
+            words::tell_limit(inner, word.to_update(of, now_ms));
             inner.wake_all();
         }
     }
--- a/crates/leverstream-gateway/src/limits.rs
+++ b/crates/leverstream-gateway/src/limits.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use leverstream_catalog::Incarnation;
-use leverstream_core::{Fleet, LimitTold, LimitWord};
+use leverstream_core::{Fleet, LimitNotice, LimitUpdate};
 use leverstream_health::BackendKey;
 use leverstream_limit::{Arbiter, Round, Silences, Step, Verdict, consents_needed};
 use leverstream_pace::Clock;
@@ -138,14 +138,14 @@
 
     /// Sends a question; none if the limit is gone meanwhile.
     fn ask(&self, to: SocketAddr, of: &Incarnation) -> Option<Asked> {
-        let word = self.fleet.borrow().limit_word(of)?;
+        let word = self.fleet.borrow().limit_notice(of)?;
         let number = self.limits.last.get().wrapping_add(1);
         self.limits.last.set(number);
         let (sender, answer) = oneshot::channel();
         let mut waiting = self.limits.waiting.borrow_mut();
         waiting.retain(|_, sender| !sender.is_closed());
         waiting.insert(number, sender);
-        let limit = Some(words::encode_limit(&word.told(of, self.clock.now_ms())));
+        let limit = Some(words::encode_limit(&word.to_update(of, self.clock.now_ms())));
         let question = PermitQuestion { number, asker: self.mesh.id(), limit };
         self.send(to, Body::PermitQuestion(question));
         Some(Asked { of: to, answer })
@@ -164,16 +164,16 @@
     pub fn answer(&self, from: SocketAddr, question: &PermitQuestion) {
         let now_ms = self.clock.now_ms();
         let Some(told) = question.limit.as_ref().and_then(words::decode_limit) else { return };
-        let LimitTold { of, .. } = &told;
-        let asked = told.word(now_ms);
+        let LimitUpdate { of, .. } = &told;
+        let asked = told.to_notice(now_ms);
         self.fleet.borrow_mut().note_limit(of, asked, now_ms);
-        let known = self.fleet.borrow().limit_word(of).unwrap_or(asked);
+        let known = self.fleet.borrow().limit_notice(of).unwrap_or(asked);
         let verdict = match known.per_s {
             Some(per_s) => self.consent(of, per_s, question.asker),
             None => Verdict::Granted,
         };
         let limit = (known.sent_ms > asked.sent_ms && known.per_s != asked.per_s)
-            .then(|| words::encode_limit(&known.told(of, now_ms)));
+            .then(|| words::encode_limit(&known.to_update(of, now_ms)));
         let mut answer = encode(question.number, verdict);
         answer.limit = limit;
         self.send(from, Body::PermitAnswer(answer));
@@ -183,8 +183,8 @@
     pub fn hear(&self, answer: &PermitAnswer) {
         let now_ms = self.clock.now_ms();
         if let Some(told) = answer.limit.as_ref().and_then(words::decode_limit) {
-            let LimitTold { of, per_s, .. } = &told;
-            let word: LimitWord = told.word(now_ms);
+            let LimitUpdate { of, per_s, .. } = &told;
+            let word: LimitNotice = told.to_notice(now_ms);
             if self.fleet.borrow_mut().note_limit(of, word, now_ms) {
                 info!(
                     backend = of.instance,
--- a/crates/leverstream-gateway/src/words.rs
+++ b/crates/leverstream-gateway/src/words.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use leverstream_catalog::Incarnation;
-use leverstream_core::{LimitTold, Words, WordsTold};
+use leverstream_core::{LimitUpdate, Words, WordsTold};
 use leverstream_peer::packet::Body;
 use leverstream_peer::{self as peer, BackendLimit, BackendStart, Packet};
 use tracing::info;
@@ -25,7 +25,7 @@
 }
 
 /// Tells others of a limit, or that one is named no more.
-pub(crate) fn tell_limit(inner: &Inner, limit: LimitTold) {
+pub(crate) fn tell_limit(inner: &Inner, limit: LimitUpdate) {
     let told = WordsTold { limits: vec![limit], ..WordsTold::default() };
     say(inner, &told, &inner.mesh.sharers_and(OTHERS_TOLD));
 }
@@ -47,7 +47,7 @@
     for Incarnation { instance, born_ms } in &heard.news {
         info!(backend = instance, born_ms, source = %from, "backend leaves");
     }
-    for LimitTold { of: Incarnation { instance, born_ms }, per_s, age_ms } in &heard.limits {
+    for LimitUpdate { of: Incarnation { instance, born_ms }, per_s, age_ms } in &heard.limits {
         info!(backend = instance, born_ms, per_s, age_ms, source = %from, "backend limit");
     }
     if !heard.news.is_empty() || !heard.limits.is_empty() {
@@ -80,7 +80,7 @@
 }
 
 /// What a datagram tells of a limit.
-pub(crate) fn encode_limit(told: &LimitTold) -> BackendLimit {
+pub(crate) fn encode_limit(told: &LimitUpdate) -> BackendLimit {
     let age_ms = u32::try_from(told.age_ms).unwrap_or(u32::MAX);
     BackendLimit { of: Some(encode_start(&told.of)), per_s: told.per_s, age_ms }
 }
@@ -91,10 +91,10 @@
 }
 
 /// What a datagram has told of a limit; none if it cannot be one.
-pub(crate) fn decode_limit(said: &BackendLimit) -> Option<LimitTold> {
+pub(crate) fn decode_limit(said: &BackendLimit) -> Option<LimitUpdate> {
     let is_limit = |per_s: f64| per_s.is_finite() && per_s >= 0.0;
     let of = decode_start(said.of.as_ref()?);
-    let told = LimitTold { of, per_s: said.per_s, age_ms: said.age_ms.into() };
+    let told = LimitUpdate { of, per_s: said.per_s, age_ms: said.age_ms.into() };
     said.per_s.is_none_or(is_limit).then_some(told)
 }
 
