--- a/crates/leverstream-core/src/fleet.rs
+++ b/crates/leverstream-core/src/fleet.rs
@@ -303,7 +303,7 @@
         if member.hold_off != HoldOff::default() && self.hold_offs.len() < HOLD_OFFS_LIMIT {
             self.hold_offs.insert(of.clone(), member.hold_off);
         }
-        if let Some(word) = member.limit.word().filter(|word| word.per_s.is_some()) {
+        if let Some(word) = member.limit.notice().filter(|word| word.per_s.is_some()) {
             self.note_unlisted(&of, word);
         }
         self.leavers.retain(|other| *other != key);
--- a/crates/leverstream-core/src/fleet/limit.rs
+++ b/crates/leverstream-core/src/fleet/limit.rs
@@ -88,7 +88,7 @@
     }
 
     /// Returns the latest notice.
-    pub fn word(&self) -> Option<LimitNotice> {
+    pub fn notice(&self) -> Option<LimitNotice> {
         self.notice
     }
 
@@ -172,7 +172,7 @@
         let listed = self.by_instance.get(&of.instance).map(|key| &self.arena[key.0 as usize]);
         let listed = listed.filter(|member| member.backend.born_ms == of.born_ms);
         let limit = listed.map(|member| &member.limit).or_else(|| self.unlisted_limits.get(of));
-        limit.and_then(Limit::word)
+        limit.and_then(Limit::notice)
     }
 
     /// Records that permits are denied until a time, and the rate that this VM can count on, if
@@ -186,11 +186,11 @@
 
     /// Returns the limits of listed incarnations for other VMs.
     pub fn limits(&self, now_ms: u64) -> Vec<LimitUpdate> {
-        let told = |key: &BackendKey| {
-            let notice = self.arena[key.0 as usize].limit.word()?;
+        let update = |key: &BackendKey| {
+            let notice = self.arena[key.0 as usize].limit.notice()?;
             Some(notice.to_update(&self.incarnation(*key), now_ms))
         };
-        self.limited.iter().filter_map(told).collect()
+        self.limited.iter().filter_map(update).collect()
     }
 
     /// Returns a fingerprint of the limits, equal at VMs that know the same; 0 if there are none.
--- a/crates/leverstream-core/src/notices.rs
+++ b/crates/leverstream-core/src/notices.rs
@@ -77,18 +77,20 @@
         let mut answer =
             if asks { WordsTold::all(fleet, false, now_ms) } else { WordsTold::default() };
         let mut changed = Vec::new();
-        for told in limits {
-            let word = told.to_notice(now_ms);
-            if fleet.note_limit(&told.of, word, now_ms) {
-                changed.push(told);
+        for update in limits {
+            let notice = update.to_notice(now_ms);
+            if fleet.note_limit(&update.of, notice, now_ms) {
+                changed.push(update);
                 continue;
             }
             // A lifted limit is in no list, so a VM that still sends the limit has missed that it
             // was lifted.
-            let newer = fleet.limit_notice(&told.of).filter(|known| known.sent_ms > word.sent_ms);
-            if let Some(newer) = newer.filter(|known| known.per_s.is_none() && told.per_s.is_some())
+            let newer =
+                fleet.limit_notice(&update.of).filter(|known| known.sent_ms > notice.sent_ms);
+            if let Some(newer) =
+                newer.filter(|known| known.per_s.is_none() && update.per_s.is_some())
             {
-                answer.limits.push(newer.to_update(&told.of, now_ms));
+                answer.limits.push(newer.to_update(&update.of, now_ms));
             }
         }
         let has_notices = !answer.starts.is_empty() || !answer.limits.is_empty();
--- a/crates/leverstream-core/tests/limits.rs
+++ b/crates/leverstream-core/tests/limits.rs
@@ -36,13 +36,13 @@
 }
 
 /// The limit in an answer to a request sent at some time.
-fn word(per_s: Option<f64>, sent_ms: i64) -> LimitNotice {
+fn notice(per_s: Option<f64>, sent_ms: i64) -> LimitNotice {
     LimitNotice { per_s, sent_ms }
 }
 
 /// Returns the limit of the first backend server.
 fn limit(fleet: &Fleet) -> Option<f64> {
-    fleet.limit_notice(&of(0, 7)).and_then(|word| word.per_s)
+    fleet.limit_notice(&of(0, 7)).and_then(|notice| notice.per_s)
 }
 
 /// Returns the backend server that a request is sent to.
@@ -66,23 +66,23 @@
 #[test]
 fn the_notice_of_the_latest_request_applies() {
     let mut fleet = fleet(1);
-    assert!(fleet.note_limit(&of(0, 7), word(Some(2.0), 100), 150));
-    assert!(!fleet.note_limit(&of(0, 7), word(Some(2.0), 200), 250), "already known");
-    assert!(fleet.note_limit(&of(0, 7), word(Some(0.0), 300), 350));
+    assert!(fleet.note_limit(&of(0, 7), notice(Some(2.0), 100), 150));
+    assert!(!fleet.note_limit(&of(0, 7), notice(Some(2.0), 200), 250), "already known");
+    assert!(fleet.note_limit(&of(0, 7), notice(Some(0.0), 300), 350));
     // An answer to an earlier request is delayed.
-    assert!(!fleet.note_limit(&of(0, 7), word(None, 250), 400));
+    assert!(!fleet.note_limit(&of(0, 7), notice(None, 250), 400));
     assert_eq!(limit(&fleet), Some(0.0));
-    assert!(fleet.note_limit(&of(0, 7), word(None, 400), 450));
+    assert!(fleet.note_limit(&of(0, 7), notice(None, 400), 450));
     assert_eq!(limit(&fleet), None);
-    assert!(!fleet.note_limit(&of(0, 7), word(Some(0.0), 320), 500));
+    assert!(!fleet.note_limit(&of(0, 7), notice(Some(0.0), 320), 500));
     assert_eq!(limit(&fleet), None);
 }
 
 #[test]
 fn a_limit_belongs_to_one_incarnation() {
     let mut fleet = fleet(1);
-    fleet.note_limit(&of(0, 7), word(Some(2.0), 100), 150);
-    assert!(!fleet.note_limit(&of(0, 6), word(Some(1.0), 200), 250), "an earlier incarnation");
+    fleet.note_limit(&of(0, 7), notice(Some(2.0), 100), 150);
+    assert!(!fleet.note_limit(&of(0, 6), notice(Some(1.0), 200), 250), "an earlier incarnation");
     assert_eq!(limit(&fleet), Some(2.0));
     // Its entry is removed and listed again.
     fleet.remove("i-0", 2);
@@ -93,7 +93,7 @@
     fleet.set(entry(0, 8), 4, 500);
     assert!(fleet.limits(600).is_empty());
     // The limit is known before the entry.
-    fleet.note_limit(&of(1, 7), word(Some(3.0), 600), 650);
+    fleet.note_limit(&of(1, 7), notice(Some(3.0), 600), 650);
     fleet.set(entry(1, 7), 5, 700);
     assert_eq!(fleet.limits(800)[0].per_s, Some(3.0));
 }
@@ -101,12 +101,12 @@
 #[test]
 fn a_whole_list_brings_its_limits_to_a_new_vm() {
     let mut elder = fleet(3);
-    elder.note_limit(&of(1, 7), word(Some(2.0), 40_000), 40_100);
+    elder.note_limit(&of(1, 7), notice(Some(2.0), 40_000), 40_100);
     elder.publish(9);
     let mut newcomer = Fleet::default();
     newcomer.apply(elder.since(0, 41_000), 50);
     let told = newcomer.limit_notice(&of(1, 7)).expect("the limit came with the list");
-    assert_eq!(told, word(Some(2.0), 50 - 1_000), "one second old by the receiver's clock");
+    assert_eq!(told, notice(Some(2.0), 50 - 1_000), "one second old by the receiver's clock");
     assert_eq!(elder.words_fingerprint(), newcomer.words_fingerprint());
 }
 
@@ -114,9 +114,9 @@
 fn comparisons_converge_for_new_and_lifted_limits() {
     let (mut knows, mut missed) = (fleet(2), fleet(2));
     for fleet in [&mut knows, &mut missed] {
-        fleet.note_limit(&of(0, 7), word(Some(2.0), 100), 150);
+        fleet.note_limit(&of(0, 7), notice(Some(2.0), 100), 150);
     }
-    knows.note_limit(&of(0, 7), word(None, 200), 250);
+    knows.note_limit(&of(0, 7), notice(None, 200), 250);
     let told = Words::default().compare(knows.words_fingerprint(), &missed, true, 300);
     let heard = Words::hear(told.expect("they differ"), &mut knows, 302);
     assert!(heard.limits.is_empty(), "the received limit is older");
@@ -125,7 +125,7 @@
     assert_eq!(heard.limits.len(), 1);
     assert_eq!(missed.words_fingerprint(), 0);
     // In the other direction: the VM that missed a limit learns it.
-    knows.note_limit(&of(1, 7), word(Some(1.0), 400), 450);
+    knows.note_limit(&of(1, 7), notice(Some(1.0), 400), 450);
     let told = Words::default().compare(0, &knows, true, 500).expect("they differ");
     Words::hear(told, &mut missed, 502);
     assert_eq!(knows.words_fingerprint(), missed.words_fingerprint());
@@ -138,7 +138,7 @@
     let limits = vec![told(0, Some(2.0), u64::MAX), told(5, None, 3), told(6, Some(1.0), 0)];
     Words::hear(WordsTold { limits, ..WordsTold::default() }, &mut fleet, 100);
     assert_eq!(limit(&fleet), Some(2.0));
-    fleet.note_limit(&of(0, 7), word(None, 1), 101);
+    fleet.note_limit(&of(0, 7), notice(None, 1), 101);
     assert_eq!(limit(&fleet), None, "any answer is more recent");
 }
 
@@ -146,7 +146,7 @@
 fn a_backend_server_with_denied_permits_is_skipped_until_the_denial_ends() {
     let mut fleet = fleet(2);
     let key = fleet.of_service("shop")[0];
-    fleet.note_limit(&of(0, 7), word(Some(2.0), 100), 150);
+    fleet.note_limit(&of(0, 7), notice(Some(2.0), 100), 150);
     fleet.deny(key, 700, Some(0.5));
     assert_eq!(chosen(&fleet, 200), Some(1));
     let other = fleet.of_service("shop")[1];
@@ -156,7 +156,7 @@
     assert_eq!(chosen(&fleet, 700), Some(0));
     // Once the limit is lifted, it accepts requests at once.
     fleet.deny(key, 9_000, None);
-    fleet.note_limit(&of(0, 7), word(None, 800), 850);
+    fleet.note_limit(&of(0, 7), notice(None, 800), 850);
     assert_eq!(chosen(&fleet, 860), Some(0));
     assert_eq!(fleet.availability("shop", 860), Availability::Available);
 }
