--- a/crates/leverstream-core/src/fleet/leaving.rs
+++ b/crates/leverstream-core/src/fleet/leaving.rs
@@ -63,7 +63,7 @@
 
     /// Returns a fingerprint of the announcements that the platform does not list, equal at VMs
     /// that know the same: leaving incarnations and rate limits. It is 0 if there are none.
-    pub fn words_fingerprint(&self) -> u64 {
+    pub fn notices_fingerprint(&self) -> u64 {
         self.leavers_fingerprint() ^ self.limits_fingerprint()
     }
 
--- a/crates/leverstream-core/src/lib.rs
+++ b/crates/leverstream-core/src/lib.rs
@@ -23,6 +23,6 @@
 pub use floor::{Floor, assign_claims, used_share};
 pub use hedge::{Pending, hedge_gain, hedge_look_ms, is_hedge_worth};
 pub use latency::LatencyHistogram;
-pub use notices::{Words, WordsHeard, WordsTold};
+pub use notices::{AppliedNotices, NoticeSync, Notices};
 pub use profile::RouteProfile;
 pub use select::{Pick, PickRequest, choose};
--- a/crates/leverstream-core/src/notices.rs
+++ b/crates/leverstream-core/src/notices.rs
@@ -20,14 +20,14 @@
 
 /// The state of the comparisons with other VMs.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Words {
+pub struct NoticeSync {
     /// When this VM last sent its notices after a comparison.
     compared_ms: Option<u64>,
 }
 
 /// The notices that a VM sends to another.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct WordsTold {
+pub struct Notices {
     /// Incarnations that leave.
     pub starts: Vec<Incarnation>,
     /// Rate limits, including lifted ones.
@@ -38,16 +38,16 @@
 
 /// The effect of another VM's notices.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct WordsHeard {
+pub struct AppliedNotices {
     /// The leaving incarnations that were not known.
-    pub news: Vec<Incarnation>,
+    pub newly_leaving: Vec<Incarnation>,
     /// The limits that changed.
     pub limits: Vec<LimitUpdate>,
     /// The reply to send, if any.
-    pub answer: Option<WordsTold>,
+    pub answer: Option<Notices>,
 }
 
-impl Words {
+impl NoticeSync {
     /// Compares another VM's fingerprint with this VM's; returns the notices to send if they
     /// differ.
     pub fn compare(
@@ -56,8 +56,8 @@
         fleet: &Fleet,
         is_sharer: bool,
         now_ms: u64,
-    ) -> Option<WordsTold> {
-        if theirs == fleet.words_fingerprint() {
+    ) -> Option<Notices> {
+        if theirs == fleet.notices_fingerprint() {
             return None;
         }
         let pause_ms = if is_sharer { COMPARE_PAUSE_MS } else { NON_SHARER_COMPARE_PAUSE_MS };
@@ -67,15 +67,14 @@
         }
         self.compared_ms = Some(now_ms);
         // A VM with fingerprint 0 has no notices to ask for.
-        Some(WordsTold::all(fleet, theirs != 0, now_ms))
+        Some(Notices::all(fleet, theirs != 0, now_ms))
     }
 
     /// Applies the notices of another VM.
-    pub fn hear(received: WordsTold, fleet: &mut Fleet, now_ms: u64) -> WordsHeard {
-        let WordsTold { starts, limits, asks } = received;
-        let news = starts.into_iter().filter(|of| fleet.leave(of, now_ms)).collect();
-        let mut answer =
-            if asks { WordsTold::all(fleet, false, now_ms) } else { WordsTold::default() };
+    pub fn apply(received: Notices, fleet: &mut Fleet, now_ms: u64) -> AppliedNotices {
+        let Notices { starts, limits, asks } = received;
+        let newly_leaving = starts.into_iter().filter(|of| fleet.leave(of, now_ms)).collect();
+        let mut answer = if asks { Notices::all(fleet, false, now_ms) } else { Notices::default() };
         let mut changed = Vec::new();
         for update in limits {
             let notice = update.to_notice(now_ms);
@@ -94,13 +93,17 @@
             }
         }
         let has_notices = !answer.starts.is_empty() || !answer.limits.is_empty();
-        WordsHeard { news, limits: changed, answer: (asks || has_notices).then_some(answer) }
+        AppliedNotices {
+            newly_leaving,
+            limits: changed,
+            answer: (asks || has_notices).then_some(answer),
+        }
     }
 }
 
-impl WordsTold {
+impl Notices {
     /// Collects all known notices.
-    fn all(fleet: &Fleet, asks: bool, now_ms: u64) -> WordsTold {
-        WordsTold { starts: fleet.leavers().collect(), limits: fleet.limits(now_ms), asks }
+    fn all(fleet: &Fleet, asks: bool, now_ms: u64) -> Notices {
+        Notices { starts: fleet.leavers().collect(), limits: fleet.limits(now_ms), asks }
     }
 }
--- a/crates/leverstream-core/tests/leavers.rs
+++ b/crates/leverstream-core/tests/leavers.rs
@@ -172,19 +172,19 @@
     let applied = newcomer.apply(told.since(0, 5_000), 5_000);
     assert_eq!(applied.set, 2);
     assert_eq!(in_service(&newcomer), ["b"]);
-    assert_eq!(newcomer.words_fingerprint(), told.words_fingerprint());
+    assert_eq!(newcomer.notices_fingerprint(), told.notices_fingerprint());
 }
 
 #[test]
 fn the_fingerprint_is_zero_once_the_platform_lists_the_same() {
     let mut fleet = fleet_with_leave_notice();
-    assert_ne!(fleet.words_fingerprint(), 0);
+    assert_ne!(fleet.notices_fingerprint(), 0);
     let mut gone = fleet_with_leave_notice();
     fleet.set(leaving("a", 10), 2, 2_000);
-    assert_eq!(fleet.words_fingerprint(), 0);
+    assert_eq!(fleet.notices_fingerprint(), 0);
     gone.remove("a", 2);
-    assert_eq!(gone.words_fingerprint(), 0);
-    assert_eq!(Fleet::default().words_fingerprint(), 0);
+    assert_eq!(gone.notices_fingerprint(), 0);
+    assert_eq!(Fleet::default().notices_fingerprint(), 0);
 }
 
 #[test]
--- a/crates/leverstream-core/tests/leaving/mod.rs
+++ b/crates/leverstream-core/tests/leaving/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::{BinaryHeap, HashMap};
 
 use leverstream_catalog::{Backend, Incarnation};
-use leverstream_core::{Fleet, Outcome, PickRequest, RouteKey, Words, WordsTold, choose};
+use leverstream_core::{Fleet, NoticeSync, Notices, Outcome, PickRequest, RouteKey, choose};
 use leverstream_health::BackendKey;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -97,7 +97,7 @@
     /// Its fleet state.
     fleet: Fleet,
     /// The state of its comparisons.
-    compared: Words,
+    compared: NoticeSync,
     /// Its route.
     route: RouteKey,
     /// The end of its downtime or pause.
@@ -170,7 +170,7 @@
         fleet.set(entry(server, false), 1, now_ms);
     });
     let route = fleet.route_key("r", 400);
-    let (compared, announced_ms) = (Words::default(), HashMap::new());
+    let (compared, announced_ms) = (NoticeSync::default(), HashMap::new());
     Vm {
         fleet,
         compared,
@@ -376,12 +376,12 @@
 
     /// Handles the notices of another VM.
     fn hear(&mut self, from: usize, to: usize, starts: &[usize], asks: bool, now_ms: u64) {
-        let told = WordsTold {
+        let told = Notices {
             starts: starts.iter().copied().map(of).collect(),
             asks,
-            ..WordsTold::default()
+            ..Notices::default()
         };
-        let heard = Words::hear(told, &mut self.vms[to].fleet, now_ms);
+        let heard = NoticeSync::apply(told, &mut self.vms[to].fleet, now_ms);
         if let Some(told) = heard.answer {
             self.tell(to, from, told.starts.iter().map(server).collect(), told.asks, now_ms);
         }
@@ -405,7 +405,7 @@
 
     /// Sends a VM's fingerprint to another.
     fn tell_fingerprint(&mut self, from: usize, to: usize, now_ms: u64) {
-        let fingerprint = self.vms[from].fleet.words_fingerprint();
+        let fingerprint = self.vms[from].fleet.notices_fingerprint();
         self.send(from, to, &Scheduled::Compared { from, to, fingerprint }, now_ms);
     }
 
--- a/crates/leverstream-core/tests/limits.rs
+++ b/crates/leverstream-core/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use leverstream_catalog::{Backend, Incarnation};
 use leverstream_core::{
-    Availability, Fleet, LimitNotice, LimitUpdate, PickRequest, Words, WordsTold, choose,
+    Availability, Fleet, LimitNotice, LimitUpdate, NoticeSync, Notices, PickRequest, choose,
 };
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -107,7 +107,7 @@
     newcomer.apply(elder.since(0, 41_000), 50);
     let told = newcomer.limit_notice(&of(1, 7)).expect("the limit came with the list");
     assert_eq!(told, notice(Some(2.0), 50 - 1_000), "one second old by the receiver's clock");
-    assert_eq!(elder.words_fingerprint(), newcomer.words_fingerprint());
+    assert_eq!(elder.notices_fingerprint(), newcomer.notices_fingerprint());
 }
 
 #[test]
@@ -117,18 +117,18 @@
         fleet.note_limit(&of(0, 7), notice(Some(2.0), 100), 150);
     }
     knows.note_limit(&of(0, 7), notice(None, 200), 250);
-    let told = Words::default().compare(knows.words_fingerprint(), &missed, true, 300);
-    let heard = Words::hear(told.expect("they differ"), &mut knows, 302);
+    let told = NoticeSync::default().compare(knows.notices_fingerprint(), &missed, true, 300);
+    let heard = NoticeSync::apply(told.expect("they differ"), &mut knows, 302);
     assert!(heard.limits.is_empty(), "the received limit is older");
     let heard =
-        Words::hear(heard.answer.expect("the reply has the lifted limit"), &mut missed, 304);
+        NoticeSync::apply(heard.answer.expect("the reply has the lifted limit"), &mut missed, 304);
     assert_eq!(heard.limits.len(), 1);
-    assert_eq!(missed.words_fingerprint(), 0);
+    assert_eq!(missed.notices_fingerprint(), 0);
     // In the other direction: the VM that missed a limit learns it.
     knows.note_limit(&of(1, 7), notice(Some(1.0), 400), 450);
-    let told = Words::default().compare(0, &knows, true, 500).expect("they differ");
-    Words::hear(told, &mut missed, 502);
-    assert_eq!(knows.words_fingerprint(), missed.words_fingerprint());
+    let told = NoticeSync::default().compare(0, &knows, true, 500).expect("they differ");
+    NoticeSync::apply(told, &mut missed, 502);
+    assert_eq!(knows.notices_fingerprint(), missed.notices_fingerprint());
 }
 
 #[test]
@@ -136,7 +136,7 @@
     let mut fleet = fleet(1);
     let told = |number, per_s, age_ms| LimitUpdate { of: of(number, 7), per_s, age_ms };
     let limits = vec![told(0, Some(2.0), u64::MAX), told(5, None, 3), told(6, Some(1.0), 0)];
-    Words::hear(WordsTold { limits, ..WordsTold::default() }, &mut fleet, 100);
+    NoticeSync::apply(Notices { limits, ..Notices::default() }, &mut fleet, 100);
     assert_eq!(limit(&fleet), Some(2.0));
     fleet.note_limit(&of(0, 7), notice(None, 1), 101);
     assert_eq!(limit(&fleet), None, "any answer is more recent");
--- a/crates/leverstream-gateway/src/evidence.rs
+++ b/crates/leverstream-gateway/src/evidence.rs
@@ -114,7 +114,7 @@
     if !evidence.pass_on {
         return;
     }
-    let words = inner.fleet.borrow().words_fingerprint();
+    let words = inner.fleet.borrow().notices_fingerprint();
     let body = Some(Body::Evidence(Evidence { words, pass_on: false, ..evidence.clone() }));
     let near = inner.mesh.audience().near;
     let to: Vec<SocketAddr> = near.into_iter().filter(|address| *address != from).collect();
@@ -160,7 +160,7 @@
 /// Sends evidence to some VMs.
 fn send(inner: &Inner, backends: Vec<BackendDigest>, to: &[SocketAddr], pass_on: bool) {
     let reporter = inner.mesh.id();
-    let words = inner.fleet.borrow().words_fingerprint();
+    let words = inner.fleet.borrow().notices_fingerprint();
     let body = Some(Body::Evidence(Evidence { backends, reporter, words, pass_on }));
     inner.mesh.send(&inner.meters, &Packet { body, ..Packet::default() }, to);
 }
--- a/crates/leverstream-gateway/src/gateway.rs
+++ b/crates/leverstream-gateway/src/gateway.rs
@@ -5,7 +5,7 @@
 
 use displaydoc::Display;
 use leverstream_catalog::Catalog;
-use leverstream_core::{Demand, Fleet, Words};
+use leverstream_core::{Demand, Fleet, NoticeSync};
 use leverstream_pace::Clock;
 use leverstream_platform::Store;
 use leverstream_workspace::KeyHasher;
@@ -72,7 +72,7 @@
     /// Requests under which backend servers end.
     pub suspicions: Rc<Suspicions>,
     /// Backend servers that leave by their own word.
-    pub words: Cell<Words>,
+    pub words: Cell<NoticeSync>,
     /// Permits for requests to backend servers that name a limit.
     pub limits: Limits,
     /// Whether news are being fetched from another VM.
--- a/crates/leverstream-gateway/src/news.rs
+++ b/crates/leverstream-gateway/src/news.rs
@@ -90,7 +90,7 @@
         store_lost: inner.mesh.has_lost_store(),
         vms: inner.repeats.known_vms(),
         suspects: inner.suspicions.fingerprint(),
-        words: inner.fleet.borrow().words_fingerprint(),
+        words: inner.fleet.borrow().notices_fingerprint(),
     }
 }
 
@@ -154,7 +154,7 @@
 
     /// The body of all backend servers, packed once a revision, and anew every while as long as it tells how old words are.
     fn backends(&self, fleet: &Fleet, now_ms: u64) -> std::io::Result<Bytes> {
-        let words = fleet.words_fingerprint();
+        let words = fleet.notices_fingerprint();
         let turn = if words == 0 { 0 } else { now_ms / WORDS_KEEP_MS };
         let version = ListVersion { revision: fleet.revision(), words, turn };
         hold(&self.backends, version, || pack(&fleet.since(0, now_ms)))
--- a/crates/leverstream-gateway/src/words.rs
+++ b/crates/leverstream-gateway/src/words.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use leverstream_catalog::Incarnation;
-use leverstream_core::{LimitUpdate, Words, WordsTold};
+use leverstream_core::{LimitUpdate, NoticeSync, Notices};
 use leverstream_peer::packet::Body;
 use leverstream_peer::{self as peer, BackendLimit, BackendStart, Packet};
 use tracing::info;
@@ -20,13 +20,13 @@
 
 /// Tells others of a start that leaves.
 pub(crate) fn tell(inner: &Inner, of: &Incarnation) {
-    let told = WordsTold { starts: vec![of.clone()], ..WordsTold::default() };
+    let told = Notices { starts: vec![of.clone()], ..Notices::default() };
     say(inner, &told, &inner.mesh.sharers_and(OTHERS_TOLD));
 }
 
 /// Tells others of a limit, or that one is named no more.
 pub(crate) fn tell_limit(inner: &Inner, limit: LimitUpdate) {
-    let told = WordsTold { limits: vec![limit], ..WordsTold::default() };
+    let told = Notices { limits: vec![limit], ..Notices::default() };
     say(inner, &told, &inner.mesh.sharers_and(OTHERS_TOLD));
 }
 
@@ -43,14 +43,14 @@
 
 /// Takes in what another VM tells, and answers its question.
 pub(crate) fn hear(inner: &Inner, from: SocketAddr, said: &peer::Words, now_ms: u64) {
-    let heard = Words::hear(decode(said), &mut inner.fleet.borrow_mut(), now_ms);
-    for Incarnation { instance, born_ms } in &heard.news {
+    let heard = NoticeSync::apply(decode(said), &mut inner.fleet.borrow_mut(), now_ms);
+    for Incarnation { instance, born_ms } in &heard.newly_leaving {
         info!(backend = instance, born_ms, source = %from, "backend leaves");
     }
     for LimitUpdate { of: Incarnation { instance, born_ms }, per_s, age_ms } in &heard.limits {
         info!(backend = instance, born_ms, per_s, age_ms, source = %from, "backend limit");
     }
-    if !heard.news.is_empty() || !heard.limits.is_empty() {
+    if !heard.newly_leaving.is_empty() || !heard.limits.is_empty() {
         inner.wake_all();
     }
     if let Some(told) = heard.answer {
@@ -59,7 +59,7 @@
 }
 
 /// Tells some VMs what starts say of themselves, in as many datagrams as it takes.
-fn say(inner: &Inner, told: &WordsTold, to: &[SocketAddr]) {
+fn say(inner: &Inner, told: &Notices, to: &[SocketAddr]) {
     let send = |said| {
         let body = Some(Body::Words(said));
         inner.mesh.send(&inner.meters, &Packet { body, ..Packet::default() }, to);
@@ -99,8 +99,8 @@
 }
 
 /// What a datagram has told.
-fn decode(said: &peer::Words) -> WordsTold {
-    WordsTold {
+fn decode(said: &peer::Words) -> Notices {
+    Notices {
         starts: said.starts.iter().map(decode_start).collect(),
         limits: said.limits.iter().filter_map(decode_limit).collect(),
         asks: said.asks,
