--- a/crates/leverstream-bench/src/decide/run.rs
+++ b/crates/leverstream-bench/src/decide/run.rs
@@ -3,8 +3,8 @@
 
 use leverstream_catalog::Backend;
 use leverstream_core::{
-    Demand, Fleet, Outcome, Pending, PickRequest, Report, RequestOrigin, RouteKey, choose,
-    hedge_gain, hedge_look_ms, is_hedge_worth,
+    Demand, Fleet, Outcome, PendingRequest, PickRequest, Report, RequestOrigin, RouteKey, choose,
+    hedge_gain, is_hedge_worthwhile, next_hedge_check_ms,
 };
 use leverstream_health::BackendKey;
 use rand::rngs::StdRng;
@@ -425,7 +425,7 @@
         let request = &self.requests[index];
         let flights = self.flights(index);
         let pending = self.pending(index, &flights);
-        let wait_ms = hedge_look_ms(&self.vms[request.vm].fleet, &pending, now_ms);
+        let wait_ms = next_hedge_check_ms(&self.vms[request.vm].fleet, &pending, now_ms);
         self.push(now_ms + wait_ms, Event::Look(index));
     }
 
@@ -438,7 +438,7 @@
         }
         let flights = self.flights(index);
         let gain = hedge_gain(&self.vms[request.vm].fleet, &self.pending(index, &flights), now_ms);
-        match is_hedge_worth(gain, 0.0).then(|| self.pick(index, 0, now_ms)).flatten() {
+        match is_hedge_worthwhile(gain, 0.0).then(|| self.pick(index, 0, now_ms)).flatten() {
             Some(key) => {
                 self.figures.hedges += 1;
                 self.send(index, key, now_ms);
@@ -454,9 +454,9 @@
     }
 
     /// A request as the rule of hedges sees it.
-    fn pending<'b>(&self, index: usize, flights: &'b [(BackendKey, u64)]) -> Pending<'b> {
+    fn pending<'b>(&self, index: usize, flights: &'b [(BackendKey, u64)]) -> PendingRequest<'b> {
         let arrived_ms = self.requests[index].arrived_ms;
-        Pending {
+        PendingRequest {
             route: self.route,
             flights,
             on_time_ms: arrived_ms + self.shape.objective_ms,
--- a/crates/leverstream-bench/src/wide/run.rs
+++ b/crates/leverstream-bench/src/wide/run.rs
@@ -4,8 +4,8 @@
 
 use leverstream_catalog::Backend;
 use leverstream_core::{
-    BackendReport, Demand, Fleet, Outcome, Pending, PickRequest, Report, RouteKey, choose,
-    hedge_gain, hedge_look_ms, is_hedge_worth,
+    BackendReport, Demand, Fleet, Outcome, PendingRequest, PickRequest, Report, RouteKey, choose,
+    hedge_gain, is_hedge_worthwhile, next_hedge_check_ms,
 };
 use leverstream_health::BackendKey;
 use rand::rngs::StdRng;
@@ -473,7 +473,7 @@
     fn push_look(&mut self, index: usize, now_ms: u64) {
         let flights = self.flights(index);
         let fleet = &self.vms[self.requests[index].vm].fleet;
-        let wait_ms = hedge_look_ms(fleet, &self.pending(index, &flights), now_ms);
+        let wait_ms = next_hedge_check_ms(fleet, &self.pending(index, &flights), now_ms);
         self.push(now_ms + wait_ms, Event::Look(index));
     }
 
@@ -486,7 +486,7 @@
         let flights = self.flights(index);
         let fleet = &self.vms[request.vm].fleet;
         let gain = hedge_gain(fleet, &self.pending(index, &flights), now_ms);
-        match is_hedge_worth(gain, 0.0).then(|| self.pick(index, now_ms)).flatten() {
+        match is_hedge_worthwhile(gain, 0.0).then(|| self.pick(index, now_ms)).flatten() {
             Some(key) => self.send(index, key, now_ms),
             None => self.push_look(index, now_ms),
         }
@@ -499,10 +499,10 @@
     }
 
     /// A request as the rule of hedges sees it.
-    fn pending<'b>(&self, index: usize, flights: &'b [(BackendKey, u64)]) -> Pending<'b> {
+    fn pending<'b>(&self, index: usize, flights: &'b [(BackendKey, u64)]) -> PendingRequest<'b> {
         let Request { vm, is_again, arrived_ms, .. } = self.requests[index];
         let stream = self.stream(is_again);
-        Pending {
+        PendingRequest {
             route: self.vms[vm].routes[usize::from(is_again)],
             flights,
             on_time_ms: arrived_ms + stream.objective_ms,
--- a/crates/leverstream-core/src/hedge.rs
+++ b/crates/leverstream-core/src/hedge.rs
@@ -23,7 +23,7 @@
 
 /// A repeatable request in flight at one or more backend servers.
 #[derive(Clone, Copy, Debug)]
-pub struct Pending<'a> {
+pub struct PendingRequest<'a> {
     /// Its route.
     pub route: RouteKey,
     /// The backend servers that it was sent to, with the send times.
@@ -37,7 +37,7 @@
 /// Returns how much a hedge to a sound backend server raises the probability of an answer in time.
 ///
 /// Once an answer within the objective is no longer likely, the deadline counts instead.
-pub fn hedge_gain(fleet: &Fleet, pending: &Pending<'_>, now_ms: u64) -> f64 {
+pub fn hedge_gain(fleet: &Fleet, pending: &PendingRequest<'_>, now_ms: u64) -> f64 {
     let times = &fleet.route(pending.route).times;
     let is_late = now_ms as f64 + times.median_ms() > pending.on_time_ms as f64;
     let until_ms = if is_late { pending.deadline_ms } else { pending.on_time_ms };
@@ -54,7 +54,7 @@
 ///
 /// The rest of the budget is kept for larger gains: a retry after an error gains nearly a whole
 /// answer.
-pub fn is_hedge_worth(gain: f64, used_share: f64) -> bool {
+pub fn is_hedge_worthwhile(gain: f64, used_share: f64) -> bool {
     let scarcity = ((used_share - AMPLE_USED_SHARE) / (1.0 - AMPLE_USED_SHARE)).clamp(0.0, 1.0);
     gain >= MIN_GAIN + (1.0 - MIN_GAIN) * scarcity
 }
@@ -62,7 +62,7 @@
 /// Returns the time from `now_ms` until the next check whether to hedge. The first check comes at
 /// the median latency, when half of the answers have arrived, or earlier if the backend server is
 /// so doubtful that a hedge is worthwhile at once.
-pub fn hedge_look_ms(fleet: &Fleet, pending: &Pending<'_>, now_ms: u64) -> u64 {
+pub fn next_hedge_check_ms(fleet: &Fleet, pending: &PendingRequest<'_>, now_ms: u64) -> u64 {
     let median_ms = fleet.route(pending.route).times.median_ms();
     let interval_ms = ((median_ms * CHECK_INTERVAL_SHARE) as u64).max(MIN_CHECK_INTERVAL_MS);
     if hedge_gain(fleet, pending, now_ms) >= MIN_GAIN {
--- a/crates/leverstream-core/src/lib.rs
+++ b/crates/leverstream-core/src/lib.rs
@@ -21,7 +21,7 @@
     LimitUpdate, Outcome, Report, RequestOrigin, RouteKey, StateCounts,
 };
 pub use floor::{Floor, assign_claims, used_share};
-pub use hedge::{Pending, hedge_gain, hedge_look_ms, is_hedge_worth};
+pub use hedge::{PendingRequest, hedge_gain, is_hedge_worthwhile, next_hedge_check_ms};
 pub use latency::LatencyHistogram;
 pub use notices::{AppliedNotices, NoticeSync, Notices};
 pub use profile::RouteProfile;
--- a/crates/leverstream-core/tests/hedge.rs
+++ b/crates/leverstream-core/tests/hedge.rs
@@ -2,7 +2,7 @@
 
 use leverstream_catalog::Backend;
 use leverstream_core::{
-    Fleet, Outcome, Pending, RouteKey, hedge_gain, hedge_look_ms, is_hedge_worth,
+    Fleet, Outcome, PendingRequest, RouteKey, hedge_gain, is_hedge_worthwhile, next_hedge_check_ms,
 };
 use leverstream_health::BackendKey;
 
@@ -35,25 +35,29 @@
     let (mut fleet, key, route) = fleet(answer_ms);
     fleet.begin(key, route, 1_000);
     let flights = [(key, 1_000)];
-    let pending = Pending { route, flights: &flights, on_time_ms: 1_600, deadline_ms: 2_000 };
+    let pending =
+        PendingRequest { route, flights: &flights, on_time_ms: 1_600, deadline_ms: 2_000 };
     hedge_gain(&fleet, &pending, 1_000 + under_way_ms)
 }
 
 #[test]
 fn a_hedge_is_worthwhile_only_once_the_answer_is_overdue() {
-    assert!(!is_hedge_worth(gain(200.0, 150), 0.0), "{}", gain(200.0, 150));
-    assert!(is_hedge_worth(gain(200.0, 320), 0.0), "{}", gain(200.0, 320));
+    assert!(!is_hedge_worthwhile(gain(200.0, 150), 0.0), "{}", gain(200.0, 150));
+    assert!(is_hedge_worthwhile(gain(200.0, 320), 0.0), "{}", gain(200.0, 320));
 }
 
 #[test]
 fn a_hedge_too_late_for_the_objective_is_judged_by_the_deadline() {
-    assert!(is_hedge_worth(gain(200.0, 550), 0.0));
-    assert!(!is_hedge_worth(gain(200.0, 900), 0.0), "no hedge could be answered by the deadline");
+    assert!(is_hedge_worthwhile(gain(200.0, 550), 0.0));
+    assert!(
+        !is_hedge_worthwhile(gain(200.0, 900), 0.0),
+        "no hedge could be answered by the deadline"
+    );
 }
 
 #[test]
 fn no_hedge_is_worthwhile_at_the_usual_latency_of_a_slow_service() {
-    assert!(!is_hedge_worth(gain(450.0, 320), 0.0));
+    assert!(!is_hedge_worthwhile(gain(450.0, 320), 0.0));
 }
 
 #[test]
@@ -61,10 +65,11 @@
     let (mut fleet, key, route) = fleet(200.0);
     fleet.begin(key, route, 1_000);
     let flights = [(key, 1_000)];
-    let pending = Pending { route, flights: &flights, on_time_ms: 1_600, deadline_ms: 2_000 };
-    let first_ms = hedge_look_ms(&fleet, &pending, 1_000);
+    let pending =
+        PendingRequest { route, flights: &flights, on_time_ms: 1_600, deadline_ms: 2_000 };
+    let first_ms = next_hedge_check_ms(&fleet, &pending, 1_000);
     assert!((180..=220).contains(&first_ms), "{first_ms}");
-    let next_ms = hedge_look_ms(&fleet, &pending, 1_300);
+    let next_ms = next_hedge_check_ms(&fleet, &pending, 1_300);
     assert!((5..60).contains(&next_ms), "{next_ms}");
 }
 
@@ -77,16 +82,17 @@
     }
     fleet.begin(key, route, 1_010);
     let flights = [(key, 1_010)];
-    let pending = Pending { route, flights: &flights, on_time_ms: 1_610, deadline_ms: 2_010 };
-    assert!(hedge_look_ms(&fleet, &pending, 1_010) < 60);
+    let pending =
+        PendingRequest { route, flights: &flights, on_time_ms: 1_610, deadline_ms: 2_010 };
+    assert!(next_hedge_check_ms(&fleet, &pending, 1_010) < 60);
 }
 
 #[test]
 fn the_minimum_gain_rises_as_the_retry_budget_is_used() {
     // When a third of the backend servers are cut off, hedges with a gain of a fifth would use up
     // the budget, and errors would reach callers that a retry nearly always avoids.
-    assert!(is_hedge_worth(0.25, 0.3));
-    assert!(!is_hedge_worth(0.25, 0.6));
-    assert!(is_hedge_worth(0.8, 0.6));
-    assert!(!is_hedge_worth(0.8, 0.95));
+    assert!(is_hedge_worthwhile(0.25, 0.3));
+    assert!(!is_hedge_worthwhile(0.25, 0.6));
+    assert!(is_hedge_worthwhile(0.8, 0.6));
+    assert!(!is_hedge_worthwhile(0.8, 0.95));
 }
--- a/crates/leverstream-gateway/src/forward.rs
+++ b/crates/leverstream-gateway/src/forward.rs
@@ -5,7 +5,9 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use leverstream_catalog::Route;
-use leverstream_core::{Pending, Pick, RouteKey, hedge_gain, hedge_look_ms, is_hedge_worth};
+use leverstream_core::{
+    PendingRequest, Pick, RouteKey, hedge_gain, is_hedge_worthwhile, next_hedge_check_ms,
+};
 use leverstream_error::Kind;
 use leverstream_health::BackendKey;
 use leverstream_route::Room;
@@ -130,7 +132,7 @@
         let mut running = FuturesUnordered::new();
         running.push(self.send(sends, None));
         loop {
-            let look = tokio::time::sleep(Duration::from_millis(self.hedge_look_ms(sends)));
+            let look = tokio::time::sleep(Duration::from_millis(self.next_hedge_check_ms(sends)));
             tokio::select! {
                 biased;
                 ended = running.next() => {
@@ -307,18 +309,18 @@
     }
 
     /// How long to wait before looking whether another backend server should be asked.
-    fn hedge_look_ms(&self, sends: &Sends) -> u64 {
+    fn next_hedge_check_ms(&self, sends: &Sends) -> u64 {
         let flights = sends.flights.borrow();
         if flights.is_empty() {
             return SLOT_LOOK_MS;
         }
         let fleet = self.inner.fleet.borrow();
-        hedge_look_ms(&fleet, &self.pending(&flights), self.inner.now_ms())
+        next_hedge_check_ms(&fleet, &self.pending(&flights), self.inner.now_ms())
     }
 
     /// The request as it is under way.
-    fn pending<'b>(&self, flights: &'b [(BackendKey, u64)]) -> Pending<'b> {
-        Pending {
+    fn pending<'b>(&self, flights: &'b [(BackendKey, u64)]) -> PendingRequest<'b> {
+        PendingRequest {
             route: self.route_key,
             flights,
             on_time_ms: self.arrived_ms + self.route.objective_ms,
@@ -343,7 +345,7 @@
         let gain = hedge_gain(&self.inner.fleet.borrow(), &self.pending(&flights), now_ms);
         let sharers = self.inner.mesh.sharing.count();
         let used_part = self.inner.repeats.used_part(self.service, sharers, now_ms);
-        if !is_hedge_worth(gain, used_part) {
+        if !is_hedge_worthwhile(gain, used_part) {
             return None;
         }
         let tried = sends.tried.borrow().clone();
