--- a/crates/leverstream-bench/src/decide/run.rs
+++ b/crates/leverstream-bench/src/decide/run.rs
@@ -338,7 +338,7 @@
         match outcome {
             Outcome::Bad => row.0 += 1,
             Outcome::Good { .. } => row.0 = 0,
-            Outcome::Nothing | Outcome::NoEvidence | Outcome::Expired => {}
+            Outcome::Abandoned | Outcome::Neutral | Outcome::Expired => {}
         }
         if row.0 >= ROW.0 {
             *row = (0, now_ms + ROW.1);
@@ -402,7 +402,7 @@
         }
         let (vm, arrived_ms) = (request.vm, request.arrived_ms);
         for exchange in std::mem::take(&mut request.exchanges) {
-            let outcome = if is_served { Outcome::Nothing } else { Outcome::Bad };
+            let outcome = if is_served { Outcome::Abandoned } else { Outcome::Bad };
             self.leave(exchange, outcome, now_ms);
         }
         self.vms[vm].demand.note_end(is_served, now_ms);
--- a/crates/leverstream-bench/src/wide/run.rs
+++ b/crates/leverstream-bench/src/wide/run.rs
@@ -448,7 +448,7 @@
         let (vm, is_again, took_ms) = (request.vm, request.is_again, now_ms - request.arrived_ms);
         let is_counted = request.arrived_ms >= WARM_UP_MS;
         for exchange in std::mem::take(&mut request.exchanges) {
-            let outcome = if is_served { Outcome::Nothing } else { Outcome::Expired };
+            let outcome = if is_served { Outcome::Abandoned } else { Outcome::Expired };
             self.leave(exchange, outcome, now_ms);
         }
         self.vms[vm].demand.note_end(is_served, now_ms);
--- a/crates/leverstream-core/src/fleet.rs
+++ b/crates/leverstream-core/src/fleet.rs
@@ -407,8 +407,7 @@
         let was_sound = member.was_sound(episodes, now_ms);
         // A request cut off because its backend server leaves is no evidence of a failure.
         let is_good = matches!(outcome, Outcome::Good { .. });
-        let outcome =
-            if member.is_out_of_service && !is_good { Outcome::NoEvidence } else { outcome };
+        let outcome = if member.is_out_of_service && !is_good { Outcome::Neutral } else { outcome };
         self.has_bad_news |= member.end(since_ms, route, outcome, &self.routes, episodes, now_ms);
         match outcome {
             Outcome::Good { time_ms, bytes } => {
--- a/crates/leverstream-core/src/fleet/backend_state.rs
+++ b/crates/leverstream-core/src/fleet/backend_state.rs
@@ -129,10 +129,10 @@
     /// any backend server.
     Expired,
     /// The attempt was abandoned without an answer; it counts as a failure only if it was overdue.
-    Nothing,
+    Abandoned,
     /// An end that is no evidence about the backend server's health, such as an answer that it has
     /// no capacity.
-    NoEvidence,
+    Neutral,
 }
 
 /// Another VM's report of a backend server; its counters start at zero when that VM starts.
@@ -287,11 +287,11 @@
         if let Some(at) = self.requests_in_flight.iter().position(|other| *other == request) {
             self.requests_in_flight.swap_remove(at);
         }
-        if !matches!(outcome, Outcome::Nothing | Outcome::NoEvidence) {
+        if !matches!(outcome, Outcome::Abandoned | Outcome::Neutral) {
             self.hold_off.note_answer(since_ms);
         }
         match outcome {
-            Outcome::NoEvidence => false,
+            Outcome::Neutral => false,
             Outcome::Good { time_ms, .. } => {
                 self.good += 1;
                 self.suspicion.good(1, episodes, now_ms);
@@ -306,7 +306,7 @@
                 }
             }
             Outcome::Bad => self.note_bad(episodes, now_ms),
-            Outcome::Nothing => self.note_unanswered(slower_share, episodes, now_ms),
+            Outcome::Abandoned => self.note_unanswered(slower_share, episodes, now_ms),
         }
     }
 
--- a/crates/leverstream-core/tests/fleet.rs
+++ b/crates/leverstream-core/tests/fleet.rs
@@ -105,7 +105,7 @@
     fleet.report(&start("a", 0), 9, report(2, 5, 0, 1_000));
     assert_eq!(evaluate(&fleet, key, false, 1_100).load, 3);
     assert_eq!(evaluate(&fleet, key, false, 9_000).load, 1);
-    fleet.end(key, 1_000, route, Outcome::Nothing, 9_000);
+    fleet.end(key, 1_000, route, Outcome::Abandoned, 9_000);
     assert_eq!(evaluate(&fleet, key, false, 9_000).load, 0);
 }
 
@@ -175,7 +175,7 @@
     for (gave_up_ms, is_avoided) in [(1_050, false), (1_900, true)] {
         let (mut fleet, key, route) = fleet_of_one();
         fleet.begin(key, route, 1_000);
-        fleet.end(key, 1_000, route, Outcome::Nothing, gave_up_ms);
+        fleet.end(key, 1_000, route, Outcome::Abandoned, gave_up_ms);
         assert_eq!(
             evaluate(&fleet, key, false, gave_up_ms).is_avoided(false),
             is_avoided,
--- a/crates/leverstream-core/tests/hold_off.rs
+++ b/crates/leverstream-core/tests/hold_off.rs
@@ -90,7 +90,7 @@
     fleet.end(held, 900, route, good, 1_100);
     fleet.begin(held, route, 2_000);
     assert_eq!(chosen(&fleet, 2_010), None, "an answer to an earlier request does not count");
-    fleet.end(held, 2_000, route, Outcome::NoEvidence, 2_020);
+    fleet.end(held, 2_000, route, Outcome::Neutral, 2_020);
     fleet.begin(held, route, 2_030);
     assert_eq!(chosen(&fleet, 2_040), None, "nor does a rejected request");
     fleet.end(held, 2_030, route, good, 2_080);
@@ -105,7 +105,7 @@
     let before = fleet.failed_share("shop");
     for at in 0..50 {
         fleet.begin(held, route, at * 10);
-        fleet.end(held, at * 10, route, Outcome::NoEvidence, at * 10 + 5);
+        fleet.end(held, at * 10, route, Outcome::Neutral, at * 10 + 5);
     }
     assert_eq!(fleet.failed_share("shop"), before);
     assert!(chosen(&fleet, 1_000).is_some());
--- a/crates/leverstream-gateway/src/attempt.rs
+++ b/crates/leverstream-gateway/src/attempt.rs
@@ -175,7 +175,7 @@
     if says_not_run && matches!(answer.status, 429 | 503) {
         // How long it wants nothing speaks of its load, not of how sound it is.
         let tells_time = sent.notice.get().holds_off_ms.is_some();
-        sent.fail(if tells_time { Outcome::NoEvidence } else { Outcome::Bad }, "shed");
+        sent.fail(if tells_time { Outcome::Neutral } else { Outcome::Bad }, "shed");
         return Tried::NotRun(Kind::Shed);
     }
     let has_id = request.id.is_none() || answer.field(headers::REQUEST_ID).is_some();
--- a/crates/leverstream-gateway/src/slot.rs
+++ b/crates/leverstream-gateway/src/slot.rs
@@ -151,7 +151,7 @@
         pick,
         since_ms: now_ms,
         route: want.route,
-        outcome: Cell::new(Outcome::Nothing),
+        outcome: Cell::new(Outcome::Abandoned),
     })
 }
 
