--- a/crates/leverstream-bench/src/capacity/choosing.rs
+++ b/crates/leverstream-bench/src/capacity/choosing.rs
@@ -42,8 +42,14 @@
         (0..SHARERS).for_each(|vm| {
             fleet.report(&of, vm, report(now_ms));
         });
-        fleet.begin(*key, route, now_ms);
-        fleet.end(*key, now_ms, route, Outcome::Good { time_ms: 200.0, bytes: 5_000 }, now_ms);
+        fleet.begin_request(*key, route, now_ms);
+        fleet.end_request(
+            *key,
+            now_ms,
+            route,
+            Outcome::Good { time_ms: 200.0, bytes: 5_000 },
+            now_ms,
+        );
     }
     let mut rng = StdRng::seed_from_u64(1);
     let want = PickRequest {
--- a/crates/leverstream-bench/src/decide/run.rs
+++ b/crates/leverstream-bench/src/decide/run.rs
@@ -283,8 +283,8 @@
         let request = &mut self.requests[index];
         request.exchanges.push(exchange);
         request.tried.push(key);
-        self.vms[vm].fleet.begin(key, self.route, now_ms);
-        self.vms[vm].fleet.reach(key, now_ms);
+        self.vms[vm].fleet.begin_request(key, self.route, now_ms);
+        self.vms[vm].fleet.note_reached(key, now_ms);
         self.vms[vm].in_flight[server] += 1;
         self.enter(exchange, now_ms);
         if self.shape.is_repeatable {
@@ -332,7 +332,7 @@
         self.exchanges[exchange].is_over = true;
         let index = key.0 as usize;
         let vm = &mut self.vms[self.requests[request].vm];
-        vm.fleet.end(key, since_ms, self.route, outcome, now_ms);
+        vm.fleet.end_request(key, since_ms, self.route, outcome, now_ms);
         vm.in_flight[index] -= 1;
         let row = &mut vm.rows[index];
         match outcome {
--- a/crates/leverstream-bench/src/wide/run.rs
+++ b/crates/leverstream-bench/src/wide/run.rs
@@ -333,8 +333,8 @@
         request.exchanges.push(exchange);
         request.tried.push(key);
         let route = self.vms[vm].routes[usize::from(is_again)];
-        self.vms[vm].fleet.begin(key, route, now_ms);
-        self.vms[vm].fleet.reach(key, now_ms);
+        self.vms[vm].fleet.begin_request(key, route, now_ms);
+        self.vms[vm].fleet.note_reached(key, now_ms);
         self.gather(vm, now_ms);
         self.enter(exchange, now_ms);
         if is_again {
@@ -397,7 +397,7 @@
         let Exchange { request, key, since_ms, has_slot, .. } = *exchange;
         let Request { vm, is_again, .. } = self.requests[request];
         let route = self.vms[vm].routes[usize::from(is_again)];
-        self.vms[vm].fleet.end(key, since_ms, route, outcome, now_ms);
+        self.vms[vm].fleet.end_request(key, since_ms, route, outcome, now_ms);
         self.vms[vm].idle_since_ms[key.0 as usize] = Some(now_ms);
         self.gather(vm, now_ms);
         self.requests[request].exchanges.retain(|other| *other != index);
--- a/crates/leverstream-core/src/fleet.rs
+++ b/crates/leverstream-core/src/fleet.rs
@@ -378,23 +378,23 @@
     }
 
     /// Records that a request is sent to a backend server.
-    pub fn begin(&mut self, key: BackendKey, route: RouteKey, now_ms: u64) {
-        self.arena[key.0 as usize].begin(route, now_ms);
+    pub fn begin_request(&mut self, key: BackendKey, route: RouteKey, now_ms: u64) {
+        self.arena[key.0 as usize].begin_request(route, now_ms);
         self.busy.insert(key);
         self.touch(key);
         self.mark_unreported(key);
     }
 
     /// Records that a request in flight has reached its backend server.
-    pub fn reach(&mut self, key: BackendKey, now_ms: u64) {
+    pub fn note_reached(&mut self, key: BackendKey, now_ms: u64) {
         if let Some(member) = self.arena.get_mut(key.0 as usize) {
-            member.reach(now_ms);
+            member.note_reached(now_ms);
             self.mark_unreported(key);
         }
     }
 
-    /// Records the end of a request; `since_ms` and `route` are those passed to [`Fleet::begin`].
-    pub fn end(
+    /// Records the end of a request; `since_ms` and `route` are those passed to [`Fleet::begin_request`].
+    pub fn end_request(
         &mut self,
         key: BackendKey,
         since_ms: u64,
@@ -408,7 +408,8 @@
         // A request cut off because its backend server leaves is no evidence of a failure.
         let is_good = matches!(outcome, Outcome::Good { .. });
         let outcome = if member.is_out_of_service && !is_good { Outcome::Neutral } else { outcome };
-        self.has_bad_news |= member.end(since_ms, route, outcome, &self.routes, episodes, now_ms);
+        self.has_bad_news |=
+            member.end_request(since_ms, route, outcome, &self.routes, episodes, now_ms);
         match outcome {
             Outcome::Good { time_ms, bytes } => {
                 self.routes[route.0 as usize].note(time_ms, bytes);
--- a/crates/leverstream-core/src/fleet/backend_state.rs
+++ b/crates/leverstream-core/src/fleet/backend_state.rs
@@ -262,18 +262,18 @@
     }
 
     /// Records that a request is sent.
-    pub fn begin(&mut self, route: RouteKey, now_ms: u64) {
+    pub fn begin_request(&mut self, route: RouteKey, now_ms: u64) {
         self.requests_in_flight.push(RequestInFlight { since_ms: now_ms, route });
     }
 
     /// Records that a request of this VM has arrived.
-    pub fn reach(&mut self, now_ms: u64) {
+    pub fn note_reached(&mut self, now_ms: u64) {
         self.reached_ms = now_ms;
         self.own_reached_ms = Some(now_ms);
     }
 
     /// Records the end of a request; returns whether it is evidence of a failure.
-    pub fn end(
+    pub fn end_request(
         &mut self,
         since_ms: u64,
         route: RouteKey,
--- a/crates/leverstream-core/tests/fleet.rs
+++ b/crates/leverstream-core/tests/fleet.rs
@@ -101,11 +101,11 @@
 #[test]
 fn load_reports_of_other_vms_expire() {
     let (mut fleet, key, route) = fleet_of_one();
-    fleet.begin(key, route, 1_000);
+    fleet.begin_request(key, route, 1_000);
     fleet.report(&start("a", 0), 9, report(2, 5, 0, 1_000));
     assert_eq!(evaluate(&fleet, key, false, 1_100).load, 3);
     assert_eq!(evaluate(&fleet, key, false, 9_000).load, 1);
-    fleet.end(key, 1_000, route, Outcome::Abandoned, 9_000);
+    fleet.end_request(key, 1_000, route, Outcome::Abandoned, 9_000);
     assert_eq!(evaluate(&fleet, key, false, 9_000).load, 0);
 }
 
@@ -137,16 +137,16 @@
 fn an_overdue_request_makes_its_backend_server_avoided_until_it_ends() {
     let (mut fleet, key, route) = fleet_of_one();
     (0..100).for_each(|at| {
-        fleet.begin(key, route, at);
-        fleet.end(key, at, route, good(80.0 + at as f64 % 40.0), at);
+        fleet.begin_request(key, route, at);
+        fleet.end_request(key, at, route, good(80.0 + at as f64 % 40.0), at);
     });
-    fleet.begin(key, route, 1_000);
+    fleet.begin_request(key, route, 1_000);
     assert!(
         evaluate(&fleet, key, false, 1_100).failure_chance < 0.05,
         "half of the answers take as long"
     );
     assert!(evaluate(&fleet, key, false, 1_400).is_avoided(false));
-    fleet.end(key, 1_000, route, good(410.0), 1_410);
+    fleet.end_request(key, 1_000, route, good(410.0), 1_410);
     assert!(!evaluate(&fleet, key, false, 1_410).is_avoided(false), "it has answered");
 }
 
@@ -154,7 +154,7 @@
 fn an_overdue_request_is_reported_and_makes_other_vms_avoid_the_backend_server() {
     let (mut reporter, key, route) = fleet_of_one();
     let (mut receiver, receiver_key, _) = fleet_of_one();
-    reporter.begin(key, route, 1_000);
+    reporter.begin_request(key, route, 1_000);
     reporter.take_unreported();
     assert!(!reporter.note_overdue(1_080), "not overdue yet");
     assert!(reporter.note_overdue(1_500));
@@ -164,7 +164,7 @@
     assert!(!reporter.note_overdue(1_510), "already reported");
     receiver.report(&start("a", 0), 7, Report { heard_ms: 1_505, ..reports[0].report });
     assert!(evaluate(&receiver, receiver_key, false, 1_505).is_avoided(false));
-    reporter.end(key, 1_000, route, good(520.0), 1_520);
+    reporter.end_request(key, 1_000, route, good(520.0), 1_520);
     let reports = reporter.reports(&keys, 1_520);
     receiver.report(&start("a", 0), 7, Report { heard_ms: 1_525, ..reports[0].report });
     assert!(!evaluate(&receiver, receiver_key, false, 1_525).is_avoided(false), "the answer came");
@@ -174,8 +174,8 @@
 fn an_abandoned_request_counts_as_a_failure_only_if_it_was_overdue() {
     for (gave_up_ms, is_avoided) in [(1_050, false), (1_900, true)] {
         let (mut fleet, key, route) = fleet_of_one();
-        fleet.begin(key, route, 1_000);
-        fleet.end(key, 1_000, route, Outcome::Abandoned, gave_up_ms);
+        fleet.begin_request(key, route, 1_000);
+        fleet.end_request(key, 1_000, route, Outcome::Abandoned, gave_up_ms);
         assert_eq!(
             evaluate(&fleet, key, false, gave_up_ms).is_avoided(false),
             is_avoided,
@@ -189,11 +189,11 @@
     let (mut fleet, key, route) = fleet_of_one();
     let mut now_ms = 1_000;
     for _ in 0..300 {
-        fleet.begin(key, route, now_ms);
-        fleet.end(key, now_ms, route, good(800.0), now_ms + 800);
+        fleet.begin_request(key, route, now_ms);
+        fleet.end_request(key, now_ms, route, good(800.0), now_ms + 800);
         now_ms += 900;
     }
-    fleet.begin(key, route, now_ms);
+    fleet.begin_request(key, route, now_ms);
     assert!(!evaluate(&fleet, key, false, now_ms + 820).is_avoided(false));
 }
 
@@ -201,15 +201,15 @@
 fn the_floor_claims_an_idle_backend_server_whose_last_failure_is_old() {
     let (mut fleet, key, route) = fleet_of_one();
     for at in 0..10 {
-        fleet.begin(key, route, 1_000 + at);
-        fleet.end(key, 1_000 + at, route, Outcome::Bad, 1_000 + at);
+        fleet.begin_request(key, route, 1_000 + at);
+        fleet.end_request(key, 1_000 + at, route, Outcome::Bad, 1_000 + at);
     }
     assert!(evaluate(&fleet, key, true, 2_500).is_avoided(false), "its last failure is recent");
     assert!(evaluate(&fleet, key, false, 3_000).is_avoided(false), "the floor does not apply");
     let by_floor = evaluate(&fleet, key, true, 3_000);
     assert!(!by_floor.is_avoided(false) && by_floor.claim == Claim::Owed);
-    fleet.begin(key, route, 3_000);
-    fleet.reach(key, 3_001);
+    fleet.begin_request(key, route, 3_000);
+    fleet.note_reached(key, 3_001);
     assert!(
         evaluate(&fleet, key, true, 3_001).is_avoided(false),
         "one request in flight is enough"
@@ -226,9 +226,9 @@
     let keys = fleet.of_service("shop").to_vec();
     let route = fleet.route_key("r", 250);
     let mut ask = |key: usize, outcome: Outcome, now_ms: u64| {
-        fleet.begin(keys[key], route, now_ms);
-        fleet.reach(keys[key], now_ms);
-        fleet.end(keys[key], now_ms, route, outcome, now_ms);
+        fleet.begin_request(keys[key], route, now_ms);
+        fleet.note_reached(keys[key], now_ms);
+        fleet.end_request(keys[key], now_ms, route, outcome, now_ms);
         share(&fleet, now_ms)
     };
     assert_eq!(ask(0, good(10.0), 5_000), 0.25);
@@ -245,17 +245,17 @@
     let keys = fleet.of_service("shop").to_vec();
     let route = fleet.route_key("r", 250);
     for at in 0..10 {
-        fleet.begin(keys[3], route, 9_000 + at);
-        fleet.reach(keys[3], 9_000 + at);
-        fleet.end(keys[3], 9_000 + at, route, good(100.0), 9_100 + at);
+        fleet.begin_request(keys[3], route, 9_000 + at);
+        fleet.note_reached(keys[3], 9_000 + at);
+        fleet.end_request(keys[3], 9_000 + at, route, good(100.0), 9_100 + at);
     }
     // Then three slow ones get all of the work and the fourth gets none.
     for at in 0..8 {
         let now_ms = 10_000 + at * 500;
         for key in &keys[..3] {
-            fleet.begin(*key, route, now_ms);
-            fleet.reach(*key, now_ms);
-            fleet.end(*key, now_ms, route, good(700.0), now_ms + 700);
+            fleet.begin_request(*key, route, now_ms);
+            fleet.note_reached(*key, now_ms);
+            fleet.end_request(*key, now_ms, route, good(700.0), now_ms + 700);
         }
     }
     assert_eq!(share(&fleet, 14_200), 0.0, "the share among those that are not slow");
@@ -282,8 +282,8 @@
 fn reports_contain_the_age_of_the_latest_arrival() {
     let (mut fleet, key, route) = fleet_of_one();
     assert_eq!(fleet.reports(&[key], 900)[0].report.reached_age_ms(), None);
-    fleet.begin(key, route, 1_000);
-    fleet.reach(key, 1_002);
+    fleet.begin_request(key, route, 1_000);
+    fleet.note_reached(key, 1_002);
     assert_eq!(fleet.reports(&[key], 1_500)[0].report.reached_age_ms(), Some(498));
 }
 
@@ -330,11 +330,11 @@
     for at in 0..60_u64 {
         let (now_ms, key) = (1_000 + at * 500, keys[at as usize % 4]);
         for _ in 0..2 {
-            fleet.begin(key, sound, now_ms);
-            fleet.end(key, now_ms, sound, good(100.0), now_ms + 100);
+            fleet.begin_request(key, sound, now_ms);
+            fleet.end_request(key, now_ms, sound, good(100.0), now_ms + 100);
         }
-        fleet.begin(key, poisoned, now_ms);
-        fleet.end(key, now_ms, poisoned, Outcome::Expired, now_ms + 401);
+        fleet.begin_request(key, poisoned, now_ms);
+        fleet.end_request(key, now_ms, poisoned, Outcome::Expired, now_ms + 401);
         let avoided =
             evaluate_all(&fleet, now_ms + 402).iter().filter(|one| one.is_avoided(false)).count();
         assert_eq!(avoided, 0, "{at}");
@@ -345,11 +345,11 @@
 fn a_backend_server_is_avoided_if_a_route_expires_only_there() {
     let (mut fleet, key, route) = fleet_of_one();
     (0..60).for_each(|at| {
-        fleet.begin(key, route, at * 10);
-        fleet.end(key, at * 10, route, good(100.0), at * 10);
+        fleet.begin_request(key, route, at * 10);
+        fleet.end_request(key, at * 10, route, good(100.0), at * 10);
     });
-    fleet.begin(key, route, 1_000);
-    fleet.end(key, 1_000, route, Outcome::Expired, 2_200);
+    fleet.begin_request(key, route, 1_000);
+    fleet.end_request(key, 1_000, route, Outcome::Expired, 2_200);
     assert!(evaluate(&fleet, key, false, 2_200).is_avoided(false));
 }
 
@@ -387,10 +387,10 @@
     fleet.set(born(100), 1, 0);
     let (route, before) = (fleet.route_key("r", 250), fleet.of_service("shop")[0]);
     (0..6).for_each(|at| {
-        fleet.begin(before, route, at * 10);
-        fleet.end(before, at * 10, route, Outcome::Bad, at * 10);
+        fleet.begin_request(before, route, at * 10);
+        fleet.end_request(before, at * 10, route, Outcome::Bad, at * 10);
     });
-    fleet.begin(before, route, 100);
+    fleet.begin_request(before, route, 100);
     assert!(evaluate(&fleet, before, false, 100).is_avoided(false));
     assert!(fleet.set(born(200), 2, 100));
     let after = fleet.of_service("shop")[0];
@@ -398,7 +398,7 @@
     assert!(!evaluated.is_avoided(false), "it has not failed");
     assert_eq!(evaluated.load, 0, "it has no requests in flight");
     // Late events of the earlier incarnation change nothing.
-    fleet.end(before, 100, route, Outcome::Bad, 110);
+    fleet.end_request(before, 100, route, Outcome::Bad, 110);
     assert!(!fleet.set(born(100), 3, 120));
     assert!(!fleet.report(&start("a", 100), 9, report(2, 0, 9, 120)));
     assert!(!fleet.end_incarnation(&start("a", 100)));
--- a/crates/leverstream-core/tests/hedge.rs
+++ b/crates/leverstream-core/tests/hedge.rs
@@ -24,8 +24,8 @@
     let route = fleet.route_key("r", 600);
     for at in 0..200 {
         let time_ms = answer_ms * (0.8 + 0.4 * at as f64 / 200.0);
-        fleet.begin(key, route, at);
-        fleet.end(key, at, route, Outcome::Good { time_ms, bytes: 400 }, at);
+        fleet.begin_request(key, route, at);
+        fleet.end_request(key, at, route, Outcome::Good { time_ms, bytes: 400 }, at);
     }
     (fleet, key, route)
 }
@@ -33,7 +33,7 @@
 /// Returns the gain of a hedge for a request that has been in flight for some time.
 fn gain(answer_ms: f64, under_way_ms: u64) -> f64 {
     let (mut fleet, key, route) = fleet(answer_ms);
-    fleet.begin(key, route, 1_000);
+    fleet.begin_request(key, route, 1_000);
     let flights = [(key, 1_000)];
     let pending =
         PendingRequest { route, flights: &flights, on_time_ms: 1_600, deadline_ms: 2_000 };
@@ -63,7 +63,7 @@
 #[test]
 fn the_first_hedge_check_is_at_the_median_latency() {
     let (mut fleet, key, route) = fleet(200.0);
-    fleet.begin(key, route, 1_000);
+    fleet.begin_request(key, route, 1_000);
     let flights = [(key, 1_000)];
     let pending =
         PendingRequest { route, flights: &flights, on_time_ms: 1_600, deadline_ms: 2_000 };
@@ -77,10 +77,10 @@
 fn the_first_hedge_check_is_immediate_at_a_doubtful_backend_server() {
     let (mut fleet, key, route) = fleet(200.0);
     for at in 0..4 {
-        fleet.begin(key, route, 1_000 + at);
-        fleet.end(key, 1_000 + at, route, Outcome::Bad, 1_000 + at);
+        fleet.begin_request(key, route, 1_000 + at);
+        fleet.end_request(key, 1_000 + at, route, Outcome::Bad, 1_000 + at);
     }
-    fleet.begin(key, route, 1_010);
+    fleet.begin_request(key, route, 1_010);
     let flights = [(key, 1_010)];
     let pending =
         PendingRequest { route, flights: &flights, on_time_ms: 1_610, deadline_ms: 2_010 };
--- a/crates/leverstream-core/tests/hold_off.rs
+++ b/crates/leverstream-core/tests/hold_off.rs
@@ -84,17 +84,17 @@
 fn after_a_hold_off_one_request_must_be_answered_before_more_are_sent() {
     let (mut fleet, route) = fleet(1);
     let held = key(&fleet, "a");
-    fleet.begin(held, route, 900);
+    fleet.begin_request(held, route, 900);
     fleet.hold_off(held, 1_000, 1_000);
     let good = Outcome::Good { time_ms: 50.0, bytes: 10 };
-    fleet.end(held, 900, route, good, 1_100);
-    fleet.begin(held, route, 2_000);
+    fleet.end_request(held, 900, route, good, 1_100);
+    fleet.begin_request(held, route, 2_000);
     assert_eq!(chosen(&fleet, 2_010), None, "an answer to an earlier request does not count");
-    fleet.end(held, 2_000, route, Outcome::Neutral, 2_020);
-    fleet.begin(held, route, 2_030);
+    fleet.end_request(held, 2_000, route, Outcome::Neutral, 2_020);
+    fleet.begin_request(held, route, 2_030);
     assert_eq!(chosen(&fleet, 2_040), None, "nor does a rejected request");
-    fleet.end(held, 2_030, route, good, 2_080);
-    fleet.begin(held, route, 2_090);
+    fleet.end_request(held, 2_030, route, good, 2_080);
+    fleet.begin_request(held, route, 2_090);
     assert_eq!(chosen(&fleet, 2_090), Some(held));
 }
 
@@ -104,8 +104,8 @@
     let held = key(&fleet, "a");
     let before = fleet.failed_share("shop");
     for at in 0..50 {
-        fleet.begin(held, route, at * 10);
-        fleet.end(held, at * 10, route, Outcome::Neutral, at * 10 + 5);
+        fleet.begin_request(held, route, at * 10);
+        fleet.end_request(held, at * 10, route, Outcome::Neutral, at * 10 + 5);
     }
     assert_eq!(fleet.failed_share("shop"), before);
     assert!(chosen(&fleet, 1_000).is_some());
--- a/crates/leverstream-core/tests/leavers.rs
+++ b/crates/leverstream-core/tests/leavers.rs
@@ -234,11 +234,11 @@
     let route = fleet.route_key("r", 250);
     let key = *fleet.of_service("shop").first().expect("one is left");
     (0..50).for_each(|at| {
-        fleet.begin(key, route, 2_000 + at);
+        fleet.begin_request(key, route, 2_000 + at);
     });
     fleet.leave(&fleet.incarnation(key), 2_100);
     (0..50).for_each(|at| {
-        fleet.end(key, 2_000 + at, route, Outcome::Bad, 2_200);
+        fleet.end_request(key, 2_000 + at, route, Outcome::Bad, 2_200);
     });
     assert_eq!(fleet.failed_share("shop"), before);
 }
--- a/crates/leverstream-core/tests/leaving/mod.rs
+++ b/crates/leverstream-core/tests/leaving/mod.rs
@@ -325,7 +325,7 @@
             return;
         };
         let server = server(&vm.fleet.incarnation(pick.key));
-        vm.fleet.begin(pick.key, vm.route, now_ms);
+        vm.fleet.begin_request(pick.key, vm.route, now_ms);
         let own_ms = vm.announced_ms.get(&server).map_or(0, |word_ms| now_ms - word_ms);
         let any_ms = self.first_announced_ms.get(&server).map_or(0, |word_ms| now_ms - word_ms);
         self.observations.longest_own_ms = self.observations.longest_own_ms.max(own_ms);
@@ -361,7 +361,7 @@
         let vm = &mut self.vms[at];
         let is_news = leaves && vm.fleet.leave(&of(server), now_ms);
         let good = Outcome::Good { time_ms: WORK_MS as f64, bytes: 100 };
-        vm.fleet.end(key, since_ms, vm.route, good, now_ms);
+        vm.fleet.end_request(key, since_ms, vm.route, good, now_ms);
         if leaves {
             vm.announced_ms.entry(server).or_insert(now_ms);
             self.first_announced_ms.entry(server).or_insert(now_ms);
--- a/crates/leverstream-core/tests/roster.rs
+++ b/crates/leverstream-core/tests/roster.rs
@@ -44,8 +44,8 @@
 fn use_some(fleet: &mut Fleet, keys: &[BackendKey]) {
     let route = fleet.route_key("r", 500);
     for key in keys {
-        fleet.begin(*key, route, 500);
-        fleet.end(*key, 500, route, Outcome::Good { time_ms: 100.0, bytes: 400 }, 600);
+        fleet.begin_request(*key, route, 500);
+        fleet.end_request(*key, 500, route, Outcome::Good { time_ms: 100.0, bytes: 400 }, 600);
     }
 }
 
--- a/crates/leverstream-core/tests/select.rs
+++ b/crates/leverstream-core/tests/select.rs
@@ -51,7 +51,7 @@
     let mut fleet = fleet(&["h1", "h2"]);
     let near = fleet.of_service("shop")[0];
     let route = fleet.route_key("r", 600);
-    fleet.begin(near, route, 1_000);
+    fleet.begin_request(near, route, 1_000);
     assert_eq!(chosen(&fleet, &want(0.005), 1_000).as_deref(), Some("b"), "it has less load");
     assert_eq!(chosen(&fleet, &want(0.9), 1_000).as_deref(), Some("a"));
 }
@@ -62,8 +62,8 @@
     let near = fleet.of_service("shop")[0];
     let route = fleet.route_key("r", 600);
     for at in 0..3 {
-        fleet.begin(near, route, 1_000 + at);
-        fleet.end(near, 1_000 + at, route, Outcome::Bad, 1_000 + at);
+        fleet.begin_request(near, route, 1_000 + at);
+        fleet.end_request(near, 1_000 + at, route, Outcome::Bad, 1_000 + at);
     }
     assert_eq!(chosen(&fleet, &want(0.9), 1_100).as_deref(), Some("b"));
 }
@@ -74,11 +74,11 @@
     let keys = fleet.of_service("shop").to_vec();
     let route = fleet.route_key("r", 600);
     for at in 0..4 {
-        fleet.begin(keys[0], route, 1_000 + at);
-        fleet.end(keys[0], 1_000 + at, route, Outcome::Bad, 1_000 + at);
+        fleet.begin_request(keys[0], route, 1_000 + at);
+        fleet.end_request(keys[0], 1_000 + at, route, Outcome::Bad, 1_000 + at);
     }
-    fleet.begin(keys[1], route, 1_010);
-    fleet.begin(keys[1], route, 1_010);
+    fleet.begin_request(keys[1], route, 1_010);
+    fleet.begin_request(keys[1], route, 1_010);
     let waited = |waited_ms, is_repeatable| PickRequest { waited_ms, is_repeatable, ..want(0.0) };
     assert_eq!(chosen(&fleet, &waited(0, true), 1_020), None);
     assert_eq!(chosen(&fleet, &waited(70, true), 1_090).as_deref(), Some("a"));
@@ -95,9 +95,15 @@
     for at in 0..200 {
         let now_ms = 1_000 + at * 100;
         let key = keys[at as usize % 2];
-        fleet.begin(key, route, now_ms);
-        fleet.reach(key, now_ms);
-        fleet.end(key, now_ms, route, Outcome::Good { time_ms: 50.0, bytes: 400 }, now_ms + 50);
+        fleet.begin_request(key, route, now_ms);
+        fleet.note_reached(key, now_ms);
+        fleet.end_request(
+            key,
+            now_ms,
+            route,
+            Outcome::Good { time_ms: 50.0, bytes: 400 },
+            now_ms + 50,
+        );
     }
     let once = |floor_share| PickRequest { is_repeatable: false, floor_share, ..want(0.0) };
     let is_left_alone = |instance: Option<String>| matches!(instance.as_deref(), Some("c" | "d"));
@@ -114,9 +120,15 @@
     let route = fleet.route_key("r", 600);
     for at in 0..200 {
         let (now_ms, key) = (1_000 + at * 100, keys[at as usize % 2]);
-        fleet.begin(key, route, now_ms);
-        fleet.reach(key, now_ms);
-        fleet.end(key, now_ms, route, Outcome::Good { time_ms: 50.0, bytes: 400 }, now_ms + 50);
+        fleet.begin_request(key, route, now_ms);
+        fleet.note_reached(key, now_ms);
+        fleet.end_request(
+            key,
+            now_ms,
+            route,
+            Outcome::Good { time_ms: 50.0, bytes: 400 },
+            now_ms + 50,
+        );
     }
     let failing = PickRequest { requests_fail: true, ..want(0.0) };
     let is_left_alone = |instance: Option<String>| matches!(instance.as_deref(), Some("c" | "d"));
--- a/crates/leverstream-gateway/src/attempt.rs
+++ b/crates/leverstream-gateway/src/attempt.rs
@@ -99,7 +99,7 @@
     if let Err(kind) = may_send() {
         return Tried::NotSent(kind);
     }
-    inner.fleet.borrow_mut().reach(slot.key, now_ms);
+    inner.fleet.borrow_mut().note_reached(slot.key, now_ms);
     let bytes = request.encode(&of.instance, left_ms);
     let progress = Progress::default();
     let is_head = request.method == actix_http::Method::HEAD;
--- a/crates/leverstream-gateway/src/slot.rs
+++ b/crates/leverstream-gateway/src/slot.rs
@@ -142,7 +142,7 @@
         requests_per_s: demand.per_s(now_ms).map(|per_s| per_s * sharers),
     };
     let pick = choose(&fleet, &wanted, now_ms, &mut rand::rng())?;
-    fleet.begin(pick.key, want.route, now_ms);
+    fleet.begin_request(pick.key, want.route, now_ms);
     inner.mesh.has_news();
     Some(Slot {
         inner: Rc::clone(inner),
@@ -167,7 +167,7 @@
         let now_ms = self.inner.now_ms();
         let (since_ms, route) = (self.since_ms, self.route);
         let mut fleet = self.inner.fleet.borrow_mut();
-        fleet.end(self.key, since_ms, route, self.outcome.get(), now_ms);
+        fleet.end_request(self.key, since_ms, route, self.outcome.get(), now_ms);
         drop(fleet);
         self.inner.mesh.has_news();
         if let Some(state) = self.inner.services.borrow_mut().get_mut(&self.service) {
