--- a/crates/leverstream-core/src/fleet.rs
+++ b/crates/leverstream-core/src/fleet.rs
@@ -90,7 +90,7 @@
     /// Incarnations that are known to leave.
     leaving: IncarnationSet,
     /// Listed incarnations that announced that they leave while the platform lists them as ready.
-    leavers: Vec<BackendKey>,
+    announced_leaving: Vec<BackendKey>,
     /// Listed incarnations that have announced a rate limit.
     limited: Vec<BackendKey>,
     /// The limits announced by incarnations that are not listed.
@@ -152,12 +152,12 @@
     }
 
     /// Records that all changes up to a revision are known.
-    pub fn publish(&mut self, revision: u64) {
+    pub fn advance_revision(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
     /// Returns the changes after a revision.
-    pub fn since(&self, revision: u64, now_ms: u64) -> Delta {
+    pub fn delta_since(&self, revision: u64, now_ms: u64) -> Delta {
         let is_whole = revision < self.removals_forgotten_to || revision == 0;
         let after = if is_whole { 0 } else { revision + 1 };
         let changed = self.by_entry_revision.range((after, BackendKey(0))..);
@@ -170,7 +170,7 @@
             is_whole,
             set: changed.map(|(_, key)| self.arena[key.0 as usize].backend.clone()).collect(),
             removed: removed.map(|(_, instance)| instance.clone()).collect(),
-            leaving: self.leavers().collect(),
+            leaving: self.announced_leaving().collect(),
             limits: self.limits(now_ms),
         }
     }
@@ -181,7 +181,7 @@
         // Leave notices are applied first, so that a newly listed incarnation that leaves never
         // gets a request.
         delta.leaving.iter().for_each(|of| {
-            self.leave(of, now_ms);
+            self.note_leaving(of, now_ms);
         });
         delta.limits.iter().for_each(|told| {
             self.note_limit(&told.of, told.to_notice(now_ms), now_ms);
@@ -209,7 +209,7 @@
         removed
             .retain(|instance| !is_later(self, instance) && self.remove(instance, delta.revision));
         applied.removed = removed;
-        self.publish(delta.revision);
+        self.advance_revision(delta.revision);
         applied
     }
 
@@ -243,7 +243,7 @@
             member.is_out_of_service = leaves;
             if backend.is_leaving {
                 member.announced_leaving_ms = None;
-                self.leavers.retain(|other| *other != key);
+                self.announced_leaving.retain(|other| *other != key);
             }
             let before = std::mem::replace(&mut member.backend, backend);
             if is_news {
@@ -268,7 +268,7 @@
         member.announced_leaving_ms = is_announced_only.then_some(0);
         let key = BackendKey(self.arena.insert(member) as u32);
         if is_announced_only {
-            self.leavers.push(key);
+            self.announced_leaving.push(key);
         }
         if is_limited {
             self.limited.push(key);
@@ -306,7 +306,7 @@
         if let Some(word) = member.limit.notice().filter(|word| word.per_s.is_some()) {
             self.note_unlisted(&of, word);
         }
-        self.leavers.retain(|other| *other != key);
+        self.announced_leaving.retain(|other| *other != key);
         self.limited.retain(|other| *other != key);
         self.update_roster(key);
         self.drop_if_idle(key);
--- a/crates/leverstream-core/src/fleet/leaving.rs
+++ b/crates/leverstream-core/src/fleet/leaving.rs
@@ -41,7 +41,7 @@
     /// Records that an incarnation has announced that it leaves; returns whether that was new.
     ///
     /// Platform entries do not undo it; only a later incarnation returns to service.
-    pub fn leave(&mut self, of: &Incarnation, now_ms: u64) -> bool {
+    pub fn note_leaving(&mut self, of: &Incarnation, now_ms: u64) -> bool {
         let is_news = self.leaving.insert(of);
         let Some(key) = self.by_instance.get(&of.instance).copied() else { return is_news };
         let member = &mut self.arena[key.0 as usize];
@@ -50,32 +50,32 @@
         }
         member.is_out_of_service = true;
         member.announced_leaving_ms = Some(now_ms);
-        self.leavers.push(key);
+        self.announced_leaving.push(key);
         self.update_roster(key);
         true
     }
 
     /// Iterates over the incarnations that announced that they leave while the platform lists them
     /// as ready.
-    pub fn leavers(&self) -> impl Iterator<Item = Incarnation> + '_ {
-        self.leavers.iter().map(|key| self.incarnation(*key))
+    pub fn announced_leaving(&self) -> impl Iterator<Item = Incarnation> + '_ {
+        self.announced_leaving.iter().map(|key| self.incarnation(*key))
     }
 
     /// Returns a fingerprint of the announcements that the platform does not list, equal at VMs
     /// that know the same: leaving incarnations and rate limits. It is 0 if there are none.
     pub fn notices_fingerprint(&self) -> u64 {
-        self.leavers_fingerprint() ^ self.limits_fingerprint()
+        self.leaving_fingerprint() ^ self.limits_fingerprint()
     }
 
     /// Returns a fingerprint of the leaving incarnations.
-    fn leavers_fingerprint(&self) -> u64 {
+    fn leaving_fingerprint(&self) -> u64 {
         let digest = |key: &BackendKey| {
             let backend = &self.arena[key.0 as usize].backend;
             let mut hasher = DefaultHasher::new();
             (&backend.instance, backend.born_ms).hash(&mut hasher);
             hasher.finish()
         };
-        self.leavers.iter().map(digest).fold(0, |all, one| all ^ one)
+        self.announced_leaving.iter().map(digest).fold(0, |all, one| all ^ one)
     }
 
     /// Records that a backend server accepts no requests of this VM for some time.
@@ -169,7 +169,7 @@
             let member = &self.arena[key.0 as usize];
             member.backend.service == service && self.is_last_resort(member, now_ms)
         };
-        self.leavers.iter().copied().filter(is_last_resort)
+        self.announced_leaving.iter().copied().filter(is_last_resort)
     }
 
     /// Tells whether a leaving backend server still gets requests.
--- a/crates/leverstream-core/src/notices.rs
+++ b/crates/leverstream-core/src/notices.rs
@@ -73,7 +73,8 @@
     /// Applies the notices of another VM.
     pub fn apply(received: Notices, fleet: &mut Fleet, now_ms: u64) -> AppliedNotices {
         let Notices { starts, limits, asks } = received;
-        let newly_leaving = starts.into_iter().filter(|of| fleet.leave(of, now_ms)).collect();
+        let newly_leaving =
+            starts.into_iter().filter(|of| fleet.note_leaving(of, now_ms)).collect();
         let mut answer = if asks { Notices::all(fleet, false, now_ms) } else { Notices::default() };
         let mut changed = Vec::new();
         for update in limits {
@@ -104,6 +105,6 @@
 impl Notices {
     /// Collects all known notices.
     fn all(fleet: &Fleet, asks: bool, now_ms: u64) -> Notices {
-        Notices { starts: fleet.leavers().collect(), limits: fleet.limits(now_ms), asks }
+        Notices { starts: fleet.announced_leaving().collect(), limits: fleet.limits(now_ms), asks }
     }
 }
--- a/crates/leverstream-core/tests/fleet.rs
+++ b/crates/leverstream-core/tests/fleet.rs
@@ -292,15 +292,15 @@
     let (mut first, mut second) = (Fleet::default(), Fleet::default());
     for (revision, instance) in [(5, "a"), (6, "b"), (7, "c")] {
         first.set(backend(instance), revision, 0);
-        first.publish(revision);
+        first.advance_revision(revision);
     }
-    let whole = first.since(second.revision(), 0);
+    let whole = first.delta_since(second.revision(), 0);
     assert!(whole.is_whole);
     assert!(second.apply(whole, 0).has_news());
     first.remove("b", 9);
     first.set(Backend { is_leaving: true, ..backend("c") }, 10, 0);
-    first.publish(10);
-    let delta = first.since(second.revision(), 0);
+    first.advance_revision(10);
+    let delta = first.delta_since(second.revision(), 0);
     assert!(!delta.is_whole);
     assert_eq!((delta.set.len(), delta.removed.as_slice()), (1, ["b".to_owned()].as_slice()));
     assert!(second.apply(delta.clone(), 0).has_news());
@@ -357,12 +357,12 @@
 fn a_delta_does_not_remove_an_instance_that_is_listed_again() {
     let (mut sender, mut receiver) = (Fleet::default(), Fleet::default());
     sender.set(backend("a"), 1, 0);
-    sender.publish(1);
-    receiver.apply(sender.since(0, 0), 0);
+    sender.advance_revision(1);
+    receiver.apply(sender.delta_since(0, 0), 0);
     sender.remove("a", 2);
     sender.set(backend("a"), 3, 0);
-    sender.publish(3);
-    receiver.apply(sender.since(1, 0), 0);
+    sender.advance_revision(3);
+    receiver.apply(sender.delta_since(1, 0), 0);
     assert_eq!(listed(&receiver), ["a"]);
 }
 
@@ -370,13 +370,13 @@
 fn a_delta_does_not_undo_entries_read_at_a_later_revision() {
     let (mut sender, mut receiver) = (Fleet::default(), Fleet::default());
     sender.set(backend("a"), 1, 0);
-    sender.publish(1);
-    receiver.apply(sender.since(0, 0), 0);
+    sender.advance_revision(1);
+    receiver.apply(sender.delta_since(0, 0), 0);
     sender.remove("a", 2);
-    sender.publish(2);
+    sender.advance_revision(2);
     receiver.remove("a", 2);
     receiver.set(backend("a"), 3, 0);
-    receiver.apply(sender.since(1, 0), 0);
+    receiver.apply(sender.delta_since(1, 0), 0);
     assert_eq!(listed(&receiver), ["a"]);
 }
 
--- a/crates/leverstream-core/tests/hold_off.rs
+++ b/crates/leverstream-core/tests/hold_off.rs
@@ -12,7 +12,7 @@
     ["a", "b", "c"].iter().take(count).for_each(|instance| {
         fleet.set(backend(instance, 10), 1, 0);
     });
-    fleet.publish(1);
+    fleet.advance_revision(1);
     let route = fleet.route_key("r", 250);
     (fleet, route)
 }
@@ -141,7 +141,7 @@
     fleet.set_last_resort(2_000);
     let held = key(&fleet, "a");
     fleet.hold_off(held, 700, 1_000);
-    fleet.leave(&Incarnation { instance: "a".into(), born_ms: 10 }, 1_000);
+    fleet.note_leaving(&Incarnation { instance: "a".into(), born_ms: 10 }, 1_000);
     assert_eq!(fleet.availability("shop", 1_100), Availability::HoldsOffUntil(1_700));
     assert!(!fleet.may_send(held, 1_100));
     assert!(fleet.may_send(held, 1_800));
--- a/crates/leverstream-core/tests/leavers.rs
+++ b/crates/leverstream-core/tests/leavers.rs
@@ -34,8 +34,8 @@
     let mut fleet = Fleet::default();
     fleet.set(backend("a", 10), 1, 0);
     fleet.set(backend("b", 10), 1, 0);
-    fleet.publish(1);
-    assert!(fleet.leave(&incarnation_of("a", 10), 1_000));
+    fleet.advance_revision(1);
+    assert!(fleet.note_leaving(&incarnation_of("a", 10), 1_000));
     fleet
 }
 
@@ -76,8 +76,8 @@
     let mut fleet = fleet_with_leave_notice();
     assert_eq!(in_service(&fleet), ["b"]);
     assert_eq!(fleet.slots("shop"), 2);
-    assert!(!fleet.leave(&incarnation_of("a", 10), 1_100), "already known");
-    assert_eq!(fleet.leavers().collect::<Vec<_>>(), [incarnation_of("a", 10)]);
+    assert!(!fleet.note_leaving(&incarnation_of("a", 10), 1_100), "already known");
+    assert_eq!(fleet.announced_leaving().collect::<Vec<_>>(), [incarnation_of("a", 10)]);
 }
 
 #[test]
@@ -122,10 +122,10 @@
 #[test]
 fn an_incarnation_listed_after_its_leave_notice_is_never_in_service() {
     let mut fleet = Fleet::default();
-    assert!(fleet.leave(&incarnation_of("a", 10), 1_000));
+    assert!(fleet.note_leaving(&incarnation_of("a", 10), 1_000));
     fleet.set(backend("a", 10), 1, 1_500);
     assert!(in_service(&fleet).is_empty());
-    assert_eq!(fleet.leavers().count(), 1, "other VMs are told from now on");
+    assert_eq!(fleet.announced_leaving().count(), 1, "other VMs are told from now on");
 }
 
 #[test]
@@ -134,11 +134,11 @@
     fleet.set(backend("a", 20), 2, 2_000);
     assert_eq!(in_service(&fleet), ["a", "b"]);
     assert!(
-        !fleet.leave(&incarnation_of("a", 10), 2_100),
+        !fleet.note_leaving(&incarnation_of("a", 10), 2_100),
         "a late notice of the earlier incarnation"
     );
     assert_eq!(in_service(&fleet), ["a", "b"]);
-    assert!(fleet.leave(&incarnation_of("a", 20), 2_200));
+    assert!(fleet.note_leaving(&incarnation_of("a", 20), 2_200));
     fleet.set(backend("a", 10), 3, 2_300);
     assert_eq!(in_service(&fleet), ["b"]);
 }
@@ -147,7 +147,7 @@
 fn a_leave_notice_of_an_unlisted_incarnation_covers_earlier_ones() {
     let mut fleet = Fleet::default();
     fleet.set(backend("a", 10), 1, 0);
-    fleet.leave(&incarnation_of("a", 20), 1_000);
+    fleet.note_leaving(&incarnation_of("a", 20), 1_000);
     assert!(in_service(&fleet).is_empty());
     fleet.set(backend("a", 20), 2, 2_000);
     assert!(in_service(&fleet).is_empty());
@@ -159,7 +159,7 @@
 fn evicted_leave_notices_still_apply_to_listed_incarnations() {
     let mut fleet = fleet_with_leave_notice();
     (0..40_000).for_each(|number| {
-        fleet.leave(&incarnation_of(&format!("other-{number}"), 10), 2_000);
+        fleet.note_leaving(&incarnation_of(&format!("other-{number}"), 10), 2_000);
     });
     assert!(!fleet.set(backend("a", 10), 2, 3_000));
     assert_eq!(in_service(&fleet), ["b"]);
@@ -169,7 +169,7 @@
 fn a_whole_list_brings_its_leave_notices_to_a_new_vm() {
     let told = fleet_with_leave_notice();
     let mut newcomer = Fleet::default();
-    let applied = newcomer.apply(told.since(0, 5_000), 5_000);
+    let applied = newcomer.apply(told.delta_since(0, 5_000), 5_000);
     assert_eq!(applied.set, 2);
     assert_eq!(in_service(&newcomer), ["b"]);
     assert_eq!(newcomer.notices_fingerprint(), told.notices_fingerprint());
@@ -192,7 +192,7 @@
     let mut fleet = fleet_with_leave_notice();
     fleet.set_last_resort(2_000);
     assert_eq!(chosen(&fleet, 1_100).as_deref(), Some("b"), "another backend server is in service");
-    fleet.leave(&incarnation_of("b", 10), 2_000);
+    fleet.note_leaving(&incarnation_of("b", 10), 2_000);
     assert_eq!(fleet.availability("shop", 2_100), Availability::Available);
     assert!(chosen(&fleet, 2_999).is_some());
     assert_eq!(
@@ -212,7 +212,7 @@
     fleet.set(backend("b", 10), 1, 0);
     let key = fleet.of_service("shop")[0];
     assert!(fleet.may_send(key, 1_000));
-    fleet.leave(&fleet.incarnation(key), 1_000);
+    fleet.note_leaving(&fleet.incarnation(key), 1_000);
     assert!(!fleet.may_send(key, 1_000));
 }
 
@@ -236,7 +236,7 @@
     (0..50).for_each(|at| {
         fleet.begin_request(key, route, 2_000 + at);
     });
-    fleet.leave(&fleet.incarnation(key), 2_100);
+    fleet.note_leaving(&fleet.incarnation(key), 2_100);
     (0..50).for_each(|at| {
         fleet.end_request(key, 2_000 + at, route, Outcome::Bad, 2_200);
     });
--- a/crates/leverstream-core/tests/leaving/mod.rs
+++ b/crates/leverstream-core/tests/leaving/mod.rs
@@ -359,7 +359,7 @@
         }
         let leaves = self.leaves_ms(server).is_some_and(|at_ms| at_ms <= now_ms);
         let vm = &mut self.vms[at];
-        let is_news = leaves && vm.fleet.leave(&of(server), now_ms);
+        let is_news = leaves && vm.fleet.note_leaving(&of(server), now_ms);
         let good = Outcome::Good { time_ms: WORK_MS as f64, bytes: 100 };
         vm.fleet.end_request(key, since_ms, vm.route, good, now_ms);
         if leaves {
--- a/crates/leverstream-core/tests/leaving_model.rs
+++ b/crates/leverstream-core/tests/leaving_model.rs
@@ -65,7 +65,7 @@
 fn apply(fleet: &mut Fleet, event: Event, at: u64) {
     match event {
         Event::Leaves(born_ms) => {
-            fleet.leave(&start(born_ms), at);
+            fleet.note_leaving(&start(born_ms), at);
         }
         Event::Ended(born_ms) => {
             fleet.end_incarnation(&start(born_ms));
--- a/crates/leverstream-core/tests/limits.rs
+++ b/crates/leverstream-core/tests/limits.rs
@@ -102,9 +102,9 @@
 fn a_whole_list_brings_its_limits_to_a_new_vm() {
     let mut elder = fleet(3);
     elder.note_limit(&of(1, 7), notice(Some(2.0), 40_000), 40_100);
-    elder.publish(9);
+    elder.advance_revision(9);
     let mut newcomer = Fleet::default();
-    newcomer.apply(elder.since(0, 41_000), 50);
+    newcomer.apply(elder.delta_since(0, 41_000), 50);
     let told = newcomer.limit_notice(&of(1, 7)).expect("the limit came with the list");
     assert_eq!(told, notice(Some(2.0), 50 - 1_000), "one second old by the receiver's clock");
     assert_eq!(elder.notices_fingerprint(), newcomer.notices_fingerprint());
--- a/crates/leverstream-core/tests/roster.rs
+++ b/crates/leverstream-core/tests/roster.rs
@@ -143,11 +143,11 @@
                 }
                 Step::Leave(number) => {
                     let of = Incarnation { instance: format!("b{number}"), born_ms: 0 };
-                    fleet.leave(&of, revision);
+                    fleet.note_leaving(&of, revision);
                     left.insert(number);
                 }
             }
-            fleet.publish(revision);
+            fleet.advance_revision(revision);
             for service in ["shop", "other"] {
                 let serving = listed.iter().filter(|(number, _)| !left.contains(*number));
                 let serving = serving.filter(|(_, (backend, _))| backend.service == service);
@@ -164,7 +164,7 @@
             let changed = listed.values().filter(|(_, stamp)| since == 0 || *stamp > since);
             let changed: BTreeSet<String> =
                 changed.map(|(backend, _)| backend.instance.clone()).collect();
-            let told = fleet.since(since, revision).set;
+            let told = fleet.delta_since(since, revision).set;
             let told: BTreeSet<String> = told.into_iter().map(|backend| backend.instance).collect();
             prop_assert_eq!(told, changed);
         }
--- a/crates/leverstream-gateway/src/attempt.rs
+++ b/crates/leverstream-gateway/src/attempt.rs
@@ -273,7 +273,7 @@
         self.notice.set(notice);
         inner.meters.note_notice(notice);
         let now_ms = inner.now_ms();
-        if notice.is_leaving && inner.fleet.borrow_mut().leave(of, now_ms) {
+        if notice.is_leaving && inner.fleet.borrow_mut().note_leaving(of, now_ms) {
             let id = request.id.as_deref().unwrap_or("-");
             let Incarnation { instance, born_ms } = of;
             let status = head.status;
--- a/crates/leverstream-gateway/src/follow.rs
+++ b/crates/leverstream-gateway/src/follow.rs
@@ -225,7 +225,7 @@
     /// Tells other VMs how far the backend servers are known, unless that is still to be decided.
     fn publish(&self, inner: &Inner, revision: u64) {
         if !self.is_waiting() {
-            inner.fleet.borrow_mut().publish(revision);
+            inner.fleet.borrow_mut().advance_revision(revision);
             inner.mesh.tell_standing(inner);
         }
     }
--- a/crates/leverstream-gateway/src/news.rs
+++ b/crates/leverstream-gateway/src/news.rs
@@ -128,7 +128,7 @@
         let fleet = inner.fleet.borrow();
         (fleet.revision() > known).then(|| match known {
             0 => inner.packed.backends(&fleet, inner.now_ms()),
-            _ => pack(&fleet.since(known, inner.now_ms())).map(Bytes::from),
+            _ => pack(&fleet.delta_since(known, inner.now_ms())).map(Bytes::from),
         })
     } else {
         return reply::empty(StatusCode::NOT_FOUND);
@@ -157,7 +157,7 @@
         let words = fleet.notices_fingerprint();
         let turn = if words == 0 { 0 } else { now_ms / WORDS_KEEP_MS };
         let version = ListVersion { revision: fleet.revision(), words, turn };
-        hold(&self.backends, version, || pack(&fleet.since(0, now_ms)))
+        hold(&self.backends, version, || pack(&fleet.delta_since(0, now_ms)))
     }
 }
 
