--- a/crates/leverstream-bench/src/decide/run.rs
+++ b/crates/leverstream-bench/src/decide/run.rs
@@ -230,7 +230,7 @@
                     far_bytes_cost: self.shape.bytes as f64 / 1e6 * REQUESTS_A_MB,
                     objective_ms: self.shape.objective_ms,
                     floor_share: FLOOR,
-                    requests_fail: vm.demand.fails(self.shape.is_repeatable, now_ms),
+                    requests_fail: vm.demand.is_failing(self.shape.is_repeatable, now_ms),
                     requests_per_s: vm.demand.per_s(now_ms).map(|per_s| per_s * VMS as f64),
                 };
                 return choose(&vm.fleet, &want, now_ms, &mut self.rng).map(|pick| pick.key);
--- a/crates/leverstream-core/src/demand.rs
+++ b/crates/leverstream-core/src/demand.rs
@@ -86,7 +86,7 @@
     /// with refusals is higher: refusals are no evidence against the backend servers, and a trial
     /// may lose the request. With one workspace far above its allotment on an otherwise quiet day,
     /// twice as many non-repeatable requests failed (15 %).
-    pub fn fails(&self, is_repeatable: bool, now_ms: u64) -> bool {
+    pub fn is_failing(&self, is_repeatable: bool, now_ms: u64) -> bool {
         let threshold_with_refusals =
             if is_repeatable { FAILING_SHARE } else { FAILING_SHARE_WITH_REFUSALS };
         self.outcomes.fails(FAILING_SHARE, now_ms)
--- a/crates/leverstream-core/src/fleet/backend_state.rs
+++ b/crates/leverstream-core/src/fleet/backend_state.rs
@@ -295,7 +295,7 @@
             Outcome::Good { time_ms, .. } => {
                 self.good += 1;
                 self.suspicion.good(1, episodes, now_ms);
-                self.note_latency(time_ms / routes[route.0 as usize].times.median_ms(), now_ms);
+                self.note_latency(time_ms / routes[route.0 as usize].latency.median_ms(), now_ms);
                 false
             }
             Outcome::Expired => {
@@ -339,7 +339,7 @@
     ) -> f64 {
         let age_ms = now_ms.saturating_sub(request.since_ms) as f64;
         let slowness = self.decayed_slowness(now_ms).max(1.0);
-        routes[request.route.0 as usize].times.slower_share(age_ms / slowness)
+        routes[request.route.0 as usize].latency.slower_share(age_ms / slowness)
     }
 
     /// Returns the likelihood ratio of a failure episode from this VM's requests in flight.
--- a/crates/leverstream-core/src/hedge.rs
+++ b/crates/leverstream-core/src/hedge.rs
@@ -38,15 +38,15 @@
 ///
 /// Once an answer within the objective is no longer likely, the deadline counts instead.
 pub fn hedge_gain(fleet: &Fleet, pending: &PendingRequest<'_>, now_ms: u64) -> f64 {
-    let times = &fleet.route(pending.route).times;
-    let is_late = now_ms as f64 + times.median_ms() > pending.on_time_ms as f64;
+    let latency = &fleet.route(pending.route).latency;
+    let is_late = now_ms as f64 + latency.median_ms() > pending.on_time_ms as f64;
     let until_ms = if is_late { pending.deadline_ms } else { pending.on_time_ms };
     let miss = |(key, since_ms): &(BackendKey, u64)| {
         fleet.miss_chance(*key, pending.route, *since_ms, until_ms, now_ms)
     };
     let miss_chance: f64 = pending.flights.iter().map(miss).product();
     let left_ms = until_ms.saturating_sub(now_ms) as f64;
-    miss_chance * (1.0 - times.slower_share(left_ms))
+    miss_chance * (1.0 - latency.slower_share(left_ms))
 }
 
 /// Tells whether a hedge with such a gain is worth sending, given the used share of the retry
@@ -63,7 +63,7 @@
 /// the median latency, when half of the answers have arrived, or earlier if the backend server is
 /// so doubtful that a hedge is worthwhile at once.
 pub fn next_hedge_check_ms(fleet: &Fleet, pending: &PendingRequest<'_>, now_ms: u64) -> u64 {
-    let median_ms = fleet.route(pending.route).times.median_ms();
+    let median_ms = fleet.route(pending.route).latency.median_ms();
     let interval_ms = ((median_ms * CHECK_INTERVAL_SHARE) as u64).max(MIN_CHECK_INTERVAL_MS);
     if hedge_gain(fleet, pending, now_ms) >= MIN_GAIN {
         return interval_ms;
--- a/crates/leverstream-core/src/profile.rs
+++ b/crates/leverstream-core/src/profile.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub struct RouteProfile {
     /// The latencies of sound answers.
-    pub times: LatencyHistogram,
+    pub latency: LatencyHistogram,
     /// The moving average of the size of sound answers, in bytes.
     answer_bytes: Option<f64>,
     /// The number of recent requests answered by sound backend servers.
@@ -25,7 +25,7 @@
     /// Creates the profile of a route without observations from its objective.
     pub fn new(objective_ms: u64) -> RouteProfile {
         RouteProfile {
-            times: LatencyHistogram::new(objective_ms),
+            latency: LatencyHistogram::new(objective_ms),
             answer_bytes: None,
             answered: 0.0,
             expired: 0.0,
@@ -34,7 +34,7 @@
 
     /// Records a sound answer.
     pub fn note(&mut self, took_ms: f64, bytes: usize) {
-        self.times.note(took_ms);
+        self.latency.note(took_ms);
         let average = self.answer_bytes.get_or_insert(bytes as f64);
         *average += SIZE_WEIGHT * (bytes as f64 - *average);
         self.answered += 1.0;
--- a/crates/leverstream-core/tests/floor.rs
+++ b/crates/leverstream-core/tests/floor.rs
@@ -192,7 +192,7 @@
                 _ => demand.note_end(at % 30 != 1, now_ms),
             }
         }
-        (demand.fails(true, 5_000), demand.fails(false, 5_000))
+        (demand.is_failing(true, 5_000), demand.is_failing(false, 5_000))
     };
     assert_eq!(refusing(60), (false, false));
     assert_eq!(refusing(15), (true, false));
--- a/crates/leverstream-gateway/src/forward.rs
+++ b/crates/leverstream-gateway/src/forward.rs
@@ -446,7 +446,7 @@
 
     /// How long answers of this route usually take.
     fn usual_ms(&self) -> f64 {
-        self.inner.fleet.borrow().route(self.route_key).times.median_ms()
+        self.inner.fleet.borrow().route(self.route_key).latency.median_ms()
     }
 }
 
--- a/crates/leverstream-gateway/src/slot.rs
+++ b/crates/leverstream-gateway/src/slot.rs
@@ -126,7 +126,7 @@
 ) -> Option<Slot> {
     let mut fleet = inner.fleet.borrow_mut();
     let demand = &inner.services.borrow()[want.service].demand;
-    let requests_fail = demand.fails(want.is_repeatable, now_ms);
+    let requests_fail = demand.is_failing(want.is_repeatable, now_ms);
     let sharers = inner.mesh.sharing.count() as f64;
     let bytes = want.bytes as f64 + fleet.route(want.route).answer_bytes();
     let wanted = PickRequest {
