--- a/crates/leverstream-bench/src/capacity/choosing.rs
+++ b/crates/leverstream-bench/src/capacity/choosing.rs
@@ -35,7 +35,7 @@
 /// The time of a choice where half of a service's backend servers were heard of from all VMs.
 fn a_choice(mut fleet: Fleet, count: usize) {
     let route = fleet.route_key("r", 1_000);
-    let keys = fleet.of_service("s").to_vec();
+    let keys = fleet.keys_of_service("s").to_vec();
     for (at, key) in keys.iter().take(count / 2).enumerate() {
         let now_ms = 1_000 + at as u64 * 500 / count as u64;
         let of = fleet.incarnation(*key);
--- a/crates/leverstream-core/src/entry.rs
+++ b/crates/leverstream-core/src/entry.rs
@@ -20,7 +20,7 @@
 /// In each hall the VMs with the highest capacity are chosen, as many as the hall's share of the
 /// work needs. Ties are broken by a hash of the address, so that all VMs choose alike and few
 /// entries change when a VM joins or leaves. A nonzero `vms_a_hall` sets the number instead.
-pub fn choose_entry<'a>(
+pub fn choose_entry_vms<'a>(
     members: impl IntoIterator<Item = &'a Member>,
     vms_a_hall: usize,
     slots: u32,
--- a/crates/leverstream-core/src/fleet.rs
+++ b/crates/leverstream-core/src/fleet.rs
@@ -334,7 +334,7 @@
     }
 
     /// Returns the keys of a service's backend servers in service.
-    pub fn of_service(&self, service: &str) -> &[BackendKey] {
+    pub fn keys_of_service(&self, service: &str) -> &[BackendKey] {
         self.rosters.get(service).map_or(&[], Roster::keys)
     }
 
@@ -499,7 +499,7 @@
     }
 
     /// Tells whether a backend server is in service.
-    pub fn is_listed(&self, key: BackendKey) -> bool {
+    pub fn is_in_service(&self, key: BackendKey) -> bool {
         self.arena.get(key.0 as usize).is_some_and(|member| !member.is_out_of_service)
     }
 
--- a/crates/leverstream-core/src/fleet/leaving.rs
+++ b/crates/leverstream-core/src/fleet/leaving.rs
@@ -157,7 +157,7 @@
     /// Iterates over the backend servers that serve a service, including those that hold off: those
     /// in service or, if there are none, those that may still serve as a last resort.
     fn serving(&self, service: &str, now_ms: u64) -> impl Iterator<Item = BackendKey> {
-        let all = self.of_service(service).iter().copied();
+        let all = self.keys_of_service(service).iter().copied();
         let all = all.chain(self.last_resorts(service, now_ms));
         all.filter(|key| !self.is_emptied(&self.arena[key.0 as usize].backend.hall))
     }
@@ -177,7 +177,7 @@
         let since_announcement_ms =
             member.announced_leaving_ms.map(|announced_ms| now_ms.saturating_sub(announced_ms));
         since_announcement_ms.is_some_and(|since_ms| since_ms < self.last_resort_ms)
-            && self.of_service(&member.backend.service).is_empty()
+            && self.keys_of_service(&member.backend.service).is_empty()
     }
 }
 
--- a/crates/leverstream-core/src/lib.rs
+++ b/crates/leverstream-core/src/lib.rs
@@ -1,7 +1,7 @@
 //! The decisions of a gateway VM: which backend server gets a request, and which VMs accept callers.
 //!
 //! [`Fleet`] holds the backend servers with their observed state, [`choose`] selects one for a
-//! request, and [`choose_entry`] selects the VMs that accept callers. The crate does no I/O; time
+//! request, and [`choose_entry_vms`] selects the VMs that accept callers. The crate does no I/O; time
 //! and randomness are arguments.
 
 mod demand;
@@ -15,7 +15,7 @@
 mod select;
 
 pub use demand::Demand;
-pub use entry::choose_entry;
+pub use entry::choose_entry_vms;
 pub use fleet::{
     Applied, Availability, BackendReport, Candidates, Delta, EmptiedHalls, Fleet, LimitNotice,
     LimitUpdate, Outcome, Report, RequestOrigin, RouteKey, StateCounts,
--- a/crates/leverstream-core/tests/emptied.rs
+++ b/crates/leverstream-core/tests/emptied.rs
@@ -56,7 +56,7 @@
 #[test]
 fn an_emptied_hall_gets_no_requests_until_it_is_restored() {
     let mut fleet = fleet();
-    let key = fleet.of_service("shop")[0];
+    let key = fleet.keys_of_service("shop")[0];
     assert!(fleet.may_send(key, 10));
     assert!(fleet.set_emptied(emptied(5, &["hall-a"])));
     assert_eq!(chosen(&fleet), ["i-hall-b"]);
--- a/crates/leverstream-core/tests/entry.rs
+++ b/crates/leverstream-core/tests/entry.rs
@@ -4,7 +4,7 @@
 //! with three slots each, as after a power failure, when every datagram that a VM receives
 //! announces new members.
 
-use leverstream_core::choose_entry;
+use leverstream_core::choose_entry_vms;
 use leverstream_member::{Identity, Member};
 
 /// The total slots of the backend servers.
@@ -32,7 +32,7 @@
 #[test]
 fn the_strongest_vms_of_each_hall_become_entries() {
     let members = members();
-    let chosen = choose_entry(&members, 0, SLOTS);
+    let chosen = choose_entry_vms(&members, 0, SLOTS);
     assert_eq!(chosen.len(), 15);
     assert!(chosen.iter().all(|member| member.identity.capacity_per_s == 1_000));
 }
@@ -41,7 +41,7 @@
 fn the_choice_of_entries_does_not_depend_on_member_order() {
     let mut members = members();
     let ids = |members: &[Member]| -> Vec<u64> {
-        choose_entry(members, 0, SLOTS).iter().map(|member| member.identity.id).collect()
+        choose_entry_vms(members, 0, SLOTS).iter().map(|member| member.identity.id).collect()
     };
     let before = ids(&members);
     members.reverse();
@@ -52,7 +52,7 @@
 fn remaining_entries_stay_when_a_strong_vm_leaves() {
     let mut members = members();
     members.remove(0);
-    let chosen = choose_entry(&members, 0, SLOTS);
+    let chosen = choose_entry_vms(&members, 0, SLOTS);
     // The remaining two take over its work. With weak VMs the hall would need eight entries, each
     // of which gets an equal part of the callers but handles a ninth of what a strong one does.
     assert_eq!(chosen.len(), 14);
@@ -68,7 +68,7 @@
     let mut members: Vec<Member> =
         (0..986).map(|id| member(id, halls[id as usize % 5], capacity(id))).collect();
     let in_hall = |members: &[Member], hall: &str| -> Vec<u32> {
-        let chosen = choose_entry(members, 0, 30_000);
+        let chosen = choose_entry_vms(members, 0, 30_000);
         let chosen = chosen.iter().map(|member| &member.identity);
         chosen.filter(|it| it.hall == hall).map(|it| it.capacity_per_s).collect()
     };
--- a/crates/leverstream-core/tests/fleet.rs
+++ b/crates/leverstream-core/tests/fleet.rs
@@ -31,7 +31,7 @@
 fn fleet_of_one() -> (Fleet, BackendKey, RouteKey) {
     let mut fleet = Fleet::default();
     fleet.set(backend("a"), 1, 0);
-    let key = fleet.of_service("shop")[0];
+    let key = fleet.keys_of_service("shop")[0];
     let route = fleet.route_key("r", 250);
     (fleet, key, route)
 }
@@ -39,7 +39,7 @@
 /// Evaluates all backend servers for a request from their own hall.
 fn evaluate_all(fleet: &Fleet, now_ms: u64) -> Vec<Choice> {
     let asker = RequestOrigin { hall: "h1", far_cost: 0.2, tried: &[] };
-    fleet.of_service("shop").iter().map(|key| fleet.choice(*key, &asker, now_ms)).collect()
+    fleet.keys_of_service("shop").iter().map(|key| fleet.choice(*key, &asker, now_ms)).collect()
 }
 
 /// Evaluates a backend server for a non-repeatable request from its own hall, with or without a
@@ -50,7 +50,8 @@
     let floor =
         Floor { share, requests_fail: is_failing, attempts_fail: is_failing, requests_per_s: None };
     assign_claims(&mut choices, floor, false);
-    let at = fleet.of_service("shop").iter().position(|other| *other == key).expect("it is listed");
+    let at =
+        fleet.keys_of_service("shop").iter().position(|other| *other == key).expect("it is listed");
     choices[at]
 }
 
@@ -71,7 +72,7 @@
 
 /// Returns the instances in service, sorted.
 fn listed(fleet: &Fleet) -> Vec<String> {
-    let keys = fleet.of_service("shop").iter();
+    let keys = fleet.keys_of_service("shop").iter();
     let mut names: Vec<String> = keys.map(|key| fleet.target(*key).1.to_owned()).collect();
     names.sort();
     names
@@ -223,7 +224,7 @@
         fleet.set(backend(instance), 1, 0);
     }
     assert_eq!(share(&fleet, 1_000), 1.0, "none has been idle for long");
-    let keys = fleet.of_service("shop").to_vec();
+    let keys = fleet.keys_of_service("shop").to_vec();
     let route = fleet.route_key("r", 250);
     let mut ask = |key: usize, outcome: Outcome, now_ms: u64| {
         fleet.begin_request(keys[key], route, now_ms);
@@ -242,7 +243,7 @@
     let mut fleet = Fleet::default();
     let names = ["a", "b", "c", "d"];
     names.iter().for_each(|instance| _ = fleet.set(backend(instance), 1, 0));
-    let keys = fleet.of_service("shop").to_vec();
+    let keys = fleet.keys_of_service("shop").to_vec();
     let route = fleet.route_key("r", 250);
     for at in 0..10 {
         fleet.begin_request(keys[3], route, 9_000 + at);
@@ -325,7 +326,7 @@
     let mut fleet = Fleet::default();
     let names = ["a", "b", "c", "d"];
     names.iter().for_each(|instance| _ = fleet.set(backend(instance), 1, 0));
-    let keys = fleet.of_service("shop").to_vec();
+    let keys = fleet.keys_of_service("shop").to_vec();
     let (sound, poisoned) = (fleet.route_key("sound", 250), fleet.route_key("poisoned", 1_000));
     for at in 0..60_u64 {
         let (now_ms, key) = (1_000 + at * 500, keys[at as usize % 4]);
@@ -385,7 +386,7 @@
     let mut fleet = Fleet::default();
     let born = |born_ms: u64| Backend { born_ms, ..backend("a") };
     fleet.set(born(100), 1, 0);
-    let (route, before) = (fleet.route_key("r", 250), fleet.of_service("shop")[0]);
+    let (route, before) = (fleet.route_key("r", 250), fleet.keys_of_service("shop")[0]);
     (0..6).for_each(|at| {
         fleet.begin_request(before, route, at * 10);
         fleet.end_request(before, at * 10, route, Outcome::Bad, at * 10);
@@ -393,7 +394,7 @@
     fleet.begin_request(before, route, 100);
     assert!(evaluate(&fleet, before, false, 100).is_avoided(false));
     assert!(fleet.set(born(200), 2, 100));
-    let after = fleet.of_service("shop")[0];
+    let after = fleet.keys_of_service("shop")[0];
     let evaluated = evaluate(&fleet, after, false, 100);
     assert!(!evaluated.is_avoided(false), "it has not failed");
     assert_eq!(evaluated.load, 0, "it has no requests in flight");
@@ -404,7 +405,7 @@
     assert!(!fleet.end_incarnation(&start("a", 100)));
     assert_eq!(evaluate(&fleet, after, false, 120).load, 0);
     assert!(!evaluate(&fleet, after, false, 120).is_avoided(false));
-    assert_eq!(fleet.of_service("shop"), [after]);
+    assert_eq!(fleet.keys_of_service("shop"), [after]);
 }
 
 #[test]
@@ -456,7 +457,7 @@
                 }
             }
             if is_known || has_ended {
-                let keys = fleet.of_service("shop").to_vec();
+                let keys = fleet.keys_of_service("shop").to_vec();
                 prop_assert_eq!(keys.is_empty(), has_ended);
                 for key in keys {
                     prop_assert_eq!(fleet.incarnation(key).born_ms, 200);
--- a/crates/leverstream-core/tests/hedge.rs
+++ b/crates/leverstream-core/tests/hedge.rs
@@ -20,7 +20,7 @@
         cold_left_ms: 0,
     };
     fleet.set(backend, 1, 0);
-    let key = fleet.of_service("shop")[0];
+    let key = fleet.keys_of_service("shop")[0];
     let route = fleet.route_key("r", 600);
     for at in 0..200 {
         let time_ms = answer_ms * (0.8 + 0.4 * at as f64 / 200.0);
--- a/crates/leverstream-core/tests/hold_off.rs
+++ b/crates/leverstream-core/tests/hold_off.rs
@@ -50,7 +50,7 @@
 
 /// Returns the key of an instance.
 fn key(fleet: &Fleet, instance: &str) -> BackendKey {
-    let keys = fleet.of_service("shop").iter().copied();
+    let keys = fleet.keys_of_service("shop").iter().copied();
     keys.into_iter()
         .find(|key| fleet.target(*key).1 == instance)
         .expect("the instance is in service")
--- a/crates/leverstream-core/tests/leavers.rs
+++ b/crates/leverstream-core/tests/leavers.rs
@@ -41,7 +41,7 @@
 
 /// Returns the instances in service, sorted.
 fn in_service(fleet: &Fleet) -> Vec<String> {
-    let keys = fleet.of_service("shop").iter();
+    let keys = fleet.keys_of_service("shop").iter();
     let mut names: Vec<String> = keys.map(|key| fleet.target(*key).1.to_owned()).collect();
     names.sort();
     names
@@ -210,7 +210,7 @@
     fleet.set_last_resort(2_000);
     fleet.set(backend("a", 10), 1, 0);
     fleet.set(backend("b", 10), 1, 0);
-    let key = fleet.of_service("shop")[0];
+    let key = fleet.keys_of_service("shop")[0];
     assert!(fleet.may_send(key, 1_000));
     fleet.note_leaving(&fleet.incarnation(key), 1_000);
     assert!(!fleet.may_send(key, 1_000));
@@ -232,7 +232,7 @@
     fleet.set(backend("c", 10), 1, 0);
     let before = fleet.failed_share("shop");
     let route = fleet.route_key("r", 250);
-    let key = *fleet.of_service("shop").first().expect("one is left");
+    let key = *fleet.keys_of_service("shop").first().expect("one is left");
     (0..50).for_each(|at| {
         fleet.begin_request(key, route, 2_000 + at);
     });
--- a/crates/leverstream-core/tests/leaving_model.rs
+++ b/crates/leverstream-core/tests/leaving_model.rs
@@ -104,7 +104,7 @@
     let mut fleet = Fleet::default();
     events.iter().enumerate().for_each(|(at, event)| apply(&mut fleet, *event, at as u64 + 1));
     let serving: Vec<u64> =
-        fleet.of_service("shop").iter().map(|key| fleet.incarnation(*key).born_ms).collect();
+        fleet.keys_of_service("shop").iter().map(|key| fleet.incarnation(*key).born_ms).collect();
     let unavailable = last_unavailable(events);
     assert!(
         serving.iter().all(|born_ms| *born_ms > unavailable),
--- a/crates/leverstream-core/tests/limits.rs
+++ b/crates/leverstream-core/tests/limits.rs
@@ -145,11 +145,11 @@
 #[test]
 fn a_backend_server_with_denied_permits_is_skipped_until_the_denial_ends() {
     let mut fleet = fleet(2);
-    let key = fleet.of_service("shop")[0];
+    let key = fleet.keys_of_service("shop")[0];
     fleet.note_limit(&of(0, 7), notice(Some(2.0), 100), 150);
     fleet.deny(key, 700, Some(0.5));
     assert_eq!(chosen(&fleet, 200), Some(1));
-    let other = fleet.of_service("shop")[1];
+    let other = fleet.keys_of_service("shop")[1];
     fleet.hold_off(other, 60_000, 200);
     assert_eq!(chosen(&fleet, 300), None);
     assert_eq!(fleet.availability("shop", 300), Availability::Limited { per_s: 0.5, from_ms: 700 });
--- a/crates/leverstream-core/tests/roster.rs
+++ b/crates/leverstream-core/tests/roster.rs
@@ -60,7 +60,7 @@
     }
     for count in [400, 2_000, 10_000, 20_000] {
         let mut fleet = fleet(count);
-        let keys = fleet.of_service("shop").to_vec();
+        let keys = fleet.keys_of_service("shop").to_vec();
         assert!(candidates(&fleet, 1).keys.len() <= 320, "{count}, none observed");
         use_some(&mut fleet, &keys[..count / 2]);
         assert!(candidates(&fleet, 1).keys.len() <= 320, "{count}, half observed");
@@ -70,7 +70,7 @@
 #[test]
 fn candidates_are_the_recently_observed_and_a_sample_that_represents_the_rest() {
     let mut fleet = fleet(4_000);
-    let keys = fleet.of_service("shop").to_vec();
+    let keys = fleet.keys_of_service("shop").to_vec();
     use_some(&mut fleet, &keys[..300]);
     // Another VM reports one that this VM has not used.
     let told = Report { good: 1, overdue_odds: 1.0, heard_ms: 700, ..Report::default() };
@@ -89,7 +89,7 @@
 #[test]
 fn every_unobserved_backend_server_is_sampled_eventually() {
     let mut fleet = fleet(1_000);
-    let keys = fleet.of_service("shop").to_vec();
+    let keys = fleet.keys_of_service("shop").to_vec();
     use_some(&mut fleet, &keys[..300]);
     let drawn: BTreeSet<BackendKey> =
         (0..200).flat_map(|seed| candidates(&fleet, seed).keys).collect();
@@ -156,7 +156,7 @@
                 prop_assert_eq!(fleet.slots(service), slots);
                 let names: BTreeSet<&str> =
                     serving.iter().map(|backend| backend.instance.as_str()).collect();
-                let keys = fleet.of_service(service).iter();
+                let keys = fleet.keys_of_service(service).iter();
                 let found: BTreeSet<&str> = keys.map(|key| fleet.target(*key).1).collect();
                 prop_assert_eq!(found, names);
             }
--- a/crates/leverstream-core/tests/select.rs
+++ b/crates/leverstream-core/tests/select.rs
@@ -49,7 +49,7 @@
 #[test]
 fn a_large_answer_stays_in_its_hall_while_a_small_one_leaves_it() {
     let mut fleet = fleet(&["h1", "h2"]);
-    let near = fleet.of_service("shop")[0];
+    let near = fleet.keys_of_service("shop")[0];
     let route = fleet.route_key("r", 600);
     fleet.begin_request(near, route, 1_000);
     assert_eq!(chosen(&fleet, &want(0.005), 1_000).as_deref(), Some("b"), "it has less load");
@@ -59,7 +59,7 @@
 #[test]
 fn a_large_answer_leaves_its_hall_if_the_near_backend_servers_fail() {
     let mut fleet = fleet(&["h1", "h2"]);
-    let near = fleet.of_service("shop")[0];
+    let near = fleet.keys_of_service("shop")[0];
     let route = fleet.route_key("r", 600);
     for at in 0..3 {
         fleet.begin_request(near, route, 1_000 + at);
@@ -71,7 +71,7 @@
 #[test]
 fn repeatable_requests_accept_a_doubtful_backend_server_sooner() {
     let mut fleet = fleet(&["h1", "h1"]);
-    let keys = fleet.of_service("shop").to_vec();
+    let keys = fleet.keys_of_service("shop").to_vec();
     let route = fleet.route_key("r", 600);
     for at in 0..4 {
         fleet.begin_request(keys[0], route, 1_000 + at);
@@ -89,7 +89,7 @@
 #[test]
 fn idle_sound_backend_servers_get_work_below_the_floor() {
     let mut fleet = fleet(&["h1", "h1", "h1", "h1"]);
-    let keys = fleet.of_service("shop").to_vec();
+    let keys = fleet.keys_of_service("shop").to_vec();
     let route = fleet.route_key("r", 600);
     // Two have answered all along; the others have been idle so long that little is known of them.
     for at in 0..200 {
@@ -116,7 +116,7 @@
     // Two have answered all along; the others have not been reached for long, and requests fail
     // elsewhere.
     let mut fleet = fleet(&["h1", "h1", "h1", "h1"]);
-    let keys = fleet.of_service("shop").to_vec();
+    let keys = fleet.keys_of_service("shop").to_vec();
     let route = fleet.route_key("r", 600);
     for at in 0..200 {
         let (now_ms, key) = (1_000 + at * 100, keys[at as usize % 2]);
--- a/crates/leverstream-gateway/src/attempt.rs
+++ b/crates/leverstream-gateway/src/attempt.rs
@@ -81,7 +81,7 @@
     let mut conn = match conn {
         Ok(conn) => conn,
         Err(error) => {
-            if error == Unopened::Refused && inner.fleet.borrow().is_listed(slot.key) {
+            if error == Unopened::Refused && inner.fleet.borrow().is_in_service(slot.key) {
                 inner.suspicions.note_refused(&of, now_ms);
             }
             sent.fail(Outcome::Bad, "connect");
@@ -137,7 +137,7 @@
     if slot.pick.choice.is_far() {
         inner.meters.count_far(FarCause::Answer, answer.body.len());
     }
-    if conn.is_reusable() && inner.fleet.borrow().is_listed(slot.key) {
+    if conn.is_reusable() && inner.fleet.borrow().is_in_service(slot.key) {
         inner.idle.borrow_mut().put(of.clone(), conn, answer.keep_alive_ms(), now_ms);
     }
     judge(&sent, answer)
@@ -354,7 +354,7 @@
     /// and it was not to leave. One that lives accepts, and one that is out of reach says nothing.
     async fn has_ended(&self, address: SocketAddr) -> bool {
         let Sent { inner, of, slot, .. } = *self;
-        if !inner.fleet.borrow().is_listed(slot.key) {
+        if !inner.fleet.borrow().is_in_service(slot.key) {
             return false;
         }
         match open_within(address, END_LOOK_MS).await {
--- a/crates/leverstream-gateway/src/forward.rs
+++ b/crates/leverstream-gateway/src/forward.rs
@@ -208,7 +208,7 @@
             return Ok(());
         }
         let fleet = self.inner.fleet.borrow();
-        let keys = fleet.of_service(self.service).iter();
+        let keys = fleet.keys_of_service(self.service).iter();
         let has_ended =
             |key: &BackendKey| self.inner.suspicions.has_ended(&fleet.incarnation(*key));
         let is_last = keys.filter(|key| !has_ended(key)).count() <= 1;
--- a/crates/leverstream-gateway/src/mesh.rs
+++ b/crates/leverstream-gateway/src/mesh.rs
@@ -6,7 +6,7 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use leverstream_core::choose_entry;
+use leverstream_core::choose_entry_vms;
 use leverstream_limit::{ARBITERS, Role, STAND_INS};
 use leverstream_member::{
     Audience, Identity, Member, MemberState, Outgoing, Swim, SwimSettings, entry_set,
@@ -354,7 +354,7 @@
         let members: Vec<&Member> = swim.members().collect();
         let me = &swim.me().identity;
         let vms_a_hall = inner.settings.entry.vms_a_hall;
-        let chosen = choose_entry(members.iter().copied(), vms_a_hall, inner.slots());
+        let chosen = choose_entry_vms(members.iter().copied(), vms_a_hall, inner.slots());
         let state = |member: &Member| (member.identity.caller_address, member.takes_callers());
         let before: Vec<_> = self.sharing.entry().iter().map(state).collect();
         let after: Vec<_> = chosen.iter().copied().map(state).collect();
