--- a/crates/leverstream-core/src/demand.rs
+++ b/crates/leverstream-core/src/demand.rs
@@ -89,8 +89,8 @@
     pub fn is_failing(&self, is_repeatable: bool, now_ms: u64) -> bool {
         let threshold_with_refusals =
             if is_repeatable { FAILING_SHARE } else { FAILING_SHARE_WITH_REFUSALS };
-        self.outcomes.fails(FAILING_SHARE, now_ms)
-            || self.outcomes_with_refusals.fails(threshold_with_refusals, now_ms)
+        self.outcomes.is_failing(FAILING_SHARE, now_ms)
+            || self.outcomes_with_refusals.is_failing(threshold_with_refusals, now_ms)
     }
 }
 
@@ -129,7 +129,7 @@
     }
 
     /// Tells whether the failed share reaches a threshold, given enough requests.
-    fn fails(&self, share: f64, now_ms: u64) -> bool {
+    fn is_failing(&self, share: f64, now_ms: u64) -> bool {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         let total = (self.served + self.failed) * (-age_ms / OUTCOMES_TIME_CONSTANT_MS).exp();
         total >= MIN_REQUESTS && self.failed / (self.served + self.failed) >= share
--- a/crates/leverstream-core/src/fleet.rs
+++ b/crates/leverstream-core/src/fleet.rs
@@ -183,8 +183,8 @@
         delta.leaving.iter().for_each(|of| {
             self.note_leaving(of, now_ms);
         });
-        delta.limits.iter().for_each(|told| {
-            self.note_limit(&told.of, told.to_notice(now_ms), now_ms);
+        delta.limits.iter().for_each(|update| {
+            self.note_limit(&update.of, update.to_notice(now_ms), now_ms);
         });
         if delta.revision <= self.revision {
             return applied;
@@ -303,8 +303,8 @@
         if member.hold_off != HoldOff::default() && self.hold_offs.len() < HOLD_OFFS_LIMIT {
             self.hold_offs.insert(of.clone(), member.hold_off);
         }
-        if let Some(word) = member.limit.notice().filter(|word| word.per_s.is_some()) {
-            self.note_unlisted(&of, word);
+        if let Some(notice) = member.limit.notice().filter(|notice| notice.per_s.is_some()) {
+            self.note_unlisted(&of, notice);
         }
         self.announced_leaving.retain(|other| *other != key);
         self.limited.retain(|other| *other != key);
@@ -339,9 +339,9 @@
     }
 
     /// Evaluates a backend server for a request.
-    pub fn choice(&self, key: BackendKey, asker: &RequestOrigin<'_>, now_ms: u64) -> Choice {
+    pub fn choice(&self, key: BackendKey, origin: &RequestOrigin<'_>, now_ms: u64) -> Choice {
         let member = &self.arena[key.0 as usize];
-        member.choice(key, asker, &self.routes, self.episodes_at(member), now_ms)
+        member.choice(key, origin, &self.routes, self.episodes_at(member), now_ms)
     }
 
     /// Returns the share of recent attempts at a service that failed, from this VM's outcomes and
@@ -439,7 +439,7 @@
         member.miss_chance(since_ms, route, until_ms, &self.routes, episodes, now_ms)
     }
 
-    /// Marks backend servers whose requests in flight are so overdue that other VMs should be told;
+    /// Marks backend servers whose requests in flight are so overdue that other VMs need a report;
     /// returns whether there are any.
     pub fn note_overdue(&mut self, now_ms: u64) -> bool {
         let is_late =
--- a/crates/leverstream-core/src/fleet/backend_state.rs
+++ b/crates/leverstream-core/src/fleet/backend_state.rs
@@ -56,7 +56,7 @@
 /// and the one it replaces has just gone.
 const NEW_FOR_MS: u64 = 6_000;
 
-/// The factor by which the overdue odds must grow before other VMs are told again.
+/// The factor by which the overdue odds must grow before the VM reports to others again.
 const OVERDUE_REPORT_FACTOR: f64 = 3.0;
 
 /// A backend server with what was observed of it.
@@ -212,7 +212,7 @@
     pub fn choice(
         &self,
         key: BackendKey,
-        asker: &RequestOrigin<'_>,
+        origin: &RequestOrigin<'_>,
         routes: &Slab<RouteProfile>,
         episodes: &Episodes,
         now_ms: u64,
@@ -222,14 +222,14 @@
         Choice {
             load: self.load(now_ms),
             slots: self.backend.slots,
-            far_cost: if self.backend.hall == asker.hall { 0.0 } else { asker.far_cost },
+            far_cost: if self.backend.hall == origin.hall { 0.0 } else { origin.far_cost },
             is_cold: now_ms < self.cold_until_ms,
             failure_chance,
             slowness: self.decayed_slowness(now_ms),
             unseen_chance: episodes.unseen_failure_chance(),
             standing: self.floor_standing(now_ms),
             claim: Claim::None,
-            is_tried: asker.tried.contains(&key),
+            is_tried: origin.tried.contains(&key),
             stands_for: 1.0,
         }
     }
@@ -375,7 +375,7 @@
         silent + (1.0 - silent) * (by_then / by_now).min(1.0)
     }
 
-    /// Tells whether the overdue odds have grown enough since the last report to tell other VMs.
+    /// Tells whether the overdue odds have grown enough since the last report to report it to other VMs.
     pub fn has_overdue_report(&self, routes: &Slab<RouteProfile>, now_ms: u64) -> bool {
         self.own_overdue_odds(routes, now_ms) >= OVERDUE_REPORT_FACTOR * self.reported_overdue_odds
     }
--- a/crates/leverstream-core/src/select.rs
+++ b/crates/leverstream-core/src/select.rs
@@ -67,37 +67,37 @@
 /// Chooses a backend server with a free slot; none if the request should wait.
 pub fn choose(
     fleet: &Fleet,
-    want: &PickRequest<'_>,
+    request: &PickRequest<'_>,
     now_ms: u64,
     rng: &mut impl Rng,
 ) -> Option<Pick> {
-    let Candidates { keys, known, stands_for } = fleet.candidates(want.service, now_ms, rng);
-    let asker = RequestOrigin {
-        hall: want.hall,
-        far_cost: FAR_COST + FAILURE_COST * want.far_bytes_cost,
-        tried: want.tried,
+    let Candidates { keys, known, stands_for } = fleet.candidates(request.service, now_ms, rng);
+    let origin = RequestOrigin {
+        hall: request.hall,
+        far_cost: FAR_COST + FAILURE_COST * request.far_bytes_cost,
+        tried: request.tried,
     };
     let mut choices: Vec<Choice> =
-        keys.iter().map(|key| fleet.choice(*key, &asker, now_ms)).collect();
+        keys.iter().map(|key| fleet.choice(*key, &origin, now_ms)).collect();
     choices.iter_mut().skip(known).for_each(|choice| choice.stands_for = stands_for);
     let floor = Floor {
-        share: want.floor_share,
-        requests_fail: want.requests_fail,
-        attempts_fail: fleet.failed_share(want.service) >= ATTEMPTS_FAILING_SHARE,
-        requests_per_s: want.requests_per_s,
+        share: request.floor_share,
+        requests_fail: request.requests_fail,
+        attempts_fail: fleet.failed_share(request.service) >= ATTEMPTS_FAILING_SHARE,
+        requests_per_s: request.requests_per_s,
     };
     // A request that has failed once goes to proven backend servers, whatever the floor claims.
-    if want.tried.is_empty() {
-        assign_claims(&mut choices, floor, want.is_repeatable);
+    if request.tried.is_empty() {
+        assign_claims(&mut choices, floor, request.is_repeatable);
     }
-    let wait_share = if want.is_repeatable {
+    let wait_share = if request.is_repeatable {
         AVOID_WAIT_SHARE_REPEATABLE
     } else {
         AVOID_WAIT_SHARE_NON_REPEATABLE
     };
-    let accepts_avoided = want.waited_ms as f64 >= want.objective_ms as f64 * wait_share;
-    let index = steer(&choices, want.is_repeatable, accepts_avoided, rng)?;
-    let avoided = choices.iter().filter(|choice| choice.is_avoided(want.is_repeatable)).count();
+    let accepts_avoided = request.waited_ms as f64 >= request.objective_ms as f64 * wait_share;
+    let index = steer(&choices, request.is_repeatable, accepts_avoided, rng)?;
+    let avoided = choices.iter().filter(|choice| choice.is_avoided(request.is_repeatable)).count();
     Some(Pick { key: keys[index], choice: choices[index], among: choices.len(), avoided })
 }
 
--- a/crates/leverstream-core/src/notices.rs
+++ b/crates/leverstream-core/src/words.rs
@@ -1,10 +1,10 @@
 //! Anti-entropy of the notices that backend servers attach to their answers: that they leave, and
 //! their rate limits.
 //!
-//! A VM forwards a new notice to other VMs at once. Every message between VMs also carries a
-//! fingerprint of all known notices; a VM that receives a different one sends its own notices and
-//! asks for the other's. Lost datagrams, partitions and pauses thus delay a notice at most until
-//! the next comparison. A notice is dropped once the platform lists the same.
+//! A VM forwards a new notice to other VMs at once. The messages that VMs exchange anyway also
+//! carry a fingerprint of all known notices; a VM that receives a different one sends its own
+//! notices and asks for the other's. Lost datagrams, partitions and pauses thus delay a notice at
+//! most until the next comparison. A notice is dropped once the platform lists the same.
 
 use leverstream_catalog::Incarnation;
 
--- a/crates/leverstream-core/tests/emptied.rs
+++ b/crates/leverstream-core/tests/emptied.rs
@@ -31,7 +31,7 @@
 
 /// Returns the instances that requests of a VM in the first hall are sent to.
 fn chosen(fleet: &Fleet) -> Vec<String> {
-    let want = PickRequest {
+    let request = PickRequest {
         service: "shop",
         hall: "hall-a",
         is_repeatable: true,
@@ -45,7 +45,7 @@
     };
     let mut rng = StdRng::seed_from_u64(1);
     let mut chosen: Vec<String> = (0..40)
-        .filter_map(|_| choose(fleet, &want, 5_000, &mut rng))
+        .filter_map(|_| choose(fleet, &request, 5_000, &mut rng))
         .map(|pick| fleet.incarnation(pick.key).instance)
         .collect();
     chosen.sort_unstable();
--- a/crates/leverstream-core/tests/fleet.rs
+++ b/crates/leverstream-core/tests/fleet.rs
@@ -38,8 +38,8 @@
 
 /// Evaluates all backend servers for a request from their own hall.
 fn evaluate_all(fleet: &Fleet, now_ms: u64) -> Vec<Choice> {
-    let asker = RequestOrigin { hall: "h1", far_cost: 0.2, tried: &[] };
-    fleet.keys_of_service("shop").iter().map(|key| fleet.choice(*key, &asker, now_ms)).collect()
+    let origin = RequestOrigin { hall: "h1", far_cost: 0.2, tried: &[] };
+    fleet.keys_of_service("shop").iter().map(|key| fleet.choice(*key, &origin, now_ms)).collect()
 }
 
 /// Evaluates a backend server for a non-repeatable request from its own hall, with or without a
--- a/crates/leverstream-core/tests/hold_off.rs
+++ b/crates/leverstream-core/tests/hold_off.rs
@@ -33,7 +33,7 @@
 
 /// Returns the backend server that a request is sent to.
 fn chosen(fleet: &Fleet, now_ms: u64) -> Option<BackendKey> {
-    let want = PickRequest {
+    let request = PickRequest {
         service: "shop",
         hall: "h1",
         is_repeatable: true,
@@ -45,7 +45,7 @@
         requests_fail: true,
         requests_per_s: None,
     };
-    Some(choose(fleet, &want, now_ms, &mut StdRng::seed_from_u64(1))?.key)
+    Some(choose(fleet, &request, now_ms, &mut StdRng::seed_from_u64(1))?.key)
 }
 
 /// Returns the key of an instance.
@@ -59,53 +59,53 @@
 #[test]
 fn no_request_is_sent_during_a_hold_off_even_for_the_floor() {
     let (mut fleet, _) = fleet(2);
-    let held = key(&fleet, "a");
-    fleet.hold_off(held, 5_000, 1_000);
+    let key_a = key(&fleet, "a");
+    fleet.hold_off(key_a, 5_000, 1_000);
     for now_ms in [1_000, 2_000, 5_999] {
         assert_eq!(chosen(&fleet, now_ms), Some(key(&fleet, "b")), "{now_ms}");
-        assert!(!fleet.may_send(held, now_ms), "nor a request assigned before");
+        assert!(!fleet.may_send(key_a, now_ms), "nor a request assigned before");
     }
-    assert!(fleet.may_send(held, 6_000));
+    assert!(fleet.may_send(key_a, 6_000));
 }
 
 #[test]
 fn the_later_end_of_overlapping_hold_offs_applies() {
     let (mut fleet, _) = fleet(1);
-    let held = key(&fleet, "a");
-    fleet.hold_off(held, 5_000, 1_000);
-    fleet.hold_off(held, 100, 2_000);
-    fleet.hold_off(held, 0, 2_000);
-    assert!(!fleet.may_send(held, 5_999));
-    fleet.hold_off(held, u64::MAX, 3_000);
-    assert!(!fleet.may_send(held, u64::MAX - 1));
+    let key_a = key(&fleet, "a");
+    fleet.hold_off(key_a, 5_000, 1_000);
+    fleet.hold_off(key_a, 100, 2_000);
+    fleet.hold_off(key_a, 0, 2_000);
+    assert!(!fleet.may_send(key_a, 5_999));
+    fleet.hold_off(key_a, u64::MAX, 3_000);
+    assert!(!fleet.may_send(key_a, u64::MAX - 1));
 }
 
 #[test]
 fn after_a_hold_off_one_request_must_be_answered_before_more_are_sent() {
     let (mut fleet, route) = fleet(1);
-    let held = key(&fleet, "a");
-    fleet.begin_request(held, route, 900);
-    fleet.hold_off(held, 1_000, 1_000);
+    let key_a = key(&fleet, "a");
+    fleet.begin_request(key_a, route, 900);
+    fleet.hold_off(key_a, 1_000, 1_000);
     let good = Outcome::Good { time_ms: 50.0, bytes: 10 };
-    fleet.end_request(held, 900, route, good, 1_100);
-    fleet.begin_request(held, route, 2_000);
+    fleet.end_request(key_a, 900, route, good, 1_100);
+    fleet.begin_request(key_a, route, 2_000);
     assert_eq!(chosen(&fleet, 2_010), None, "an answer to an earlier request does not count");
-    fleet.end_request(held, 2_000, route, Outcome::Neutral, 2_020);
-    fleet.begin_request(held, route, 2_030);
+    fleet.end_request(key_a, 2_000, route, Outcome::Neutral, 2_020);
+    fleet.begin_request(key_a, route, 2_030);
     assert_eq!(chosen(&fleet, 2_040), None, "nor does a rejected request");
-    fleet.end_request(held, 2_030, route, good, 2_080);
-    fleet.begin_request(held, route, 2_090);
-    assert_eq!(chosen(&fleet, 2_090), Some(held));
+    fleet.end_request(key_a, 2_030, route, good, 2_080);
+    fleet.begin_request(key_a, route, 2_090);
+    assert_eq!(chosen(&fleet, 2_090), Some(key_a));
 }
 
 #[test]
 fn a_neutral_outcome_is_no_failure() {
     let (mut fleet, route) = fleet(1);
-    let held = key(&fleet, "a");
+    let key_a = key(&fleet, "a");
     let before = fleet.failed_share("shop");
     for at in 0..50 {
-        fleet.begin_request(held, route, at * 10);
-        fleet.end_request(held, at * 10, route, Outcome::Neutral, at * 10 + 5);
+        fleet.begin_request(key_a, route, at * 10);
+        fleet.end_request(key_a, at * 10, route, Outcome::Neutral, at * 10 + 5);
     }
     assert_eq!(fleet.failed_share("shop"), before);
     assert!(chosen(&fleet, 1_000).is_some());
@@ -139,10 +139,10 @@
 fn a_leaving_backend_server_that_holds_off_is_no_last_resort() {
     let (mut fleet, _) = fleet(1);
     fleet.set_last_resort(2_000);
-    let held = key(&fleet, "a");
-    fleet.hold_off(held, 700, 1_000);
+    let key_a = key(&fleet, "a");
+    fleet.hold_off(key_a, 700, 1_000);
     fleet.note_leaving(&Incarnation { instance: "a".into(), born_ms: 10 }, 1_000);
     assert_eq!(fleet.availability("shop", 1_100), Availability::HoldsOffUntil(1_700));
-    assert!(!fleet.may_send(held, 1_100));
-    assert!(fleet.may_send(held, 1_800));
+    assert!(!fleet.may_send(key_a, 1_100));
+    assert!(fleet.may_send(key_a, 1_800));
 }
--- a/crates/leverstream-core/tests/leavers.rs
+++ b/crates/leverstream-core/tests/leavers.rs
@@ -49,7 +49,7 @@
 
 /// Returns the instance that a request is sent to, if any.
 fn chosen(fleet: &Fleet, now_ms: u64) -> Option<String> {
-    let want = PickRequest {
+    let request = PickRequest {
         service: "shop",
         hall: "h1",
         is_repeatable: true,
@@ -61,7 +61,7 @@
         requests_fail: false,
         requests_per_s: None,
     };
-    let pick = choose(fleet, &want, now_ms, &mut StdRng::seed_from_u64(1))?;
+    let pick = choose(fleet, &request, now_ms, &mut StdRng::seed_from_u64(1))?;
     Some(fleet.target(pick.key).1.to_owned())
 }
 
@@ -167,23 +167,23 @@
 
 #[test]
 fn a_whole_list_brings_its_leave_notices_to_a_new_vm() {
-    let told = fleet_with_leave_notice();
+    let source = fleet_with_leave_notice();
     let mut newcomer = Fleet::default();
-    let applied = newcomer.apply(told.delta_since(0, 5_000), 5_000);
+    let applied = newcomer.apply(source.delta_since(0, 5_000), 5_000);
     assert_eq!(applied.set, 2);
     assert_eq!(in_service(&newcomer), ["b"]);
-    assert_eq!(newcomer.notices_fingerprint(), told.notices_fingerprint());
+    assert_eq!(newcomer.notices_fingerprint(), source.notices_fingerprint());
 }
 
 #[test]
 fn the_fingerprint_is_zero_once_the_platform_lists_the_same() {
     let mut fleet = fleet_with_leave_notice();
     assert_ne!(fleet.notices_fingerprint(), 0);
-    let mut gone = fleet_with_leave_notice();
+    let mut removed = fleet_with_leave_notice();
     fleet.set(leaving("a", 10), 2, 2_000);
     assert_eq!(fleet.notices_fingerprint(), 0);
-    gone.remove("a", 2);
-    assert_eq!(gone.notices_fingerprint(), 0);
+    removed.remove("a", 2);
+    assert_eq!(removed.notices_fingerprint(), 0);
     assert_eq!(Fleet::default().notices_fingerprint(), 0);
 }
 
--- a/crates/leverstream-core/tests/leaving/mod.rs
+++ b/crates/leverstream-core/tests/leaving/mod.rs
@@ -51,7 +51,7 @@
     /// The request rate.
     pub requests_per_s: u32,
     /// The faults of VMs: time, VM, fault.
-    pub events: Vec<(u64, usize, Fault)>,
+    pub faults: Vec<(u64, usize, Fault)>,
     /// The share of datagrams that are lost.
     pub lost_share: f64,
     /// The share of datagrams that are duplicated.
@@ -97,7 +97,7 @@
     /// Its fleet state.
     fleet: Fleet,
     /// The state of its comparisons.
-    compared: NoticeSync,
+    notice_sync: NoticeSync,
     /// Its route.
     route: RouteKey,
     /// The end of its downtime or pause.
@@ -118,9 +118,9 @@
     /// A backend server answers a request that a VM sent before any further restart.
     Answer { vm: usize, restarts: u32, server: usize, key: u32, since_ms: u64 },
     /// A VM receives leaving incarnations.
-    Told { from: usize, to: usize, starts: Vec<usize>, asks: bool },
+    Notices { from: usize, to: usize, starts: Vec<usize>, asks: bool },
     /// A VM receives another's fingerprint.
-    Compared { from: usize, to: usize, fingerprint: u64 },
+    Fingerprint { from: usize, to: usize, fingerprint: u64 },
 }
 
 /// The state of a simulation.
@@ -170,10 +170,10 @@
         fleet.set(entry(server, false), 1, now_ms);
     });
     let route = fleet.route_key("r", 400);
-    let (compared, announced_ms) = (NoticeSync::default(), HashMap::new());
+    let (notice_sync, announced_ms) = (NoticeSync::default(), HashMap::new());
     Vm {
         fleet,
-        compared,
+        notice_sync,
         route,
         down_until_ms: 0,
         partitioned_until_ms: 0,
@@ -216,16 +216,16 @@
 
     /// Applies the faults that begin now.
     fn apply_faults(&mut self, now_ms: u64) {
-        let scheduled: Vec<(usize, Fault)> = self
+        let faults: Vec<(usize, Fault)> = self
             .scenario
-            .events
+            .faults
             .iter()
-            .filter(|event| event.0 == now_ms)
-            .map(|event| (event.1, event.2))
+            .filter(|fault| fault.0 == now_ms)
+            .map(|fault| (fault.1, fault.2))
             .collect();
-        for (at, event) in scheduled {
+        for (at, fault) in faults {
             let restarts = self.vms[at].restarts + 1;
-            match event {
+            match fault {
                 Fault::Kill(for_ms) => {
                     let bytes = self.vms[at].bytes;
                     self.vms[at] = start(&self.scenario, restarts, now_ms + for_ms);
@@ -249,10 +249,10 @@
                 Scheduled::Answer { vm, restarts, server, key, since_ms } => {
                     self.answer(vm, restarts, server, BackendKey(key), since_ms, now_ms);
                 }
-                Scheduled::Told { from, to, starts, asks } => {
-                    self.hear(from, to, &starts, asks, now_ms)
+                Scheduled::Notices { from, to, starts, asks } => {
+                    self.receive_notices(from, to, &starts, asks, now_ms)
                 }
-                Scheduled::Compared { from, to, fingerprint } => {
+                Scheduled::Fingerprint { from, to, fingerprint } => {
                     self.compare(from, to, fingerprint, now_ms);
                 }
             }
@@ -268,46 +268,46 @@
         for vm in 0..self.scenario.vms {
             if (now_ms + vm as u64).is_multiple_of(PING_MS) {
                 let to = self.rng.random_range(0..self.scenario.vms);
-                self.tell_fingerprint(vm, to, now_ms);
-                self.tell_fingerprint(to, vm, now_ms);
+                self.send_fingerprint(vm, to, now_ms);
+                self.send_fingerprint(to, vm, now_ms);
             }
             if vm < sharers && (now_ms + vm as u64).is_multiple_of(EVIDENCE_MS) {
-                (0..sharers).for_each(|to| self.tell_fingerprint(vm, to, now_ms));
+                (0..sharers).for_each(|to| self.send_fingerprint(vm, to, now_ms));
             }
         }
-        let back_ms = self.scenario.store_available_ms;
-        if now_ms >= back_ms && (now_ms - back_ms).is_multiple_of(HEARTBEAT_MS) {
+        let available_ms = self.scenario.store_available_ms;
+        if now_ms >= available_ms && (now_ms - available_ms).is_multiple_of(HEARTBEAT_MS) {
             // The first entries after the store's return still list all backend servers as ready.
-            let is_late = now_ms == back_ms;
+            let is_stale = now_ms == available_ms;
             for vm in 0..self.scenario.vms {
-                self.read_store(vm, is_late, now_ms);
+                self.read_store(vm, is_stale, now_ms);
             }
         }
     }
 
     /// Lets a VM read the store.
-    fn read_store(&mut self, at: usize, is_late: bool, now_ms: u64) {
-        if !self.reaches(at, now_ms) {
+    fn read_store(&mut self, at: usize, is_stale: bool, now_ms: u64) {
+        if !self.is_reachable(at, now_ms) {
             return;
         }
         for server in 0..self.scenario.servers {
             let is_leaving =
-                !is_late && self.leaves_ms(server).is_some_and(|at_ms| at_ms <= now_ms);
+                !is_stale && self.leaves_ms(server).is_some_and(|at_ms| at_ms <= now_ms);
             self.vms[at].fleet.set(entry(server, is_leaving), now_ms, now_ms);
         }
     }
 
     /// Sends a caller's request to a VM.
     fn request(&mut self, now_ms: u64) {
-        let is_stray = self.rng.random_range(0..NON_SHARER_ONE_IN) == 0;
+        let is_any_vm = self.rng.random_range(0..NON_SHARER_ONE_IN) == 0;
         let at = self
             .rng
-            .random_range(0..if is_stray { self.scenario.vms } else { self.scenario.sharers });
+            .random_range(0..if is_any_vm { self.scenario.vms } else { self.scenario.sharers });
         if self.vms[at].down_until_ms > now_ms {
             return;
         }
         self.observations.requests += 1;
-        let want = PickRequest {
+        let request = PickRequest {
             service: "shop",
             hall: "h1",
             is_repeatable: true,
@@ -320,20 +320,20 @@
             requests_per_s: None,
         };
         let vm = &mut self.vms[at];
-        let Some(pick) = choose(&vm.fleet, &want, now_ms, &mut self.rng) else {
+        let Some(pick) = choose(&vm.fleet, &request, now_ms, &mut self.rng) else {
             self.observations.refused += 1;
             return;
         };
         let server = server(&vm.fleet.incarnation(pick.key));
         vm.fleet.begin_request(pick.key, vm.route, now_ms);
-        let own_ms = vm.announced_ms.get(&server).map_or(0, |word_ms| now_ms - word_ms);
-        let any_ms = self.first_announced_ms.get(&server).map_or(0, |word_ms| now_ms - word_ms);
+        let own_ms = vm.announced_ms.get(&server).map_or(0, |since_ms| now_ms - since_ms);
+        let any_ms = self.first_announced_ms.get(&server).map_or(0, |since_ms| now_ms - since_ms);
         self.observations.longest_own_ms = self.observations.longest_own_ms.max(own_ms);
         self.observations.longest_any_ms = self.observations.longest_any_ms.max(any_ms);
         let restarts = self.vms[at].restarts;
         let answer =
             Scheduled::Answer { vm: at, restarts, server, key: pick.key.0, since_ms: now_ms };
-        self.at(now_ms + WORK_MS, answer);
+        self.schedule(now_ms + WORK_MS, answer);
     }
 
     /// Handles an answer, which says whether its backend server leaves.
@@ -351,7 +351,7 @@
         }
         let down_until_ms = self.vms[at].down_until_ms;
         if down_until_ms > now_ms {
-            self.at(
+            self.schedule(
                 down_until_ms,
                 Scheduled::Answer { vm: at, restarts, server, key: key.0, since_ms },
             );
@@ -370,20 +370,35 @@
             let mut others: Vec<usize> = (self.scenario.sharers..self.scenario.vms).collect();
             others.truncate(OTHERS_NOTIFIED);
             let sharers = 0..self.scenario.sharers;
-            sharers.chain(others).for_each(|to| self.tell(at, to, vec![server], false, now_ms));
+            sharers
+                .chain(others)
+                .for_each(|to| self.send_notices(at, to, vec![server], false, now_ms));
         }
     }
 
     /// Handles the notices of another VM.
-    fn hear(&mut self, from: usize, to: usize, starts: &[usize], asks: bool, now_ms: u64) {
-        let told = Notices {
+    fn receive_notices(
+        &mut self,
+        from: usize,
+        to: usize,
+        starts: &[usize],
+        asks: bool,
+        now_ms: u64,
+    ) {
+        let notices = Notices {
             starts: starts.iter().copied().map(of).collect(),
             asks,
             ..Notices::default()
         };
-        let heard = NoticeSync::apply(told, &mut self.vms[to].fleet, now_ms);
-        if let Some(told) = heard.answer {
-            self.tell(to, from, told.starts.iter().map(server).collect(), told.asks, now_ms);
+        let applied = NoticeSync::apply(notices, &mut self.vms[to].fleet, now_ms);
+        if let Some(notices) = applied.answer {
+            self.send_notices(
+                to,
+                from,
+                notices.starts.iter().map(server).collect(),
+                notices.asks,
+                now_ms,
+            );
         }
     }
 
@@ -391,22 +406,35 @@
     fn compare(&mut self, from: usize, to: usize, fingerprint: u64, now_ms: u64) {
         let is_sharer = to < self.scenario.sharers;
         let vm = &mut self.vms[to];
-        if let Some(told) = vm.compared.compare(fingerprint, &vm.fleet, is_sharer, now_ms) {
-            self.tell(to, from, told.starts.iter().map(server).collect(), told.asks, now_ms);
+        if let Some(notices) = vm.notice_sync.compare(fingerprint, &vm.fleet, is_sharer, now_ms) {
+            self.send_notices(
+                to,
+                from,
+                notices.starts.iter().map(server).collect(),
+                notices.asks,
+                now_ms,
+            );
         }
     }
 
     /// Sends leaving incarnations to a VM.
-    fn tell(&mut self, from: usize, to: usize, starts: Vec<usize>, asks: bool, now_ms: u64) {
+    fn send_notices(
+        &mut self,
+        from: usize,
+        to: usize,
+        starts: Vec<usize>,
+        asks: bool,
+        now_ms: u64,
+    ) {
         let (head, each) = DATAGRAM_BYTES;
         self.vms[from].bytes += head + each * starts.len() as u64;
-        self.send(from, to, &Scheduled::Told { from, to, starts, asks }, now_ms);
+        self.send(from, to, &Scheduled::Notices { from, to, starts, asks }, now_ms);
     }
 
     /// Sends a VM's fingerprint to another.
-    fn tell_fingerprint(&mut self, from: usize, to: usize, now_ms: u64) {
+    fn send_fingerprint(&mut self, from: usize, to: usize, now_ms: u64) {
         let fingerprint = self.vms[from].fleet.notices_fingerprint();
-        self.send(from, to, &Scheduled::Compared { from, to, fingerprint }, now_ms);
+        self.send(from, to, &Scheduled::Fingerprint { from, to, fingerprint }, now_ms);
     }
 
     /// Sends a datagram, which may be lost, delayed or duplicated.
@@ -415,19 +443,23 @@
         for _ in 0..copies {
             let is_lost = self.rng.random_bool(self.scenario.lost_share);
             let at_ms = now_ms + self.rng.random_range(1..=self.scenario.max_delay_ms);
-            if from != to && !is_lost && self.reaches(from, now_ms) && self.reaches(to, at_ms) {
-                self.at(at_ms, scheduled.clone());
+            if from != to
+                && !is_lost
+                && self.is_reachable(from, now_ms)
+                && self.is_reachable(to, at_ms)
+            {
+                self.schedule(at_ms, scheduled.clone());
             }
         }
     }
 
     /// Tells whether a VM is running and connected.
-    fn reaches(&self, vm: usize, at_ms: u64) -> bool {
+    fn is_reachable(&self, vm: usize, at_ms: u64) -> bool {
         self.vms[vm].down_until_ms <= at_ms && self.vms[vm].partitioned_until_ms <= at_ms
     }
 
     /// Schedules an event.
-    fn at(&mut self, at_ms: u64, scheduled: Scheduled) {
+    fn schedule(&mut self, at_ms: u64, scheduled: Scheduled) {
         self.count += 1;
         self.scheduled.push(Reverse((at_ms, self.count, scheduled)));
     }
--- a/crates/leverstream-core/tests/leaving_fleet.rs
+++ b/crates/leverstream-core/tests/leaving_fleet.rs
@@ -23,7 +23,7 @@
         last_resort_ms: 1_900,
         store_available_ms: 9_000,
         requests_per_s: 100,
-        events: Vec::new(),
+        faults: Vec::new(),
         lost_share: 0.0,
         duplicated_share: 0.0,
         max_delay_ms: 2,
@@ -74,20 +74,20 @@
 
 #[test]
 fn a_service_without_others_is_refused_less_with_a_last_resort() {
-    let mut stopped = 0;
+    let mut refused = 0;
     for seed in 0..20 {
         let all =
             Scenario { leaving: 12, over_ms: 200, store_available_ms: 3_000, ..scenario(36, seed) };
-        let at_once = simulate(Scenario { last_resort_ms: 0, ..all.clone() });
+        let without_last_resort = simulate(Scenario { last_resort_ms: 0, ..all.clone() });
         let observations = simulate(all);
         assert_bound_holds("all leave", seed, &observations);
-        stopped += at_once.refused;
+        refused += without_last_resort.refused;
         assert!(
-            observations.refused < at_once.refused,
-            "seed {seed}: {observations:?}, {at_once:?}"
+            observations.refused < without_last_resort.refused,
+            "seed {seed}: {observations:?}, {without_last_resort:?}"
         );
     }
-    assert!(stopped > 0);
+    assert!(refused > 0);
 }
 
 /// Simulates the replacement of a third of the backend servers while the store is unavailable, with
@@ -128,11 +128,11 @@
 fn random_scenario(seed: u64) -> Scenario {
     let mut rng = StdRng::seed_from_u64(seed);
     let vms = [3, 5, 8, 36, 44][rng.random_range(0..5)];
-    let mut events = Vec::new();
+    let mut faults = Vec::new();
     for _ in 0..rng.random_range(3..40) {
         let (at_ms, vm) = (rng.random_range(500..11_000), rng.random_range(0..vms));
         let for_ms = rng.random_range(20..4_000);
-        events.push(match rng.random_range(0..3) {
+        faults.push(match rng.random_range(0..3) {
             0 => (at_ms, vm, Fault::Kill(for_ms)),
             1 => (at_ms, vm, Fault::Pause(for_ms)),
             _ => (at_ms, vm, Fault::Partition(for_ms)),
@@ -143,7 +143,7 @@
         servers: rng.random_range(4..14),
         leaving: rng.random_range(1..4),
         store_available_ms: rng.random_range(2_000..10_000),
-        events,
+        faults,
         lost_share: rng.random_range(0.0..0.3),
         duplicated_share: rng.random_range(0.0..0.5),
         max_delay_ms: rng.random_range(2..400),
--- a/crates/leverstream-core/tests/limits.rs
+++ b/crates/leverstream-core/tests/limits.rs
@@ -47,7 +47,7 @@
 
 /// Returns the backend server that a request is sent to.
 fn chosen(fleet: &Fleet, now_ms: u64) -> Option<usize> {
-    let want = PickRequest {
+    let request = PickRequest {
         service: "shop",
         hall: "h1",
         is_repeatable: true,
@@ -59,7 +59,7 @@
         requests_fail: false,
         requests_per_s: None,
     };
-    let pick = choose(fleet, &want, now_ms, &mut StdRng::seed_from_u64(1))?;
+    let pick = choose(fleet, &request, now_ms, &mut StdRng::seed_from_u64(1))?;
     fleet.incarnation(pick.key).instance[2..].parse().ok()
 }
 
@@ -100,42 +100,46 @@
 
 #[test]
 fn a_whole_list_brings_its_limits_to_a_new_vm() {
-    let mut elder = fleet(3);
-    elder.note_limit(&of(1, 7), notice(Some(2.0), 40_000), 40_100);
-    elder.advance_revision(9);
+    let mut peer = fleet(3);
+    peer.note_limit(&of(1, 7), notice(Some(2.0), 40_000), 40_100);
+    peer.advance_revision(9);
     let mut newcomer = Fleet::default();
-    newcomer.apply(elder.delta_since(0, 41_000), 50);
-    let told = newcomer.limit_notice(&of(1, 7)).expect("the limit came with the list");
-    assert_eq!(told, notice(Some(2.0), 50 - 1_000), "one second old by the receiver's clock");
-    assert_eq!(elder.notices_fingerprint(), newcomer.notices_fingerprint());
+    newcomer.apply(peer.delta_since(0, 41_000), 50);
+    let update = newcomer.limit_notice(&of(1, 7)).expect("the limit came with the list");
+    assert_eq!(update, notice(Some(2.0), 50 - 1_000), "one second old by the receiver's clock");
+    assert_eq!(peer.notices_fingerprint(), newcomer.notices_fingerprint());
 }
 
 #[test]
 fn comparisons_converge_for_new_and_lifted_limits() {
-    let (mut knows, mut missed) = (fleet(2), fleet(2));
-    for fleet in [&mut knows, &mut missed] {
+    let (mut informed, mut uninformed) = (fleet(2), fleet(2));
+    for fleet in [&mut informed, &mut uninformed] {
         fleet.note_limit(&of(0, 7), notice(Some(2.0), 100), 150);
     }
-    knows.note_limit(&of(0, 7), notice(None, 200), 250);
-    let told = NoticeSync::default().compare(knows.notices_fingerprint(), &missed, true, 300);
-    let heard = NoticeSync::apply(told.expect("they differ"), &mut knows, 302);
-    assert!(heard.limits.is_empty(), "the received limit is older");
-    let heard =
-        NoticeSync::apply(heard.answer.expect("the reply has the lifted limit"), &mut missed, 304);
-    assert_eq!(heard.limits.len(), 1);
-    assert_eq!(missed.notices_fingerprint(), 0);
-    // In the other direction: the VM that missed a limit learns it.
-    knows.note_limit(&of(1, 7), notice(Some(1.0), 400), 450);
-    let told = NoticeSync::default().compare(0, &knows, true, 500).expect("they differ");
-    NoticeSync::apply(told, &mut missed, 502);
-    assert_eq!(knows.notices_fingerprint(), missed.notices_fingerprint());
+    informed.note_limit(&of(0, 7), notice(None, 200), 250);
+    let update =
+        NoticeSync::default().compare(informed.notices_fingerprint(), &uninformed, true, 300);
+    let applied = NoticeSync::apply(update.expect("they differ"), &mut informed, 302);
+    assert!(applied.limits.is_empty(), "the received limit is older");
+    let applied = NoticeSync::apply(
+        applied.answer.expect("the reply has the lifted limit"),
+        &mut uninformed,
+        304,
+    );
+    assert_eq!(applied.limits.len(), 1);
+    assert_eq!(uninformed.notices_fingerprint(), 0);
+    // In the other direction: the VM that uninformed a limit learns it.
+    informed.note_limit(&of(1, 7), notice(Some(1.0), 400), 450);
+    let update = NoticeSync::default().compare(0, &informed, true, 500).expect("they differ");
+    NoticeSync::apply(update, &mut uninformed, 502);
+    assert_eq!(informed.notices_fingerprint(), uninformed.notices_fingerprint());
 }
 
 #[test]
 fn limits_of_unknown_incarnations_or_extreme_age_are_harmless() {
     let mut fleet = fleet(1);
-    let told = |number, per_s, age_ms| LimitUpdate { of: of(number, 7), per_s, age_ms };
-    let limits = vec![told(0, Some(2.0), u64::MAX), told(5, None, 3), told(6, Some(1.0), 0)];
+    let update = |number, per_s, age_ms| LimitUpdate { of: of(number, 7), per_s, age_ms };
+    let limits = vec![update(0, Some(2.0), u64::MAX), update(5, None, 3), update(6, Some(1.0), 0)];
     NoticeSync::apply(Notices { limits, ..Notices::default() }, &mut fleet, 100);
     assert_eq!(limit(&fleet), Some(2.0));
     fleet.note_limit(&of(0, 7), notice(None, 1), 101);
--- a/crates/leverstream-core/tests/roster.rs
+++ b/crates/leverstream-core/tests/roster.rs
@@ -73,15 +73,15 @@
     let keys = fleet.keys_of_service("shop").to_vec();
     use_some(&mut fleet, &keys[..300]);
     // Another VM reports one that this VM has not used.
-    let told = Report { good: 1, overdue_odds: 1.0, heard_ms: 700, ..Report::default() };
-    assert!(!fleet.report(&Incarnation { instance: "b3999".into(), born_ms: 0 }, 7, told));
+    let report = Report { good: 1, overdue_odds: 1.0, heard_ms: 700, ..Report::default() };
+    assert!(!fleet.report(&Incarnation { instance: "b3999".into(), born_ms: 0 }, 7, report));
     for seed in 0..20 {
-        let Candidates { keys: looked, known, stands_for } = candidates(&fleet, seed);
-        let distinct: BTreeSet<&BackendKey> = looked.iter().collect();
-        assert_eq!(distinct.len(), looked.len(), "no duplicates");
-        assert!(looked[..known].contains(&keys[3_999]));
-        assert!(keys[120..300].iter().all(|key| looked[..known].contains(key)));
-        let all = known as f64 + stands_for * (looked.len() - known) as f64;
+        let Candidates { keys: considered, known, stands_for } = candidates(&fleet, seed);
+        let distinct: BTreeSet<&BackendKey> = considered.iter().collect();
+        assert_eq!(distinct.len(), considered.len(), "no duplicates");
+        assert!(considered[..known].contains(&keys[3_999]));
+        assert!(keys[120..300].iter().all(|key| considered[..known].contains(key)));
+        let all = known as f64 + stands_for * (considered.len() - known) as f64;
         assert!((all - 4_000.0).abs() < 1e-6, "{all}");
     }
 }
@@ -124,15 +124,15 @@
         // The platform's list with the revision of each last change, and the leaving backend
         // servers.
         let mut listed: BTreeMap<usize, (Backend, u64)> = BTreeMap::new();
-        let mut left = BTreeSet::new();
+        let mut leaving = BTreeSet::new();
         for (step, revision) in steps.into_iter().zip(1..) {
             match step {
                 Step::Set(number, is_other, slots) => {
                     let service = if is_other { "other" } else { "shop" };
                     let backend = backend(number, service, slots);
                     let is_news = fleet.set(backend.clone(), revision, revision);
-                    let held = listed.get(&number).is_some_and(|(held, _)| *held == backend);
-                    prop_assert_eq!(is_news, !held);
+                    let known = listed.get(&number).is_some_and(|(known, _)| *known == backend);
+                    prop_assert_eq!(is_news, !known);
                     if is_news {
                         listed.insert(number, (backend, revision));
                     }
@@ -144,12 +144,12 @@
                 Step::Leave(number) => {
                     let of = Incarnation { instance: format!("b{number}"), born_ms: 0 };
                     fleet.note_leaving(&of, revision);
-                    left.insert(number);
+                    leaving.insert(number);
                 }
             }
             fleet.advance_revision(revision);
             for service in ["shop", "other"] {
-                let serving = listed.iter().filter(|(number, _)| !left.contains(*number));
+                let serving = listed.iter().filter(|(number, _)| !leaving.contains(*number));
                 let serving = serving.filter(|(_, (backend, _))| backend.service == service);
                 let serving: Vec<&Backend> = serving.map(|(_, (backend, _))| backend).collect();
                 let slots: u32 = serving.iter().map(|backend| backend.slots).sum();
@@ -161,12 +161,12 @@
                 prop_assert_eq!(found, names);
             }
             let since = revision / 2;
-            let changed = listed.values().filter(|(_, stamp)| since == 0 || *stamp > since);
+            let changed = listed.values().filter(|(_, changed_at)| since == 0 || *changed_at > since);
             let changed: BTreeSet<String> =
                 changed.map(|(backend, _)| backend.instance.clone()).collect();
-            let told = fleet.delta_since(since, revision).set;
-            let told: BTreeSet<String> = told.into_iter().map(|backend| backend.instance).collect();
-            prop_assert_eq!(told, changed);
+            let listed_since = fleet.delta_since(since, revision).set;
+            let listed_since: BTreeSet<String> = listed_since.into_iter().map(|backend| backend.instance).collect();
+            prop_assert_eq!(listed_since, changed);
         }
     }
 }
