--- a/crates/leverstream-core/src/fleet.rs
+++ b/crates/leverstream-core/src/fleet.rs
@@ -84,7 +84,7 @@
     /// The backend servers whose latest state has not been reported to other VMs.
     unreported: Vec<BackendKey>,
     /// Whether the unreported state includes a failure.
-    has_bad_news: bool,
+    has_unreported_failure: bool,
     /// Incarnations that are known to have ended.
     ended: IncarnationSet,
     /// Incarnations that are known to leave.
@@ -408,7 +408,7 @@
         // A request cut off because its backend server leaves is no evidence of a failure.
         let is_good = matches!(outcome, Outcome::Good { .. });
         let outcome = if member.is_out_of_service && !is_good { Outcome::Neutral } else { outcome };
-        self.has_bad_news |=
+        self.has_unreported_failure |=
             member.end_request(since_ms, route, outcome, &self.routes, episodes, now_ms);
         match outcome {
             Outcome::Good { time_ms, bytes } => {
@@ -446,7 +446,7 @@
             |key: &BackendKey| self.arena[key.0 as usize].has_overdue_report(&self.routes, now_ms);
         let keys: Vec<BackendKey> = self.busy().filter(is_late).collect();
         keys.iter().for_each(|key| self.mark_unreported(*key));
-        self.has_bad_news |= !keys.is_empty();
+        self.has_unreported_failure |= !keys.is_empty();
         !keys.is_empty()
     }
 
@@ -469,8 +469,8 @@
     }
 
     /// Tells whether the unreported state includes a failure.
-    pub fn has_bad_news(&self) -> bool {
-        self.has_bad_news
+    pub fn has_unreported_failure(&self) -> bool {
+        self.has_unreported_failure
     }
 
     /// Takes the backend servers whose latest state has not been reported, and whether it includes
@@ -482,7 +482,7 @@
                 member.is_unreported = false;
             }
         }
-        (keys, std::mem::take(&mut self.has_bad_news))
+        (keys, std::mem::take(&mut self.has_unreported_failure))
     }
 
     /// Iterates over the backend servers with requests of this VM in flight.
--- a/crates/leverstream-core/tests/fleet.rs
+++ b/crates/leverstream-core/tests/fleet.rs
@@ -159,8 +159,8 @@
     reporter.take_unreported();
     assert!(!reporter.note_overdue(1_080), "not overdue yet");
     assert!(reporter.note_overdue(1_500));
-    let (keys, has_bad_news) = reporter.take_unreported();
-    assert!(has_bad_news);
+    let (keys, has_unreported_failure) = reporter.take_unreported();
+    assert!(has_unreported_failure);
     let reports = reporter.reports(&keys, 1_500);
     assert!(!reporter.note_overdue(1_510), "already reported");
     receiver.report(&start("a", 0), 7, Report { heard_ms: 1_505, ..reports[0].report });
--- a/crates/leverstream-gateway/src/evidence.rs
+++ b/crates/leverstream-gateway/src/evidence.rs
@@ -81,7 +81,7 @@
 /// Waits while news gather; a failure does not wait.
 async fn gather(inner: &Inner) {
     let until = Instant::now() + Duration::from_millis(NEAR_GATHER_MS);
-    while !inner.fleet.borrow().has_bad_news() {
+    while !inner.fleet.borrow().has_unreported_failure() {
         tokio::select! {
             () = tokio::time::sleep_until(until) => return,
             () = inner.mesh.news() => {}
