--- a/crates/leverstream-core/tests/leaving/mod.rs
+++ b/crates/leverstream-core/tests/leaving/mod.rs
@@ -114,11 +114,11 @@
 
 /// A scheduled event.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Scheduled {
+enum Event {
     /// A backend server answers a request that a VM sent before any further restart.
     Answer { vm: usize, restarts: u32, server: usize, key: u32, since_ms: u64 },
     /// A VM receives leaving incarnations.
-    Notices { from: usize, to: usize, starts: Vec<usize>, asks: bool },
+    Notice { from: usize, to: usize, ids: Vec<usize>, asks: bool },
     /// A VM receives another's fingerprint.
     Fingerprint { from: usize, to: usize, fingerprint: u64 },
 }
@@ -132,7 +132,7 @@
     /// When each backend server first announced to any VM that it leaves.
     first_announced_ms: HashMap<usize, u64>,
     /// The scheduled events.
-    scheduled: BinaryHeap<Reverse<(u64, u64, Scheduled)>>,
+    scheduled: BinaryHeap<Reverse<(u64, u64, Event)>>,
     /// The number of events scheduled so far, as a tie breaker.
     count: u64,
     /// The random numbers.
@@ -244,15 +244,13 @@
     /// Handles the events that are due.
     fn handle_due(&mut self, now_ms: u64) {
         while self.scheduled.peek().is_some_and(|Reverse((at_ms, ..))| *at_ms <= now_ms) {
-            let Some(Reverse((_, _, scheduled))) = self.scheduled.pop() else { return };
-            match scheduled {
-                Scheduled::Answer { vm, restarts, server, key, since_ms } => {
+            let Some(Reverse((_, _, event))) = self.scheduled.pop() else { return };
+            match event {
+                Event::Answer { vm, restarts, server, key, since_ms } => {
                     self.answer(vm, restarts, server, BackendKey(key), since_ms, now_ms);
                 }
-                Scheduled::Notices { from, to, starts, asks } => {
-                    self.receive_notices(from, to, &starts, asks, now_ms)
-                }
-                Scheduled::Fingerprint { from, to, fingerprint } => {
+                Event::Notice { from, to, ids, asks } => self.receive(from, to, &ids, asks, now_ms),
+                Event::Fingerprint { from, to, fingerprint } => {
                     self.compare(from, to, fingerprint, now_ms);
                 }
             }
@@ -331,8 +329,7 @@
         self.observations.longest_own_ms = self.observations.longest_own_ms.max(own_ms);
         self.observations.longest_any_ms = self.observations.longest_any_ms.max(any_ms);
         let restarts = self.vms[at].restarts;
-        let answer =
-            Scheduled::Answer { vm: at, restarts, server, key: pick.key.0, since_ms: now_ms };
+        let answer = Event::Answer { vm: at, restarts, server, key: pick.key.0, since_ms: now_ms };
         self.schedule(now_ms + WORK_MS, answer);
     }
 
@@ -353,7 +350,7 @@
         if down_until_ms > now_ms {
             self.schedule(
                 down_until_ms,
-                Scheduled::Answer { vm: at, restarts, server, key: key.0, since_ms },
+                Event::Answer { vm: at, restarts, server, key: key.0, since_ms },
             );
             return;
         }
@@ -377,19 +374,9 @@
     }
 
     /// Handles the notices of another VM.
-    fn receive_notices(
-        &mut self,
-        from: usize,
-        to: usize,
-        starts: &[usize],
-        asks: bool,
-        now_ms: u64,
-    ) {
-        let notices = Notices {
-            starts: starts.iter().copied().map(of).collect(),
-            asks,
-            ..Notices::default()
-        };
+    fn receive(&mut self, from: usize, to: usize, ids: &[usize], asks: bool, now_ms: u64) {
+        let notices =
+            Notices { starts: ids.iter().copied().map(of).collect(), asks, ..Notices::default() };
         let applied = NoticeSync::apply(notices, &mut self.vms[to].fleet, now_ms);
         if let Some(notices) = applied.answer {
             self.send_notices(
@@ -418,27 +405,20 @@
     }
 
     /// Sends leaving incarnations to a VM.
-    fn send_notices(
-        &mut self,
-        from: usize,
-        to: usize,
-        starts: Vec<usize>,
-        asks: bool,
-        now_ms: u64,
-    ) {
+    fn send_notices(&mut self, from: usize, to: usize, ids: Vec<usize>, asks: bool, now_ms: u64) {
         let (head, each) = DATAGRAM_BYTES;
-        self.vms[from].bytes += head + each * starts.len() as u64;
-        self.send(from, to, &Scheduled::Notices { from, to, starts, asks }, now_ms);
+        self.vms[from].bytes += head + each * ids.len() as u64;
+        self.send(from, to, &Event::Notice { from, to, ids, asks }, now_ms);
     }
 
     /// Sends a VM's fingerprint to another.
     fn send_fingerprint(&mut self, from: usize, to: usize, now_ms: u64) {
         let fingerprint = self.vms[from].fleet.notices_fingerprint();
-        self.send(from, to, &Scheduled::Fingerprint { from, to, fingerprint }, now_ms);
+        self.send(from, to, &Event::Fingerprint { from, to, fingerprint }, now_ms);
     }
 
     /// Sends a datagram, which may be lost, delayed or duplicated.
-    fn send(&mut self, from: usize, to: usize, scheduled: &Scheduled, now_ms: u64) {
+    fn send(&mut self, from: usize, to: usize, event: &Event, now_ms: u64) {
         let copies = 1 + usize::from(self.rng.random_bool(self.scenario.duplicated_share));
         for _ in 0..copies {
             let is_lost = self.rng.random_bool(self.scenario.lost_share);
@@ -448,7 +428,7 @@
                 && self.is_reachable(from, now_ms)
                 && self.is_reachable(to, at_ms)
             {
-                self.schedule(at_ms, scheduled.clone());
+                self.schedule(at_ms, event.clone());
             }
         }
     }
@@ -459,8 +439,8 @@
     }
 
     /// Schedules an event.
-    fn schedule(&mut self, at_ms: u64, scheduled: Scheduled) {
+    fn schedule(&mut self, at_ms: u64, event: Event) {
         self.count += 1;
-        self.scheduled.push(Reverse((at_ms, self.count, scheduled)));
+        self.scheduled.push(Reverse((at_ms, self.count, event)));
     }
 }
