--- a/crates/leverstream-core/src/fleet.rs
+++ b/crates/leverstream-core/src/fleet.rs
@@ -393,7 +393,8 @@
         }
     }
 
-    /// Records the end of a request; `since_ms` and `route` are those passed to [`Fleet::begin_request`].
+    /// Records the end of a request; `since_ms` and `route` are those passed to
+    /// [`Fleet::begin_request`].
     pub fn end_request(
         &mut self,
         key: BackendKey,
--- a/crates/leverstream-core/src/fleet/backend_state.rs
+++ b/crates/leverstream-core/src/fleet/backend_state.rs
@@ -375,7 +375,8 @@
         silent + (1.0 - silent) * (by_then / by_now).min(1.0)
     }
 
-    /// Tells whether the overdue odds have grown enough since the last report to report it to other VMs.
+    /// Tells whether the overdue odds have grown enough since the last report to report it to other
+    /// VMs.
     pub fn has_overdue_report(&self, routes: &Slab<RouteProfile>, now_ms: u64) -> bool {
         self.own_overdue_odds(routes, now_ms) >= OVERDUE_REPORT_FACTOR * self.reported_overdue_odds
     }
--- a/crates/leverstream-core/src/floor.rs
+++ b/crates/leverstream-core/src/floor.rs
@@ -2,8 +2,8 @@
 //! fail.
 //!
 //! A backend server is sound if it has not failed recently, and used if a request reached it within
-//! [`NON_REPEATABLE_CLAIM_IDLE_MS`]. [`assign_claims`] marks the unused ones that the next request must or
-//! should go to.
+//! [`NON_REPEATABLE_CLAIM_IDLE_MS`]. [`assign_claims`] marks the unused ones that the next request
+//! must or should go to.
 
 use leverstream_route::{Choice, Claim, FloorStanding};
 
--- a/crates/leverstream-core/src/lib.rs
+++ b/crates/leverstream-core/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of a gateway VM: which backend server gets a request, and which VMs accept callers.
+//! The decisions of a gateway VM: which backend server gets a request, and which VMs accept
+//! callers.
 //!
 //! [`Fleet`] holds the backend servers with their observed state, [`choose`] selects one for a
-//! request, and [`choose_entry_vms`] selects the VMs that accept callers. The crate does no I/O; time
-//! and randomness are arguments.
+//! request, and [`choose_entry_vms`] selects the VMs that accept callers. The crate does no I/O;
+//! time and randomness are arguments.
 
 mod demand;
 mod entry;
--- a/crates/leverstream-core/tests/fleet.rs
+++ b/crates/leverstream-core/tests/fleet.rs
@@ -266,16 +266,16 @@
 fn arrivals_count_as_use_but_repeated_reports_do_not() {
     let mut fleet = Fleet::default();
     fleet.set(backend("a"), 1, 0);
-    let reports = |in_flight, reached_ms, heard_ms| Report {
+    let arrival_report = |in_flight, reached_ms, heard_ms| Report {
         reached_ms: Some(reached_ms),
         ..report(in_flight, 3, 0, heard_ms)
     };
-    fleet.report(&start("a", 0), 9, reports(1, 3_000, 4_000));
+    fleet.report(&start("a", 0), 9, arrival_report(1, 3_000, 4_000));
     assert_eq!(share(&fleet, 4_000), 1.0);
     // The request is still in flight and reported again each second; no other has arrived.
-    fleet.report(&start("a", 0), 9, reports(1, 3_000, 5_000));
+    fleet.report(&start("a", 0), 9, arrival_report(1, 3_000, 5_000));
     assert_eq!(share(&fleet, 5_000), 0.0);
-    fleet.report(&start("a", 0), 9, reports(1, 5_990, 6_000));
+    fleet.report(&start("a", 0), 9, arrival_report(1, 5_990, 6_000));
     assert_eq!(share(&fleet, 6_000), 1.0);
 }
 
