--- a/crates/leverstream-bench/src/capacity/choosing.rs
+++ b/crates/leverstream-bench/src/capacity/choosing.rs
@@ -1,5 +1,5 @@
 use leverstream_catalog::Backend;
-use leverstream_core::{Fleet, Outcome, Report, Want, choose};
+use leverstream_core::{Fleet, Outcome, PickRequest, Report, choose};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -35,18 +35,24 @@
 /// The time of a choice where half of a service's backend servers were heard of from all VMs.
 fn a_choice(mut fleet: Fleet, count: usize) {
     let route = fleet.route_key("r", 1_000);
-    let keys = fleet.of_service("s").to_vec();
+    let keys = fleet.keys_of_service("s").to_vec();
     for (at, key) in keys.iter().take(count / 2).enumerate() {
         let now_ms = 1_000 + at as u64 * 500 / count as u64;
         let of = fleet.incarnation(*key);
         (0..SHARERS).for_each(|vm| {
             fleet.report(&of, vm, report(now_ms));
         });
-        fleet.begin(*key, route, now_ms);
-        fleet.end(*key, now_ms, route, Outcome::Good { time_ms: 200.0, bytes: 5_000 }, now_ms);
+        fleet.begin_request(*key, route, now_ms);
+        fleet.end_request(
+            *key,
+            now_ms,
+            route,
+            Outcome::Good { time_ms: 200.0, bytes: 5_000 },
+            now_ms,
+        );
     }
     let mut rng = StdRng::seed_from_u64(1);
-    let want = Want {
+    let want = PickRequest {
         service: "s",
         hall: "h0",
         is_repeatable: false,
--- a/crates/leverstream-bench/src/decide/run.rs
+++ b/crates/leverstream-bench/src/decide/run.rs
@@ -3,8 +3,8 @@
 
 use leverstream_catalog::Backend;
 use leverstream_core::{
-    Asker, Demand, Fleet, Outcome, Pending, Report, RouteKey, Want, choose, hedge_gain,
-    hedge_look_ms, is_hedge_worth,
+    Demand, Fleet, Outcome, PendingRequest, PickRequest, Report, RequestOrigin, RouteKey, choose,
+    hedge_gain, is_hedge_worthwhile, next_hedge_check_ms,
 };
 use leverstream_health::BackendKey;
 use rand::rngs::StdRng;
@@ -221,7 +221,7 @@
         };
         let chosen = match self.policy {
             Policy::Shipped => {
-                let want = Want {
+                let want = PickRequest {
                     service: "s",
                     hall: HALLS[request.vm],
                     is_repeatable: self.shape.is_repeatable,
@@ -230,7 +230,7 @@
                     far_bytes_cost: self.shape.bytes as f64 / 1e6 * REQUESTS_A_MB,
                     objective_ms: self.shape.objective_ms,
                     floor_share: FLOOR,
-                    requests_fail: vm.demand.fails(self.shape.is_repeatable, now_ms),
+                    requests_fail: vm.demand.is_failing(self.shape.is_repeatable, now_ms),
                     requests_per_s: vm.demand.per_s(now_ms).map(|per_s| per_s * VMS as f64),
                 };
                 return choose(&vm.fleet, &want, now_ms, &mut self.rng).map(|pick| pick.key);
@@ -283,8 +283,8 @@
         let request = &mut self.requests[index];
         request.exchanges.push(exchange);
         request.tried.push(key);
-        self.vms[vm].fleet.begin(key, self.route, now_ms);
-        self.vms[vm].fleet.reach(key, now_ms);
+        self.vms[vm].fleet.begin_request(key, self.route, now_ms);
+        self.vms[vm].fleet.note_reached(key, now_ms);
         self.vms[vm].in_flight[server] += 1;
         self.enter(exchange, now_ms);
         if self.shape.is_repeatable {
@@ -332,13 +332,13 @@
         self.exchanges[exchange].is_over = true;
         let index = key.0 as usize;
         let vm = &mut self.vms[self.requests[request].vm];
-        vm.fleet.end(key, since_ms, self.route, outcome, now_ms);
+        vm.fleet.end_request(key, since_ms, self.route, outcome, now_ms);
         vm.in_flight[index] -= 1;
         let row = &mut vm.rows[index];
         match outcome {
             Outcome::Bad => row.0 += 1,
             Outcome::Good { .. } => row.0 = 0,
-            Outcome::Nothing | Outcome::NoEvidence | Outcome::Expired => {}
+            Outcome::Abandoned | Outcome::Neutral | Outcome::Expired => {}
         }
         if row.0 >= ROW.0 {
             *row = (0, now_ms + ROW.1);
@@ -402,7 +402,7 @@
         }
         let (vm, arrived_ms) = (request.vm, request.arrived_ms);
         for exchange in std::mem::take(&mut request.exchanges) {
-            let outcome = if is_served { Outcome::Nothing } else { Outcome::Bad };
+            let outcome = if is_served { Outcome::Abandoned } else { Outcome::Bad };
             self.leave(exchange, outcome, now_ms);
         }
         self.vms[vm].demand.note_end(is_served, now_ms);
@@ -425,7 +425,7 @@
         let request = &self.requests[index];
         let flights = self.flights(index);
         let pending = self.pending(index, &flights);
-        let wait_ms = hedge_look_ms(&self.vms[request.vm].fleet, &pending, now_ms);
+        let wait_ms = next_hedge_check_ms(&self.vms[request.vm].fleet, &pending, now_ms);
         self.push(now_ms + wait_ms, Event::Look(index));
     }
 
@@ -438,7 +438,7 @@
         }
         let flights = self.flights(index);
         let gain = hedge_gain(&self.vms[request.vm].fleet, &self.pending(index, &flights), now_ms);
-        match is_hedge_worth(gain, 0.0).then(|| self.pick(index, 0, now_ms)).flatten() {
+        match is_hedge_worthwhile(gain, 0.0).then(|| self.pick(index, 0, now_ms)).flatten() {
             Some(key) => {
                 self.figures.hedges += 1;
                 self.send(index, key, now_ms);
@@ -454,9 +454,9 @@
     }
 
     /// A request as the rule of hedges sees it.
-    fn pending<'b>(&self, index: usize, flights: &'b [(BackendKey, u64)]) -> Pending<'b> {
+    fn pending<'b>(&self, index: usize, flights: &'b [(BackendKey, u64)]) -> PendingRequest<'b> {
         let arrived_ms = self.requests[index].arrived_ms;
-        Pending {
+        PendingRequest {
             route: self.route,
             flights,
             on_time_ms: arrived_ms + self.shape.objective_ms,
@@ -508,7 +508,7 @@
 
     /// Counts which backend servers a VM has begun to avoid although they are sound for it.
     fn count_avoided(&mut self, vm: usize, now_ms: u64) {
-        let asker = Asker { hall: HALLS[vm], far_cost: 0.2, tried: &[] };
+        let asker = RequestOrigin { hall: HALLS[vm], far_cost: 0.2, tried: &[] };
         let (mut sound, mut in_use) = (0_u32, 0_u32);
         for server in 0..self.servers.len() {
             let state = &self.vms[vm];
--- a/crates/leverstream-bench/src/wide/run.rs
+++ b/crates/leverstream-bench/src/wide/run.rs
@@ -4,8 +4,8 @@
 
 use leverstream_catalog::Backend;
 use leverstream_core::{
-    BackendReport, Demand, Fleet, Outcome, Pending, Report, RouteKey, Want, choose, hedge_gain,
-    hedge_look_ms, is_hedge_worth,
+    BackendReport, Demand, Fleet, Outcome, PendingRequest, PickRequest, Report, RouteKey, choose,
+    hedge_gain, is_hedge_worthwhile, next_hedge_check_ms,
 };
 use leverstream_health::BackendKey;
 use rand::rngs::StdRng;
@@ -296,7 +296,7 @@
         let sharers = self.vms.len() as f64;
         let vm = &self.vms[request.vm];
         let is_repeatable = request.is_again && request.tried.len() + 1 < ATTEMPTS;
-        let want = Want {
+        let want = PickRequest {
             service: "s",
             hall: HALLS[vm.hall],
             is_repeatable,
@@ -305,7 +305,7 @@
             far_bytes_cost: stream.bytes as f64 / 1e6 * REQUESTS_A_MB,
             objective_ms: stream.objective_ms,
             floor_share: FLOOR,
-            requests_fail: vm.demand.fails(is_repeatable, now_ms),
+            requests_fail: vm.demand.is_failing(is_repeatable, now_ms),
             requests_per_s: vm.demand.per_s(now_ms).map(|per_s| per_s * sharers),
         };
         choose(&vm.fleet, &want, now_ms, &mut self.rng).map(|pick| pick.key)
@@ -333,8 +333,8 @@
         request.exchanges.push(exchange);
         request.tried.push(key);
         let route = self.vms[vm].routes[usize::from(is_again)];
-        self.vms[vm].fleet.begin(key, route, now_ms);
-        self.vms[vm].fleet.reach(key, now_ms);
+        self.vms[vm].fleet.begin_request(key, route, now_ms);
+        self.vms[vm].fleet.note_reached(key, now_ms);
         self.gather(vm, now_ms);
         self.enter(exchange, now_ms);
         if is_again {
@@ -397,7 +397,7 @@
         let Exchange { request, key, since_ms, has_slot, .. } = *exchange;
         let Request { vm, is_again, .. } = self.requests[request];
         let route = self.vms[vm].routes[usize::from(is_again)];
-        self.vms[vm].fleet.end(key, since_ms, route, outcome, now_ms);
+        self.vms[vm].fleet.end_request(key, since_ms, route, outcome, now_ms);
         self.vms[vm].idle_since_ms[key.0 as usize] = Some(now_ms);
         self.gather(vm, now_ms);
         self.requests[request].exchanges.retain(|other| *other != index);
@@ -448,7 +448,7 @@
         let (vm, is_again, took_ms) = (request.vm, request.is_again, now_ms - request.arrived_ms);
         let is_counted = request.arrived_ms >= WARM_UP_MS;
         for exchange in std::mem::take(&mut request.exchanges) {
-            let outcome = if is_served { Outcome::Nothing } else { Outcome::Expired };
+            let outcome = if is_served { Outcome::Abandoned } else { Outcome::Expired };
             self.leave(exchange, outcome, now_ms);
         }
         self.vms[vm].demand.note_end(is_served, now_ms);
@@ -473,7 +473,7 @@
     fn push_look(&mut self, index: usize, now_ms: u64) {
         let flights = self.flights(index);
         let fleet = &self.vms[self.requests[index].vm].fleet;
-        let wait_ms = hedge_look_ms(fleet, &self.pending(index, &flights), now_ms);
+        let wait_ms = next_hedge_check_ms(fleet, &self.pending(index, &flights), now_ms);
         self.push(now_ms + wait_ms, Event::Look(index));
     }
 
@@ -486,7 +486,7 @@
         let flights = self.flights(index);
         let fleet = &self.vms[request.vm].fleet;
         let gain = hedge_gain(fleet, &self.pending(index, &flights), now_ms);
-        match is_hedge_worth(gain, 0.0).then(|| self.pick(index, now_ms)).flatten() {
+        match is_hedge_worthwhile(gain, 0.0).then(|| self.pick(index, now_ms)).flatten() {
             Some(key) => self.send(index, key, now_ms),
             None => self.push_look(index, now_ms),
         }
@@ -499,10 +499,10 @@
     }
 
     /// A request as the rule of hedges sees it.
-    fn pending<'b>(&self, index: usize, flights: &'b [(BackendKey, u64)]) -> Pending<'b> {
+    fn pending<'b>(&self, index: usize, flights: &'b [(BackendKey, u64)]) -> PendingRequest<'b> {
         let Request { vm, is_again, arrived_ms, .. } = self.requests[index];
         let stream = self.stream(is_again);
-        Pending {
+        PendingRequest {
             route: self.vms[vm].routes[usize::from(is_again)],
             flights,
             on_time_ms: arrived_ms + stream.objective_ms,
--- a/crates/leverstream-core/src/fleet/roster.rs
+++ b/crates/leverstream-core/src/fleet/roster.rs
@@ -1,59 +1,64 @@
+//! The backend servers of a service, ordered by how recently each was observed.
+//!
+//! A request to a large service considers only the most recently observed backend servers and a
+//! random sample of the rest, so its cost does not grow with the service.
+
 use std::collections::{BTreeMap, HashMap};
 
 use leverstream_health::BackendKey;
 use rand::Rng;
 
-/// Up to how many backend servers of a service a request looks at all of them.
-const WHOLE_LIMIT: usize = 320;
+/// The largest service of which a request considers all backend servers.
+const FULL_SCAN_LIMIT: usize = 320;
 
-/// How many of those that were heard of last it looks at where there are more.
-const HEARD_LIMIT: usize = 192;
+/// The number of most recently observed backend servers considered in a larger service.
+const RECENT_LIMIT: usize = 192;
 
-/// How many of the others it looks at then, taken by chance: of those of which nothing was heard for long one is like
-/// another, but for the data hall.
-const OTHERS_LIMIT: usize = 48;
+/// The size of the random sample from the rest: backend servers without recent observations differ
+/// only in their data hall.
+const SAMPLE_SIZE: usize = 48;
 
-/// The backend servers of one service that may take work, and when something was last heard of each.
+/// The backend servers of one service in service, with the order of their last observations.
 ///
-/// What a request looks at, and what a change costs, does not grow with them.
+/// The cost of a request and of an update does not grow with their number.
 #[derive(Debug, Default)]
 pub(super) struct Roster {
-    /// Their keys, in no order.
+    /// The keys, unordered.
     keys: Vec<BackendKey>,
-    /// What is kept of each.
-    places: HashMap<BackendKey, Place>,
-    /// Those that were heard of, the last one at the end.
-    heard: BTreeMap<u64, BackendKey>,
-    /// The number of the last word.
-    last_word: u64,
-    /// The sum of their slots.
+    /// The entry of each key.
+    entries: HashMap<BackendKey, Entry>,
+    /// The observed backend servers by observation number, the latest last.
+    recent: BTreeMap<u64, BackendKey>,
+    /// The number of the latest observation.
+    last_observation: u64,
+    /// The total slots.
     slots: u32,
 }
 
-/// What a [`Roster`] keeps of a backend server.
+/// The entry of a backend server in a [`Roster`].
 #[derive(Clone, Copy, Debug)]
-struct Place {
-    /// Its index among the keys.
+struct Entry {
+    /// Its index in `keys`.
     index: usize,
-    /// Its slots.
+    /// Its number of slots.
     slots: u32,
-    /// The number of the last word that was heard of it; 0 before any.
-    word: u64,
+    /// The number of its latest observation; 0 if there is none.
+    observation: u64,
 }
 
-/// Those of a service among which a request looks for a backend server.
+/// The backend servers that a request considers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Candidates {
-    /// Their keys.
+    /// The keys: first those considered individually, then the sample.
     pub keys: Vec<BackendKey>,
-    /// How many of the keys, the first ones, stand for themselves only.
+    /// The number of keys considered individually.
     pub known: usize,
-    /// For how many each of the rest stands, which were taken by chance.
+    /// The number of backend servers that each sampled key represents.
     pub stands_for: f64,
 }
 
 impl Candidates {
-    /// Leaves out those that a request may not go to.
+    /// Keeps only the candidates that a request may go to.
     pub fn retain(&mut self, admits: impl Fn(&BackendKey) -> bool) {
         let known = self.keys.iter().take(self.known).filter(|key| admits(key)).count();
         self.keys.retain(admits);
@@ -62,63 +67,64 @@
 }
 
 impl Roster {
-    /// The keys.
+    /// Returns the keys.
     pub fn keys(&self) -> &[BackendKey] {
         &self.keys
     }
 
-    /// The sum of their slots.
+    /// Returns the total slots.
     pub fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Puts a backend server on the list, or takes over how many slots it has.
+    /// Adds a backend server, or updates its slots.
     pub fn add(&mut self, key: BackendKey, slots: u32) {
-        let Roster { keys, places, .. } = self;
-        let place = places.entry(key).or_insert_with(|| {
+        let Roster { keys, entries, .. } = self;
+        let entry = entries.entry(key).or_insert_with(|| {
             keys.push(key);
-            Place { index: keys.len() - 1, slots: 0, word: 0 }
+            Entry { index: keys.len() - 1, slots: 0, observation: 0 }
         });
-        self.slots = self.slots - place.slots + slots;
-        place.slots = slots;
+        self.slots = self.slots - entry.slots + slots;
+        entry.slots = slots;
     }
 
-    /// Takes a backend server off the list.
+    /// Removes a backend server.
     pub fn remove(&mut self, key: BackendKey) {
-        let Some(place) = self.places.remove(&key) else { return };
-        self.keys.swap_remove(place.index);
-        if let Some(moved) = self.keys.get(place.index).and_then(|key| self.places.get_mut(key)) {
-            moved.index = place.index;
+        let Some(entry) = self.entries.remove(&key) else { return };
+        self.keys.swap_remove(entry.index);
+        if let Some(moved) = self.keys.get(entry.index).and_then(|key| self.entries.get_mut(key)) {
+            moved.index = entry.index;
         }
-        self.heard.remove(&place.word);
-        self.slots -= place.slots;
+        self.recent.remove(&entry.observation);
+        self.slots -= entry.slots;
     }
 
-    /// Notes that something was heard of a backend server.
-    pub fn hear(&mut self, key: BackendKey) {
-        let Some(place) = self.places.get_mut(&key) else { return };
-        self.heard.remove(&place.word);
-        self.last_word += 1;
-        place.word = self.last_word;
-        self.heard.insert(place.word, key);
+    /// Marks a backend server as the most recently observed one.
+    pub fn touch(&mut self, key: BackendKey) {
+        let Some(entry) = self.entries.get_mut(&key) else { return };
+        self.recent.remove(&entry.observation);
+        self.last_observation += 1;
+        entry.observation = self.last_observation;
+        self.recent.insert(entry.observation, key);
     }
 
-    /// Those among which a request looks: all of a few, else those heard of last and some of the others.
+    /// Returns all backend servers of a small service; of a large one, the recently observed ones
+    /// and a sample of the rest.
     pub fn candidates(&self, rng: &mut impl Rng) -> Candidates {
-        if self.keys.len() <= WHOLE_LIMIT {
+        if self.keys.len() <= FULL_SCAN_LIMIT {
             let known = self.keys.len();
             return Candidates { keys: self.keys.clone(), known, stands_for: 1.0 };
         }
-        let heard = self.heard.iter().rev().take(HEARD_LIMIT);
-        let (words, mut keys): (Vec<u64>, Vec<BackendKey>) = heard.unzip();
+        let recent = self.recent.iter().rev().take(RECENT_LIMIT);
+        let (observations, mut keys): (Vec<u64>, Vec<BackendKey>) = recent.unzip();
         let known = keys.len();
-        let oldest_word = words.last().copied().unwrap_or(u64::MAX);
-        let is_known = |key: &BackendKey| self.places[key].word >= oldest_word;
-        let drawn = rand::seq::index::sample(rng, self.keys.len(), OTHERS_LIMIT);
-        let drawn = drawn.iter().map(|index| self.keys[index]);
-        keys.extend(drawn.filter(|key| !is_known(key)));
-        let others = self.keys.len() - known;
-        let stands_for = others as f64 / (keys.len() - known).max(1) as f64;
+        let oldest_observation = observations.last().copied().unwrap_or(u64::MAX);
+        let is_known = |key: &BackendKey| self.entries[key].observation >= oldest_observation;
+        let sample = rand::seq::index::sample(rng, self.keys.len(), SAMPLE_SIZE);
+        let sample = sample.iter().map(|index| self.keys[index]);
+        keys.extend(sample.filter(|key| !is_known(key)));
+        let rest = self.keys.len() - known;
+        let stands_for = rest as f64 / (keys.len() - known).max(1) as f64;
         Candidates { keys, known, stands_for }
     }
 }
--- a/crates/leverstream-core/src/lib.rs
+++ b/crates/leverstream-core/src/lib.rs
@@ -1,27 +1,29 @@
-//! What a gateway VM decides, without I/O: which backend server gets a request, and who takes callers.
+//! The decisions of a gateway VM: which backend server gets a request, and which VMs accept
+//! callers.
 //!
-//! [`Fleet`] holds the backend servers with what was seen of them, [`choose`] picks one for a request, and
-//! [`choose_entry`] says which VMs take callers. Time and chance are arguments.
+//! [`Fleet`] holds the backend servers with their observed state, [`choose`] selects one for a
+//! request, and [`choose_entry_vms`] selects the VMs that accept callers. The crate does no I/O;
+//! time and randomness are arguments.
 
 mod demand;
 mod entry;
 mod fleet;
 mod floor;
 mod hedge;
+mod latency;
 mod profile;
 mod select;
-mod times;
 mod words;
 
 pub use demand::Demand;
-pub use entry::choose_entry;
+pub use entry::choose_entry_vms;
 pub use fleet::{
-    Applied, Asker, BackendReport, Candidates, Census, Delta, Emptied, Fleet, LimitTold, LimitWord,
-    Openness, Outcome, Report, RouteKey,
+    Applied, Availability, BackendReport, Candidates, Delta, EmptiedHalls, Fleet, LimitNotice,
+    LimitUpdate, Outcome, Report, RequestOrigin, RouteKey, StateCounts,
 };
-pub use floor::{Floor, claim, used_share};
-pub use hedge::{Pending, hedge_gain, hedge_look_ms, is_hedge_worth};
+pub use floor::{Floor, assign_claims, used_share};
+pub use hedge::{PendingRequest, hedge_gain, is_hedge_worthwhile, next_hedge_check_ms};
+pub use latency::LatencyHistogram;
 pub use profile::RouteProfile;
-pub use select::{Pick, Want, choose};
-pub use times::Times;
-pub use words::{Words, WordsHeard, WordsTold};
+pub use select::{Pick, PickRequest, choose};
+pub use words::{AppliedNotices, NoticeSync, Notices};
--- a/crates/leverstream-core/tests/select.rs
+++ b/crates/leverstream-core/tests/select.rs
@@ -1,11 +1,11 @@
-//! To which backend server a request goes.
+//! Tests of the choice of a backend server for a request.
 
 use leverstream_catalog::Backend;
-use leverstream_core::{Fleet, Outcome, Want, choose};
+use leverstream_core::{Fleet, Outcome, PickRequest, choose};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// A fleet with backend servers of two slots in some halls, one letter each.
+/// A fleet of backend servers `a`, `b`, ... with two slots each, in the given halls.
 fn fleet(halls: &[&str]) -> Fleet {
     let mut fleet = Fleet::default();
     for (hall, instance) in halls.iter().zip(["a", "b", "c", "d"]) {
@@ -24,9 +24,9 @@
     fleet
 }
 
-/// A request from hall `h1` whose bytes between halls cost so much.
-fn want(far_bytes_cost: f64) -> Want<'static> {
-    Want {
+/// A request from hall `h1` with a cost of its traffic between halls.
+fn want(far_bytes_cost: f64) -> PickRequest<'static> {
+    PickRequest {
         service: "shop",
         hall: "h1",
         is_repeatable: true,
@@ -40,46 +40,46 @@
     }
 }
 
-/// The instance that a request goes to.
-fn chosen(fleet: &Fleet, want: &Want<'_>, now_ms: u64) -> Option<String> {
+/// Returns the instance that a request is sent to.
+fn chosen(fleet: &Fleet, want: &PickRequest<'_>, now_ms: u64) -> Option<String> {
     let pick = choose(fleet, want, now_ms, &mut StdRng::seed_from_u64(1))?;
     Some(fleet.target(pick.key).1.to_owned())
 }
 
 #[test]
-fn a_large_answer_stays_in_the_hall_where_a_small_one_leaves_it() {
+fn a_large_answer_stays_in_its_hall_while_a_small_one_leaves_it() {
     let mut fleet = fleet(&["h1", "h2"]);
-    let near = fleet.of_service("shop")[0];
+    let near = fleet.keys_of_service("shop")[0];
     let route = fleet.route_key("r", 600);
-    fleet.begin(near, route, 1_000);
-    assert_eq!(chosen(&fleet, &want(0.005), 1_000).as_deref(), Some("b"), "less load there");
+    fleet.begin_request(near, route, 1_000);
+    assert_eq!(chosen(&fleet, &want(0.005), 1_000).as_deref(), Some("b"), "it has less load");
     assert_eq!(chosen(&fleet, &want(0.9), 1_000).as_deref(), Some("a"));
 }
 
 #[test]
-fn a_large_answer_leaves_the_hall_when_the_near_ones_fail() {
+fn a_large_answer_leaves_its_hall_if_the_near_backend_servers_fail() {
     let mut fleet = fleet(&["h1", "h2"]);
-    let near = fleet.of_service("shop")[0];
+    let near = fleet.keys_of_service("shop")[0];
     let route = fleet.route_key("r", 600);
     for at in 0..3 {
-        fleet.begin(near, route, 1_000 + at);
-        fleet.end(near, 1_000 + at, route, Outcome::Bad, 1_000 + at);
+        fleet.begin_request(near, route, 1_000 + at);
+        fleet.end_request(near, 1_000 + at, route, Outcome::Bad, 1_000 + at);
     }
     assert_eq!(chosen(&fleet, &want(0.9), 1_100).as_deref(), Some("b"));
 }
 
 #[test]
-fn in_doubt_a_repeatable_request_tries_soon_and_another_waits_for_a_sound_slot() {
+fn repeatable_requests_accept_a_doubtful_backend_server_sooner() {
     let mut fleet = fleet(&["h1", "h1"]);
-    let keys = fleet.of_service("shop").to_vec();
+    let keys = fleet.keys_of_service("shop").to_vec();
     let route = fleet.route_key("r", 600);
     for at in 0..4 {
-        fleet.begin(keys[0], route, 1_000 + at);
-        fleet.end(keys[0], 1_000 + at, route, Outcome::Bad, 1_000 + at);
+        fleet.begin_request(keys[0], route, 1_000 + at);
+        fleet.end_request(keys[0], 1_000 + at, route, Outcome::Bad, 1_000 + at);
     }
-    fleet.begin(keys[1], route, 1_010);
-    fleet.begin(keys[1], route, 1_010);
-    let waited = |waited_ms, is_repeatable| Want { waited_ms, is_repeatable, ..want(0.0) };
+    fleet.begin_request(keys[1], route, 1_010);
+    fleet.begin_request(keys[1], route, 1_010);
+    let waited = |waited_ms, is_repeatable| PickRequest { waited_ms, is_repeatable, ..want(0.0) };
     assert_eq!(chosen(&fleet, &waited(0, true), 1_020), None);
     assert_eq!(chosen(&fleet, &waited(70, true), 1_090).as_deref(), Some("a"));
     assert_eq!(chosen(&fleet, &waited(70, false), 1_090), None);
@@ -87,39 +87,52 @@
 }
 
 #[test]
-fn sound_backend_servers_do_not_lie_idle_below_the_floor() {
+fn idle_sound_backend_servers_get_work_below_the_floor() {
     let mut fleet = fleet(&["h1", "h1", "h1", "h1"]);
-    let keys = fleet.of_service("shop").to_vec();
+    let keys = fleet.keys_of_service("shop").to_vec();
     let route = fleet.route_key("r", 600);
-    // Two have answered all along; the others were left alone for so long that little is known of them.
+    // Two have answered all along; the others have been idle so long that little is known of them.
     for at in 0..200 {
         let now_ms = 1_000 + at * 100;
         let key = keys[at as usize % 2];
-        fleet.begin(key, route, now_ms);
-        fleet.reach(key, now_ms);
-        fleet.end(key, now_ms, route, Outcome::Good { time_ms: 50.0, bytes: 400 }, now_ms + 50);
+        fleet.begin_request(key, route, now_ms);
+        fleet.note_reached(key, now_ms);
+        fleet.end_request(
+            key,
+            now_ms,
+            route,
+            Outcome::Good { time_ms: 50.0, bytes: 400 },
+            now_ms + 50,
+        );
     }
-    let once = |floor_share| Want { is_repeatable: false, floor_share, ..want(0.0) };
+    let once = |floor_share| PickRequest { is_repeatable: false, floor_share, ..want(0.0) };
     let is_left_alone = |instance: Option<String>| matches!(instance.as_deref(), Some("c" | "d"));
     assert!(!is_left_alone(chosen(&fleet, &once(0.4), 21_000)));
     assert!(is_left_alone(chosen(&fleet, &once(0.7), 21_000)));
 }
 
 #[test]
-fn one_that_failed_once_already_is_not_sent_where_the_floor_asks_for_work() {
-    // Two have answered all along; the others have not been reached for long, and requests fail elsewhere.
+fn a_request_that_has_failed_once_ignores_the_floors_claims() {
+    // Two have answered all along; the others have not been reached for long, and requests fail
+    // elsewhere.
     let mut fleet = fleet(&["h1", "h1", "h1", "h1"]);
-    let keys = fleet.of_service("shop").to_vec();
+    let keys = fleet.keys_of_service("shop").to_vec();
     let route = fleet.route_key("r", 600);
     for at in 0..200 {
         let (now_ms, key) = (1_000 + at * 100, keys[at as usize % 2]);
-        fleet.begin(key, route, now_ms);
-        fleet.reach(key, now_ms);
-        fleet.end(key, now_ms, route, Outcome::Good { time_ms: 50.0, bytes: 400 }, now_ms + 50);
+        fleet.begin_request(key, route, now_ms);
+        fleet.note_reached(key, now_ms);
+        fleet.end_request(
+            key,
+            now_ms,
+            route,
+            Outcome::Good { time_ms: 50.0, bytes: 400 },
+            now_ms + 50,
+        );
     }
-    let failing = Want { requests_fail: true, ..want(0.0) };
+    let failing = PickRequest { requests_fail: true, ..want(0.0) };
     let is_left_alone = |instance: Option<String>| matches!(instance.as_deref(), Some("c" | "d"));
     assert!(is_left_alone(chosen(&fleet, &failing, 21_000)));
-    let again = Want { tried: &keys[..1], is_repeatable: false, ..failing };
+    let again = PickRequest { tried: &keys[..1], is_repeatable: false, ..failing };
     assert_eq!(chosen(&fleet, &again, 21_000).as_deref(), Some("b"));
 }
--- a/crates/leverstream-gateway/src/attempt.rs
+++ b/crates/leverstream-gateway/src/attempt.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use leverstream_catalog::{Incarnation, Notice};
-use leverstream_core::{LimitWord, Outcome};
+use leverstream_core::{LimitNotice, Outcome};
 use leverstream_error::Kind;
 use leverstream_platform::{decode_notice, headers};
 use leverstream_route::Claim;
@@ -81,7 +81,7 @@
     let mut conn = match conn {
         Ok(conn) => conn,
         Err(error) => {
-            if error == Unopened::Refused && inner.fleet.borrow().is_listed(slot.key) {
+            if error == Unopened::Refused && inner.fleet.borrow().is_in_service(slot.key) {
                 inner.suspicions.note_refused(&of, now_ms);
             }
             sent.fail(Outcome::Bad, "connect");
@@ -99,7 +99,7 @@
     if let Err(kind) = may_send() {
         return Tried::NotSent(kind);
     }
-    inner.fleet.borrow_mut().reach(slot.key, now_ms);
+    inner.fleet.borrow_mut().note_reached(slot.key, now_ms);
     let bytes = request.encode(&of.instance, left_ms);
     let progress = Progress::default();
     let is_head = request.method == actix_http::Method::HEAD;
@@ -137,7 +137,7 @@
     if slot.pick.choice.is_far() {
         inner.meters.count_far(FarCause::Answer, answer.body.len());
     }
-    if conn.is_reusable() && inner.fleet.borrow().is_listed(slot.key) {
+    if conn.is_reusable() && inner.fleet.borrow().is_in_service(slot.key) {
         inner.idle.borrow_mut().put(of.clone(), conn, answer.keep_alive_ms(), now_ms);
     }
     judge(&sent, answer)
@@ -175,7 +175,7 @@
     if says_not_run && matches!(answer.status, 429 | 503) {
         // How long it wants nothing speaks of its load, not of how sound it is.
         let tells_time = sent.notice.get().hold_off_ms.is_some();
-        sent.fail(if tells_time { Outcome::NoEvidence } else { Outcome::Bad }, "shed");
+        sent.fail(if tells_time { Outcome::Neutral } else { Outcome::Bad }, "shed");
         return Tried::NotRun(Kind::Shed);
     }
     let has_id = request.id.is_none() || answer.field(headers::REQUEST_ID).is_some();
@@ -273,7 +273,7 @@
         self.notice.set(notice);
         inner.meters.note_notice(notice);
         let now_ms = inner.now_ms();
-        if notice.is_leaving && inner.fleet.borrow_mut().leave(of, now_ms) {
+        if notice.is_leaving && inner.fleet.borrow_mut().note_leaving(of, now_ms) {
             let id = request.id.as_deref().unwrap_or("-");
             let Incarnation { instance, born_ms } = of;
             let status = head.status;
@@ -302,13 +302,13 @@
         if per_s.is_none() && notice.is_limit_malformed {
             return;
         }
-        let word = LimitWord { per_s, sent_ms: i64::try_from(sent_ms).unwrap_or(i64::MAX) };
+        let word = LimitNotice { per_s, sent_ms: i64::try_from(sent_ms).unwrap_or(i64::MAX) };
         let now_ms = inner.now_ms();
         if inner.fleet.borrow_mut().note_limit(of, word, now_ms) {
             let id = request.id.as_deref().unwrap_or("-");
             let Incarnation { instance, born_ms } = of;
             info!(id, backend = instance, born_ms, per_s, source = "answer", "backend limit");
-            words::tell_limit(inner, word.told(of, now_ms));
+            words::tell_limit(inner, word.to_update(of, now_ms));
             inner.wake_all();
         }
     }
@@ -354,7 +354,7 @@
     /// and it was not to leave. One that lives accepts, and one that is out of reach says nothing.
     async fn has_ended(&self, address: SocketAddr) -> bool {
         let Sent { inner, of, slot, .. } = *self;
-        if !inner.fleet.borrow().is_listed(slot.key) {
+        if !inner.fleet.borrow().is_in_service(slot.key) {
             return false;
         }
         match open_within(address, END_LOOK_MS).await {
--- a/crates/leverstream-gateway/src/slot.rs
+++ b/crates/leverstream-gateway/src/slot.rs
@@ -2,7 +2,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use leverstream_core::{Fleet, Openness, Outcome, Pick, RouteKey, Want, choose};
+use leverstream_core::{Availability, Fleet, Outcome, Pick, PickRequest, RouteKey, choose};
 use leverstream_error::Kind;
 use leverstream_health::BackendKey;
 use leverstream_workspace::WorkspaceId;
@@ -42,17 +42,19 @@
 impl SlotWant<'_> {
     /// Refuses a request that no backend server will take in its time, so that its caller is told at once.
     fn check_open(&self, fleet: &Fleet, queue: Queue, now_ms: u64) -> Result<(), Kind> {
-        match fleet.openness(self.service, now_ms) {
-            Openness::Closed => Err(Kind::NoBackend),
-            Openness::HoldsOffUntil(at_ms) if at_ms >= self.until_ms => Err(Kind::BackendsHoldOff),
-            Openness::Limited { per_s, from_ms } => {
+        match fleet.availability(self.service, now_ms) {
+            Availability::NoBackendServer => Err(Kind::NoBackend),
+            Availability::HoldsOffUntil(at_ms) if at_ms >= self.until_ms => {
+                Err(Kind::BackendsHoldOff)
+            }
+            Availability::Limited { per_s, from_ms } => {
                 let is_next = queue.ahead == 0 && (from_ms <= now_ms || queue.has_waited);
                 let needed_ms = (queue.ahead + 1) as f64 / per_s * 1_000.0;
                 let margin = if queue.has_waited { 1.0 } else { LIMITED_MARGIN };
                 let fits = now_ms as f64 + needed_ms * margin <= self.until_ms as f64;
                 if is_next || fits { Ok(()) } else { Err(Kind::BackendsHoldOff) }
             }
-            Openness::HoldsOffUntil(_) | Openness::Open => Ok(()),
+            Availability::HoldsOffUntil(_) | Availability::Available => Ok(()),
         }
     }
 }
@@ -124,10 +126,10 @@
 ) -> Option<Slot> {
     let mut fleet = inner.fleet.borrow_mut();
     let demand = &inner.services.borrow()[want.service].demand;
-    let requests_fail = demand.fails(want.is_repeatable, now_ms);
+    let requests_fail = demand.is_failing(want.is_repeatable, now_ms);
     let sharers = inner.mesh.sharing.count() as f64;
     let bytes = want.bytes as f64 + fleet.route(want.route).answer_bytes();
-    let wanted = Want {
+    let wanted = PickRequest {
         service: want.service,
         hall: &inner.settings.hall,
         is_repeatable: want.is_repeatable,
@@ -140,7 +142,7 @@
         requests_per_s: demand.per_s(now_ms).map(|per_s| per_s * sharers),
     };
     let pick = choose(&fleet, &wanted, now_ms, &mut rand::rng())?;
-    fleet.begin(pick.key, want.route, now_ms);
+    fleet.begin_request(pick.key, want.route, now_ms);
     inner.mesh.has_news();
     Some(Slot {
         inner: Rc::clone(inner),
@@ -149,7 +151,7 @@
         pick,
         since_ms: now_ms,
         route: want.route,
-        outcome: Cell::new(Outcome::Nothing),
+        outcome: Cell::new(Outcome::Abandoned),
     })
 }
 
@@ -165,7 +167,7 @@
         let now_ms = self.inner.now_ms();
         let (since_ms, route) = (self.since_ms, self.route);
         let mut fleet = self.inner.fleet.borrow_mut();
-        fleet.end(self.key, since_ms, route, self.outcome.get(), now_ms);
+        fleet.end_request(self.key, since_ms, route, self.outcome.get(), now_ms);
         drop(fleet);
         self.inner.mesh.has_news();
         if let Some(state) = self.inner.services.borrow_mut().get_mut(&self.service) {
--- a/crates/leverstream-gateway/src/words.rs
+++ b/crates/leverstream-gateway/src/words.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use leverstream_catalog::Incarnation;
-use leverstream_core::{LimitTold, Words, WordsTold};
+use leverstream_core::{LimitUpdate, NoticeSync, Notices};
 use leverstream_peer::packet::Body;
 use leverstream_peer::{self as peer, BackendLimit, BackendStart, Packet};
 use tracing::info;
@@ -20,13 +20,13 @@
 
 /// Tells others of a start that leaves.
 pub(crate) fn tell(inner: &Inner, of: &Incarnation) {
-    let told = WordsTold { starts: vec![of.clone()], ..WordsTold::default() };
+    let told = Notices { starts: vec![of.clone()], ..Notices::default() };
     say(inner, &told, &inner.mesh.sharers_and(OTHERS_TOLD));
 }
 
 /// Tells others of a limit, or that one is named no more.
-pub(crate) fn tell_limit(inner: &Inner, limit: LimitTold) {
-    let told = WordsTold { limits: vec![limit], ..WordsTold::default() };
+pub(crate) fn tell_limit(inner: &Inner, limit: LimitUpdate) {
+    let told = Notices { limits: vec![limit], ..Notices::default() };
     say(inner, &told, &inner.mesh.sharers_and(OTHERS_TOLD));
 }
 
@@ -43,14 +43,14 @@
 
 /// Takes in what another VM tells, and answers its question.
 pub(crate) fn hear(inner: &Inner, from: SocketAddr, said: &peer::Words, now_ms: u64) {
-    let heard = Words::hear(decode(said), &mut inner.fleet.borrow_mut(), now_ms);
-    for Incarnation { instance, born_ms } in &heard.news {
+    let heard = NoticeSync::apply(decode(said), &mut inner.fleet.borrow_mut(), now_ms);
+    for Incarnation { instance, born_ms } in &heard.newly_leaving {
         info!(backend = instance, born_ms, source = %from, "backend leaves");
     }
-    for LimitTold { of: Incarnation { instance, born_ms }, per_s, age_ms } in &heard.limits {
+    for LimitUpdate { of: Incarnation { instance, born_ms }, per_s, age_ms } in &heard.limits {
         info!(backend = instance, born_ms, per_s, age_ms, source = %from, "backend limit");
     }
-    if !heard.news.is_empty() || !heard.limits.is_empty() {
+    if !heard.newly_leaving.is_empty() || !heard.limits.is_empty() {
         inner.wake_all();
     }
     if let Some(told) = heard.answer {
@@ -59,7 +59,7 @@
 }
 
 /// Tells some VMs what starts say of themselves, in as many datagrams as it takes.
-fn say(inner: &Inner, told: &WordsTold, to: &[SocketAddr]) {
+fn say(inner: &Inner, told: &Notices, to: &[SocketAddr]) {
     let send = |said| {
         let body = Some(Body::Words(said));
         inner.mesh.send(&inner.meters, &Packet { body, ..Packet::default() }, to);
@@ -80,7 +80,7 @@
 }
 
 /// What a datagram tells of a limit.
-pub(crate) fn encode_limit(told: &LimitTold) -> BackendLimit {
+pub(crate) fn encode_limit(told: &LimitUpdate) -> BackendLimit {
     let age_ms = u32::try_from(told.age_ms).unwrap_or(u32::MAX);
     BackendLimit { of: Some(encode_start(&told.of)), per_s: told.per_s, age_ms }
 }
@@ -91,16 +91,16 @@
 }
 
 /// What a datagram has told of a limit; none if it cannot be one.
-pub(crate) fn decode_limit(said: &BackendLimit) -> Option<LimitTold> {
+pub(crate) fn decode_limit(said: &BackendLimit) -> Option<LimitUpdate> {
     let is_limit = |per_s: f64| per_s.is_finite() && per_s >= 0.0;
     let of = decode_start(said.of.as_ref()?);
-    let told = LimitTold { of, per_s: said.per_s, age_ms: said.age_ms.into() };
+    let told = LimitUpdate { of, per_s: said.per_s, age_ms: said.age_ms.into() };
     said.per_s.is_none_or(is_limit).then_some(told)
 }
 
 /// What a datagram has told.
-fn decode(said: &peer::Words) -> WordsTold {
-    WordsTold {
+fn decode(said: &peer::Words) -> Notices {
+    Notices {
         starts: said.starts.iter().map(decode_start).collect(),
         limits: said.limits.iter().filter_map(decode_limit).collect(),
         asks: said.asks,
