--- a/crates/leverstream-member/src/swim.rs
+++ b/crates/leverstream-member/src/swim.rs
@@ -363,8 +363,8 @@
                 // A ping without a sequence number goes to a seed address or to the address of a
                 // dead member: its sender looks for members.
                 if is_new || packet.sequence == 0 {
-                    let is_full_reply =
-                        self.is_joining(sender.id, now_ms) && self.join_reply_bucket.try_take(now_ms);
+                    let is_full_reply = self.is_joining(sender.id, now_ms)
+                        && self.join_reply_bucket.try_take(now_ms);
                     let packets = if is_full_reply { JOIN_REPLY_PACKETS } else { 1 };
                     out.extend(self.join_reply(from, sender.id, packets));
                 }
