--- a/crates/leverstream-gateway/src/authorize.rs
+++ b/crates/leverstream-gateway/src/authorize.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, asked once between its route and the queue.
+//! Authorizes a request and admits its workspace, once between routing and queueing.
 
 use leverstream_catalog::{Catalog, Route};
 use leverstream_error::Kind;
@@ -11,44 +11,44 @@
 use crate::admission::Admission;
 use crate::leases::Leases;
 use crate::mesh::Mesh;
-use crate::reply::Refusal;
+use crate::reply::ErrorAnswer;
 
-/// The shortest wait that a caller is told whose workspace has used up its allotment, in milliseconds.
-const RETRY_LEAST_MS: u64 = 50;
+/// The shortest retry delay named to a caller whose workspace has used up its allotment.
+const MIN_RETRY_AFTER_MS: u64 = 50;
 
-/// The longest, for workspaces that are owed more than they get.
-const RETRY_MOST_MS: u64 = 5_000;
+/// The longest retry delay, for workspaces that are owed more than they get.
+const MAX_RETRY_AFTER_MS: u64 = 5_000;
 
-/// What is asked about a request's workspace.
-pub(crate) struct Gate<'a> {
+/// Checks keys and allotments of workspaces.
+pub(crate) struct Authorizer<'a> {
     /// The clock.
     pub clock: Clock,
-    /// How long what is known of keys may be trusted.
+    /// The lease on the known keys.
     pub leases: &'a Leases,
     /// The allotments.
     pub admission: &'a Admission,
-    /// The other VMs.
+    /// The connection to the other VMs.
     pub mesh: &'a Mesh,
 }
 
-/// The workspace of a request that was let in.
+/// The workspace of an admitted request.
 #[derive(Clone, Debug)]
-pub(crate) struct Admitted {
-    /// Its name.
+pub(crate) struct AdmittedWorkspace {
+    /// The workspace's name.
     pub name: String,
-    /// What it is known by across versions.
+    /// The id, which stays the same across versions of the configuration.
     pub id: WorkspaceId,
-    /// Its rank.
+    /// The workspace's rank.
     pub rank: u32,
-    /// What was shown for it.
+    /// The credentials that the request carried.
     credentials: Credentials,
 }
 
-impl Gate<'_> {
-    /// Waits until it can be said whose key a request shows, if its route asks for one.
+impl Authorizer<'_> {
+    /// Waits until the key of a request can be checked reliably, if its route requires one.
     ///
-    /// What cannot be right under any configuration is refused at once.
-    pub async fn until_sure(
+    /// Credentials that are invalid under any configuration are refused at once.
+    pub async fn wait_until_certain(
         &self,
         catalog: &Catalog,
         route: &Route,
@@ -63,52 +63,53 @@
         if self.leases.until_held(self.clock).await { Ok(()) } else { Err(Kind::KeysUnsure) }
     }
 
-    /// Lets a request in if its key is a workspace's and the workspace has room; none if the route asks for no key.
+    /// Admits a request if its key belongs to a workspace whose allotment has room; returns `None`
+    /// if the route requires no key.
     pub async fn admit(
         &self,
         catalog: &Catalog,
         route: &Route,
         credentials: Credentials,
         id: &str,
-    ) -> Result<Option<Admitted>, Refusal> {
+    ) -> Result<Option<AdmittedWorkspace>, ErrorAnswer> {
         let Some(workspaces) = catalog.required_workspaces(route) else { return Ok(None) };
         let workspace = match credentials.workspace(workspaces) {
             Ok(key) => workspaces.get(key),
-            Err(refused) => return Err(self.refuse_key(refused, catalog.version, id)),
+            Err(error) => return Err(self.key_error(error, catalog.version, id)),
         };
-        let admitted = Admitted {
+        let admitted = AdmittedWorkspace {
             name: workspace.name.clone(),
             id: workspace.id(),
             rank: workspace.rank,
             credentials,
         };
-        self.spend(workspace, id).await?;
+        self.spend_allotment(workspace, id).await?;
         Ok(Some(admitted))
     }
 
-    /// Takes room for the request out of the workspace's allotment.
-    async fn spend(&self, workspace: &Workspace, id: &str) -> Result<(), Refusal> {
+    /// Takes one request from the workspace's allotment.
+    async fn spend_allotment(&self, workspace: &Workspace, id: &str) -> Result<(), ErrorAnswer> {
         let Some(allotment) = workspace.allotment else { return Ok(()) };
-        let spent = self.admission.spend(workspace.id(), allotment, self.mesh, self.clock).await;
-        let Err(Denied { wait_ms, room, is_certain }) = spent else { return Ok(()) };
+        let result = self.admission.spend(workspace.id(), allotment, self.mesh, self.clock).await;
+        let Err(Denied { wait_ms, room, is_certain }) = result else { return Ok(()) };
         let workspace = &workspace.name;
         info!(id, workspace, room, wait_ms, hears_most = is_certain, "allotment used up");
         let kind = if is_certain { Kind::RateLimited } else { Kind::AllotmentUnsure };
-        let retry_after_ms = Some(wait_ms.clamp(RETRY_LEAST_MS, RETRY_MOST_MS));
-        Err(Refusal { kind, retry_after_ms })
+        let retry_after_ms = Some(wait_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS));
+        Err(ErrorAnswer { kind, retry_after_ms })
     }
 
-    /// Says why a key is refused.
-    fn refuse_key(&self, refused: CredentialsError, version: u64, id: &str) -> Refusal {
+    /// Logs why a key is refused, and returns the error answer.
+    fn key_error(&self, error: CredentialsError, version: u64, id: &str) -> ErrorAnswer {
         let age_ms = self.leases.age_ms(self.clock.now_ms());
-        info!(id, reason = %refused, version, age_ms, "key refused");
+        info!(id, reason = %error, version, age_ms, "key refused");
         Kind::Unauthorized.into()
     }
 }
 
-impl Admitted {
-    /// Tells whether the request may be sent on now: what is known of keys is young enough, and its key is still the
-    /// workspace's.
+impl AdmittedWorkspace {
+    /// Returns an error if the request may no longer be sent: the lease on the known keys has
+    /// expired, or its key is no longer the workspace's.
     pub fn check(
         &self,
         leases: &Leases,
@@ -119,9 +120,9 @@
             return Err(Kind::KeysUnsure);
         }
         let holder = workspaces
-            .and_then(|held| self.credentials.workspace(held).ok().map(|key| held.get(key)));
-        let is_held = holder.is_some_and(|workspace| workspace.name == self.name);
-        // Where there are no workspaces any more, nobody asks for keys.
-        if is_held || workspaces.is_none() { Ok(()) } else { Err(Kind::Unauthorized) }
+            .and_then(|known| self.credentials.workspace(known).ok().map(|key| known.get(key)));
+        let is_key_valid = holder.is_some_and(|workspace| workspace.name == self.name);
+        // Without workspaces in the configuration, no route requires a key.
+        if is_key_valid || workspaces.is_none() { Ok(()) } else { Err(Kind::Unauthorized) }
     }
 }
--- a/crates/leverstream-gateway/src/forward.rs
+++ b/crates/leverstream-gateway/src/forward.rs
@@ -1,3 +1,5 @@
+//! Forwards a request to backend servers: repeats it after failures and hedges slow attempts.
+
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,142 +17,147 @@
 use leverstream_wire::Answer;
 use tracing::info;
 
-use crate::attempt::{Tried, attempt};
-use crate::authorize::Admitted;
+use crate::attempt::{AttemptResult, attempt};
+use crate::authorize::AdmittedWorkspace;
 use crate::gateway::Inner;
 use crate::inbound::Inbound;
 use crate::limits::{Denied, Permit};
-use crate::slot::{self, Slot, SlotWant};
+use crate::slot::{self, Slot, SlotRequest};
 use crate::waiting::Rank;
 
-/// How many times a request may be sent on after backend servers that did not run it, besides the
-/// route's attempts.
-const UNRUN_LIMIT: u32 = 3;
+/// How many more times than the route's attempts a request may be sent, for sends that the backend
+/// server did not run.
+const MAX_EXTRA_SENDS: u32 = 3;
 
-/// How many times its usual time a request must have left before a planned stop ends.
-const STOP_FACTOR: f64 = 3.0;
+/// How many times the median latency of its route must remain before a planned stop for a request
+/// to be accepted.
+const STOP_TIME_FACTOR: f64 = 3.0;
 
-/// How often one that waits for a slot looks whether it should ask a second backend server.
-const SLOT_LOOK_MS: u64 = 50;
+/// The interval at which a request that waits for a slot checks whether a hedge is due.
+const SLOT_CHECK_INTERVAL_MS: u64 = 50;
 
-/// How long a request that the allowance did not let hedge waits before it asks again, in milliseconds.
-const DENIED_PAUSE_MS: u64 = 50;
+/// How long a request waits before it tries to hedge again after the retry budget denied a hedge.
+const HEDGE_DENIED_PAUSE_MS: u64 = 50;
 
-/// How often one that waits for what other VMs lend looks whether it is there, in milliseconds.
-const LOAN_LOOK_MS: u64 = 4;
+/// The interval at which a request that waits for repeats from other VMs checks whether they have
+/// arrived.
+const LOAN_CHECK_INTERVAL_MS: u64 = 4;
 
-/// A request on its way through the VM.
+/// A request that is being forwarded.
 pub(crate) struct Forward<'a> {
-    /// The VM.
+    /// The state of this gateway VM.
     pub inner: &'a Rc<Inner>,
     /// The request.
     pub request: &'a Inbound,
-    /// Its workspace, where the route asks for a key.
-    pub workspace: Option<&'a Admitted>,
+    /// The workspace of the request, if the route requires a key.
+    pub workspace: Option<&'a AdmittedWorkspace>,
     /// Its route.
     pub route: &'a Route,
     /// Its service.
     pub service: &'a str,
     /// When it arrived.
     pub arrived_ms: u64,
-    /// When it must have been answered.
+    /// The time by which it must be answered.
     pub deadline_ms: u64,
-    /// What its route's requests have shown.
+    /// The key of the route's statistics.
     pub route_key: RouteKey,
 }
 
-/// How a request went at backend servers.
+/// The sends of a request so far.
 #[derive(Default)]
 pub(crate) struct Sends {
-    /// How often it was sent to one.
+    /// The number of sends.
     pub count: Cell<u32>,
-    /// How many of those reached none, as no connection came about.
+    /// The number of sends that reached no backend server, for example as no connection could be
+    /// opened.
     unsent: Cell<u32>,
-    /// How many repeats were taken out of the allowance for it.
-    covered: Cell<u32>,
-    /// How long it waited for slots.
+    /// The number of repeats taken from the retry budget for the request.
+    repeats_taken: Cell<u32>,
+    /// The total time spent waiting for slots.
     pub waited_ms: Cell<u64>,
-    /// The instance that it was last sent to.
+    /// The instance of the last send.
     pub backend: RefCell<String>,
-    /// What the last choice of a backend server rested on.
+    /// The last choice of a backend server, for the log.
     pub pick: Cell<Option<Pick>>,
-    /// Until when no hedge is looked for, as the allowance did not cover the last.
+    /// No hedge is considered before this time, as the retry budget denied the last one.
     no_hedge_until_ms: Cell<u64>,
-    /// Where it was sent.
+    /// The backend servers that the request was sent to.
     tried: RefCell<Vec<BackendKey>>,
-    /// Where it is under way, and since when.
+    /// The sends in flight, with their start times.
     flights: RefCell<Vec<(BackendKey, u64)>>,
 }
 
 impl Sends {
-    /// Tells whether the next send needs no repeat: the first does not, nor one after a send that reached no
-    /// backend server.
+    /// Returns whether the next send needs no repeat from the retry budget: the first send needs
+    /// none, nor does one that follows a send which reached no backend server.
     fn is_covered(&self) -> bool {
-        self.count.get() - self.unsent.get() <= self.covered.get()
+        self.count.get() - self.unsent.get() <= self.repeats_taken.get()
     }
 }
 
-/// How one send ended.
-enum Ended {
-    /// There was no slot.
+/// The result of one send.
+enum SendResult {
+    /// No slot was available, or the request may not be sent on.
     NoSlot(Kind),
-    /// It may not be repeated any more.
+    /// The retry budget allows no more repeats.
     Denied,
-    /// It was sent.
-    Tried(Tried),
+    /// An attempt was made.
+    Sent(AttemptResult),
 }
 
-/// What the sends of a request have come to so far.
+/// The results of the finished sends of a request.
 #[derive(Default)]
-struct Record {
-    /// How many may have run it.
+struct SendSummary {
+    /// The number of sends that may have run the request.
     ran: u32,
-    /// The failure that tells the caller most.
+    /// The most informative failure so far.
     failed: Option<Result<Answer, Kind>>,
 }
 
 impl Forward<'_> {
-    /// Sends the request to backend servers until one has answered it for good.
+    /// Sends the request to backend servers until one gives a final answer.
     ///
-    /// One that may run again and stalls is also sent to a second backend server; the first good
-    /// answer counts.
+    /// A stalled request that is repeatable is also sent to a second backend server; the first good
+    /// answer wins.
     pub async fn run(&self, sends: &Sends) -> Result<Answer, Kind> {
         self.check_stop()?;
         self.check_suspect()?;
         let now_ms = self.inner.now_ms();
         self.inner.repeats.request(self.service, now_ms);
         self.inner.note_arrival(self.service, now_ms);
-        let mut end = EndNote { inner: self.inner, service: self.service, is_served: false };
+        let mut guard =
+            CompletionGuard { inner: self.inner, service: self.service, is_served: false };
         let result = self.run_sends(sends).await;
-        end.is_served = result.as_ref().is_ok_and(|answer| answer.status < 500);
+        guard.is_served = result.as_ref().is_ok_and(|answer| answer.status < 500);
         result
     }
 
-    /// Begins sends as they are due until one gives the answer.
+    /// Starts sends as they become due until one gives the answer.
     async fn run_sends(&self, sends: &Sends) -> Result<Answer, Kind> {
-        let mut record = Record::default();
+        let mut summary = SendSummary::default();
         let mut running = FuturesUnordered::new();
         running.push(self.send(sends, None));
         loop {
-            let look = tokio::time::sleep(Duration::from_millis(self.next_hedge_check_ms(sends)));
+            let hedge_timer =
+                tokio::time::sleep(Duration::from_millis(self.next_hedge_check_ms(sends)));
             tokio::select! {
                 biased;
-                ended = running.next() => {
-                    let Some(ended) = ended else { return record.last_word(Kind::NoSlot) };
-                    let may_repeat = match self.settle(ended, &mut record) {
-                        Settled::Done(answer) => return Ok(answer),
-                        Settled::Over => false,
-                        Settled::MayRepeat => true,
+                result = running.next() => {
+                    let Some(result) = result else { return summary.into_result(Kind::NoSlot) };
+                    let may_repeat = match self.record_send(result, &mut summary) {
+                        NextStep::Done(answer) => return Ok(answer),
+                        NextStep::Final => false,
+                        NextStep::MayRepeat => true,
                     };
                     if running.is_empty() {
-                        if !may_repeat || !self.may_repeat(&record, sends).await {
-                            return record.last_word(Kind::NoSlot);
+                        if !may_repeat || !self.may_repeat(&summary, sends).await {
+                            return summary.into_result(Kind::NoSlot);
                         }
                         running.push(self.send(sends, None));
                     }
                 }
-                () = look, if self.route.is_repeatable => {
-                    if let Some(slot) = self.hedge_slot(&record, sends) {
+                () = hedge_timer, if self.route.is_repeatable => {
+                    if let Some(slot) = self.hedge_slot(&summary, sends) {
                         running.push(self.send(sends, Some(slot)));
                     }
                 }
@@ -158,52 +165,55 @@
         }
     }
 
-    /// Sends the request once, to the backend server of a slot or of the next one it gets.
-    async fn send(&self, sends: &Sends, slot: Option<Slot>) -> Ended {
+    /// Sends the request once, in the given slot or else in the next one that becomes available.
+    async fn send(&self, sends: &Sends, slot: Option<Slot>) -> SendResult {
         let (slot, permit) = match slot {
-            Some(slot) => match self.permit(&slot).await {
+            Some(slot) => match self.take_permit(&slot).await {
                 Ok(permit) => (slot, permit),
-                Err(Denied) => return Ended::Tried(Tried::NotSent(Kind::NoSlot)),
+                Err(Denied) => return SendResult::Sent(AttemptResult::NotSent(Kind::NoSlot)),
             },
-            None => match self.take_permitted(sends).await {
+            None => match self.take_slot_with_permit(sends).await {
                 Ok(taken) => taken,
-                Err(kind) => return Ended::NoSlot(kind),
+                Err(kind) => return SendResult::NoSlot(kind),
             },
         };
         if let Err(kind) = self.check_send() {
-            return Ended::NoSlot(kind);
+            return SendResult::NoSlot(kind);
         }
         if !self.cover_send(sends) {
-            return Ended::Denied;
+            return SendResult::Denied;
         }
         sends.tried.borrow_mut().push(slot.key);
         sends.count.set(sends.count.get() + 1);
-        let flight = (slot.key, slot.since_ms);
-        sends.flights.borrow_mut().push(flight);
+        let in_flight = (slot.key, slot.since_ms);
+        sends.flights.borrow_mut().push(in_flight);
         sends.pick.set(Some(slot.pick));
         let instance = self.inner.fleet.borrow().target(slot.key).1.to_owned();
         sends.backend.replace(instance);
         let is_repeatable = self.route.is_repeatable;
         let key = slot.key;
         let may_send = || self.check_send().and_then(|()| self.check_permit(key, permit));
-        let tried =
+        let result =
             attempt(self.inner, slot, self.request, is_repeatable, self.deadline_ms, may_send)
                 .await;
-        sends.flights.borrow_mut().retain(|other| *other != flight);
-        sends.unsent.set(sends.unsent.get() + u32::from(matches!(tried, Tried::NotSent(_))));
-        Ended::Tried(tried)
+        sends.flights.borrow_mut().retain(|other| *other != in_flight);
+        sends
+            .unsent
+            .set(sends.unsent.get() + u32::from(matches!(result, AttemptResult::NotSent(_))));
+        SendResult::Sent(result)
     }
 
-    /// Tells whether the request may still be sent on.
+    /// Returns an error if the request may no longer be sent.
     fn check_send(&self) -> Result<(), Kind> {
         self.check_workspace()?;
         self.check_suspect()?;
-        self.check_last()
+        self.check_last_backend()
     }
 
-    /// Refuses a request under which all but the last backend server of its service may have ended: with that one the
-    /// whole service would be gone, and it can be tried when others are back.
-    fn check_last(&self) -> Result<(), Kind> {
+    /// Refuses a request under which all other backend servers of its service may have crashed. If
+    /// the last one crashed too, the whole service would be down; the caller can retry when others
+    /// are back.
+    fn check_last_backend(&self) -> Result<(), Kind> {
         if self.inner.suspicions.verdict(self.request) != Verdict::LastTry {
             return Ok(());
         }
@@ -215,8 +225,8 @@
         if is_last { Err(Kind::NoSlot) } else { Ok(()) }
     }
 
-    /// Tells whether the workspace's request may still be sent on: keys may have been taken away, or this VM been
-    /// frozen, while it waited.
+    /// Returns an error if the workspace's request may no longer be sent: while it waited, its key
+    /// may have been revoked or this VM may have been frozen.
     fn check_workspace(&self) -> Result<(), Kind> {
         let Some(admitted) = self.workspace else { return Ok(()) };
         let catalog = self.inner.catalog();
@@ -224,71 +234,76 @@
         admitted.check(&self.inner.leases, workspaces, self.inner.now_ms())
     }
 
-    /// Refuses a request under which backend servers end. Others may have told of it while it waited.
+    /// Refuses a request under which backend servers crash. Other VMs may have reported it while it
+    /// waited.
     fn check_suspect(&self) -> Result<(), Kind> {
         self.inner.suspicions.check(self.request, self.inner.now_ms())
     }
 
-    /// Takes the end of one send in.
-    fn settle(&self, ended: Ended, record: &mut Record) -> Settled {
-        let (ran, failed) = match ended {
-            Ended::Tried(Tried::Answered(answer)) if answer.status < 500 => {
-                return Settled::Done(answer);
+    /// Records the result of one send and decides what follows.
+    fn record_send(&self, result: SendResult, summary: &mut SendSummary) -> NextStep {
+        let (ran, failed) = match result {
+            SendResult::Sent(AttemptResult::Answered(answer)) if answer.status < 500 => {
+                return NextStep::Done(answer);
+            }
+            SendResult::Sent(AttemptResult::Answered(answer)) => (true, self.failed_answer(answer)),
+            SendResult::Sent(AttemptResult::MayHaveRun(kind)) => (true, Err(kind)),
+            SendResult::Sent(AttemptResult::NotRun(kind) | AttemptResult::NotSent(kind)) => {
+                (false, Err(kind))
             }
-            Ended::Tried(Tried::Answered(answer)) => (true, self.failed_answer(answer)),
-            Ended::Tried(Tried::MayHaveRun(kind)) => (true, Err(kind)),
-            Ended::Tried(Tried::NotRun(kind) | Tried::NotSent(kind)) => (false, Err(kind)),
-            Ended::NoSlot(kind) => {
-                record.note(Err(kind));
-                return Settled::Over;
+            SendResult::NoSlot(kind) => {
+                summary.note_failure(Err(kind));
+                return NextStep::Final;
             }
-            Ended::Denied => return Settled::Over,
+            SendResult::Denied => return NextStep::Final,
         };
-        record.note(failed);
-        record.ran += u32::from(ran);
-        // Two backend servers have ended under it: a third should not before its caller asks again.
+        summary.note_failure(failed);
+        summary.ran += u32::from(ran);
+        // Two backend servers have crashed under the request: it must not reach a third before its
+        // caller repeats it.
         let may_end_another =
             ran && self.inner.suspicions.verdict(self.request) >= Verdict::LastTry;
-        let is_over = may_end_another || (ran && !self.route.is_repeatable);
-        if is_over { Settled::Over } else { Settled::MayRepeat }
+        let is_final = may_end_another || (ran && !self.route.is_repeatable);
+        if is_final { NextStep::Final } else { NextStep::MayRepeat }
     }
 
-    /// Tells whether a request may still go to a backend server, which may have named a limit while a connection was opened.
+    /// Returns an error if the permit no longer allows the send: the backend server may have named
+    /// a limit while the connection was opened.
     fn check_permit(&self, key: BackendKey, permit: Permit) -> Result<(), Kind> {
         let is_limited = self.inner.fleet.borrow().limit(key).is_some();
         if permit.allows(is_limited, self.inner.now_ms()) { Ok(()) } else { Err(Kind::NoSlot) }
     }
 
-    /// Asks for a permit to use a slot, if its backend server names a limit.
-    async fn permit(&self, slot: &Slot) -> Result<Permit, Denied> {
+    /// Requests a permit for a slot, if its backend server names a limit.
+    async fn take_permit(&self, slot: &Slot) -> Result<Permit, Denied> {
         self.inner.permits().take(slot.key, self.request.id.as_deref().unwrap_or("-")).await
     }
 
-    /// Waits for a slot at a backend server that the request may be sent to.
-    async fn take_permitted(&self, sends: &Sends) -> Result<(Slot, Permit), Kind> {
+    /// Waits for a slot at a backend server and for the permit to use it.
+    async fn take_slot_with_permit(&self, sends: &Sends) -> Result<(Slot, Permit), Kind> {
         loop {
             let slot = self.take_slot(sends).await?;
-            if let Ok(permit) = self.permit(&slot).await {
+            if let Ok(permit) = self.take_permit(&slot).await {
                 return Ok((slot, permit));
             }
         }
     }
 
-    /// Waits for a slot at a backend server.
+    /// Waits for a slot at a backend server, and records the waiting time.
     async fn take_slot(&self, sends: &Sends) -> Result<Slot, Kind> {
-        let began_ms = self.inner.now_ms();
+        let started_ms = self.inner.now_ms();
         let tried = sends.tried.borrow().clone();
-        let slot = slot::take(self.inner, &self.want(&tried)).await;
-        let waited_ms = self.inner.now_ms().saturating_sub(began_ms);
+        let slot = slot::take(self.inner, &self.slot_request(&tried)).await;
+        let waited_ms = self.inner.now_ms().saturating_sub(started_ms);
         self.inner.meters.waited_seconds.observe(waited_ms as f64 / 1000.0);
         sends.waited_ms.set(sends.waited_ms.get() + waited_ms);
         slot
     }
 
-    /// What the request wants of a slot.
-    fn want<'b>(&'b self, tried: &'b [BackendKey]) -> SlotWant<'b> {
-        let usual_ms = self.usual_ms();
-        SlotWant {
+    /// Returns the criteria for the request's slot.
+    fn slot_request<'b>(&'b self, tried: &'b [BackendKey]) -> SlotRequest<'b> {
+        let median_ms = self.median_ms();
+        SlotRequest {
             service: self.service,
             is_repeatable: self.route.is_repeatable
                 && tried.len() + 1 < self.route.attempts as usize,
@@ -298,27 +313,27 @@
             route: self.route_key,
             bytes: self.request.body.len(),
             objective_ms: self.route.objective_ms,
-            until_ms: self.deadline_ms.saturating_sub(usual_ms as u64 / 2),
+            until_ms: self.deadline_ms.saturating_sub(median_ms as u64 / 2),
         }
     }
 
-    /// Its rank among requests that wait.
+    /// Returns the request's rank in the wait queue.
     fn rank(&self) -> Rank {
         let workspace = self.workspace.map_or(0, |workspace| workspace.rank);
         Rank { workspace, route: self.route.priority }
     }
 
-    /// How long to wait before looking whether another backend server should be asked.
+    /// Returns the time until the next check whether a hedge is due.
     fn next_hedge_check_ms(&self, sends: &Sends) -> u64 {
         let flights = sends.flights.borrow();
         if flights.is_empty() {
-            return SLOT_LOOK_MS;
+            return SLOT_CHECK_INTERVAL_MS;
         }
         let fleet = self.inner.fleet.borrow();
         next_hedge_check_ms(&fleet, &self.pending(&flights), self.inner.now_ms())
     }
 
-    /// The request as it is under way.
+    /// Returns the sends in flight in the form that the hedging rules use.
     fn pending<'b>(&self, flights: &'b [(BackendKey, u64)]) -> PendingRequest<'b> {
         PendingRequest {
             route: self.route_key,
@@ -328,30 +343,31 @@
         }
     }
 
-    /// A free slot elsewhere for a request that gains by it, if all it needs is there.
-    fn hedge_slot(&self, record: &Record, sends: &Sends) -> Option<Slot> {
+    /// Takes a free slot at another backend server if a hedge is worthwhile and the retry budget
+    /// allows it.
+    fn hedge_slot(&self, summary: &SendSummary, sends: &Sends) -> Option<Slot> {
         let now_ms = self.inner.now_ms();
         let flights = sends.flights.borrow();
         if now_ms < sends.no_hedge_until_ms.get() || flights.is_empty() {
             return None;
         }
-        if record.ran + flights.len() as u32 >= self.route.attempts {
+        if summary.ran + flights.len() as u32 >= self.route.attempts {
             return None;
         }
-        // One that may end a backend server goes to one at a time.
+        // A request that may crash a backend server is in flight at one backend server at a time.
         if self.inner.suspicions.verdict(self.request) != Verdict::Free {
             return None;
         }
         let gain = hedge_gain(&self.inner.fleet.borrow(), &self.pending(&flights), now_ms);
         let sharers = self.inner.mesh.sharing.count();
-        let used_part = self.inner.repeats.used_part(self.service, sharers, now_ms);
-        if !is_hedge_worthwhile(gain, used_part) {
+        let used_share = self.inner.repeats.used_part(self.service, sharers, now_ms);
+        if !is_hedge_worthwhile(gain, used_share) {
             return None;
         }
         let tried = sends.tried.borrow().clone();
-        let slot = slot::try_take(self.inner, &self.want(&tried), 0, now_ms)?;
+        let slot = slot::try_take(self.inner, &self.slot_request(&tried), 0, now_ms)?;
         if !self.cover_send(sends) {
-            sends.no_hedge_until_ms.set(now_ms + DENIED_PAUSE_MS);
+            sends.no_hedge_until_ms.set(now_ms + HEDGE_DENIED_PAUSE_MS);
             return None;
         }
         let id = self.request.id.as_deref().unwrap_or("-");
@@ -360,99 +376,107 @@
         Some(slot)
     }
 
-    /// Refuses a request that a planned stop would cut.
+    /// Refuses a request that a planned stop would interrupt.
     ///
-    /// In the first half of the grace callers still come who were told of this VM before: they are served unless the work
-    /// usually takes too long. Those that come later are few, and can be served elsewhere: they are let in only if all of
-    /// their time fits, as work that takes three times as long as usual would be cut.
+    /// In the first half of the grace period, callers still arrive that resolved this VM earlier:
+    /// their requests are served unless the expected latency exceeds the time left. Later ones are
+    /// few and can go to another VM: they are accepted only if their whole timeout fits, as a
+    /// request that takes three times the median latency would be interrupted.
     fn check_stop(&self) -> Result<(), Kind> {
         let Some(ends_ms) = self.inner.stop_ends_ms() else { return Ok(()) };
         let left_ms = ends_ms.saturating_sub(self.arrived_ms);
-        let is_late = left_ms < self.inner.settings.grace_ms() / 2;
-        let whole_ms = self.deadline_ms.saturating_sub(self.arrived_ms);
-        let usual_ms = (STOP_FACTOR * self.usual_ms()) as u64;
-        let needed_ms = if is_late { whole_ms } else { usual_ms };
+        let is_second_half = left_ms < self.inner.settings.grace_ms() / 2;
+        let timeout_ms = self.deadline_ms.saturating_sub(self.arrived_ms);
+        let expected_ms = (STOP_TIME_FACTOR * self.median_ms()) as u64;
+        let needed_ms = if is_second_half { timeout_ms } else { expected_ms };
         if left_ms < needed_ms { Err(Kind::Stopping) } else { Ok(()) }
     }
 
-    /// Tells whether the request may be sent again, as far as can be told before there is a slot for it.
-    async fn may_repeat(&self, record: &Record, sends: &Sends) -> bool {
-        record.ran < self.route.attempts
-            && sends.count.get() < self.route.attempts + UNRUN_LIMIT
+    /// Returns whether the request may be sent again, as far as this can be known before it has a
+    /// slot.
+    async fn may_repeat(&self, summary: &SendSummary, sends: &Sends) -> bool {
+        summary.ran < self.route.attempts
+            && sends.count.get() < self.route.attempts + MAX_EXTRA_SENDS
             && self.inner.now_ms() < self.deadline_ms
-            && (sends.is_covered() || self.until_repeat().await)
+            && (sends.is_covered() || self.wait_for_repeat().await)
     }
 
-    /// Waits until one more repeat may be made, while what others lend may come any moment; if none may, the request ends
-    /// with the failure that it has.
-    async fn until_repeat(&self) -> bool {
+    /// Waits until the retry budget allows one more repeat, as long as a loan from another VM may
+    /// still arrive. If it allows none, the request ends with the failure that it has.
+    async fn wait_for_repeat(&self) -> bool {
         let Inner { repeats, mesh, meters, .. } = &**self.inner;
         loop {
             let now_ms = self.inner.now_ms();
-            let room = repeats.room(self.service, now_ms);
-            if room.has_one() {
+            let headroom = repeats.room(self.service, now_ms);
+            if headroom.has_one() {
                 return true;
             }
             repeats.ask(self.service, mesh, meters, now_ms);
             if now_ms >= self.deadline_ms || !repeats.is_loan_awaited(self.service, now_ms) {
-                self.note_denied(room);
+                self.note_denied(headroom);
                 return false;
             }
-            tokio::time::sleep(Duration::from_millis(LOAN_LOOK_MS)).await;
+            tokio::time::sleep(Duration::from_millis(LOAN_CHECK_INTERVAL_MS)).await;
         }
     }
 
-    /// Takes a repeat out of what may be repeated, if the next send needs one. It is counted when the send goes out: one
-    /// that was counted and then waited for a slot would arrive in a later window.
+    /// Takes a repeat from the retry budget, if the next send needs one.
+    ///
+    /// The repeat is counted when the send starts: if it were counted before the wait for a slot,
+    /// the send would arrive in a later window than the one it was counted in.
     fn cover_send(&self, sends: &Sends) -> bool {
         if sends.is_covered() {
             return true;
         }
         let inner = self.inner;
         let now_ms = inner.now_ms();
-        let (may, room) = inner.repeats.take(self.service, now_ms);
-        inner.meters.note_room(self.service, room);
-        if may {
-            sends.covered.set(sends.covered.get() + 1);
+        let (is_granted, headroom) = inner.repeats.take(self.service, now_ms);
+        inner.meters.note_room(self.service, headroom);
+        if is_granted {
+            sends.repeats_taken.set(sends.repeats_taken.get() + 1);
             inner.meters.repeats.inc();
             let id = self.request.id.as_deref().unwrap_or("-");
-            let Headroom { requests, spent, own, lent } = room;
+            let Headroom { requests, spent, own, lent } = headroom;
             info!(id, service = self.service, requests, spent, own, lent, "repeat");
         } else {
-            self.note_denied(room);
+            self.note_denied(headroom);
         }
         inner.repeats.ask(self.service, &inner.mesh, &inner.meters, now_ms);
-        may
+        is_granted
     }
 
-    /// Notes that no more may be repeated, and asks other VMs for what they can spare.
-    fn note_denied(&self, room: Headroom) {
+    /// Records a denied repeat, and asks other VMs for a loan.
+    fn note_denied(&self, headroom: Headroom) {
         let inner = self.inner;
         inner.meters.repeats_denied.inc();
         let id = self.request.id.as_deref().unwrap_or("-");
-        let Headroom { requests, spent, own, lent } = room;
+        let Headroom { requests, spent, own, lent } = headroom;
         info!(id, service = self.service, requests, spent, own, lent, "repeat denied");
         inner.repeats.ask(self.service, &inner.mesh, &inner.meters, inner.now_ms());
     }
 
-    /// What an answer that tells of a failure is passed on as.
+    /// Returns what the caller receives for an answer with a server error.
     ///
-    /// One that says the request did not run, without the mark that makes it true, is not passed on
-    /// for a request that must not run again.
+    /// For a request that must not run again, a status that implies that the request did not run is
+    /// not passed on without the header field that guarantees it.
     fn failed_answer(&self, answer: Answer) -> Result<Answer, Kind> {
-        let promises = matches!(answer.status, 503 | 429 | 408);
-        if promises && !self.route.is_repeatable { Err(Kind::AnswerInvalid) } else { Ok(answer) }
+        let claims_not_run = matches!(answer.status, 503 | 429 | 408);
+        if claims_not_run && !self.route.is_repeatable {
+            Err(Kind::AnswerInvalid)
+        } else {
+            Ok(answer)
+        }
     }
 
-    /// How long answers of this route usually take.
-    fn usual_ms(&self) -> f64 {
+    /// Returns the median latency of the route.
+    fn median_ms(&self) -> f64 {
         self.inner.fleet.borrow().route(self.route_key).latency.median_ms()
     }
 }
 
-/// Notes how a request ended when it is dropped; one that its caller left was not served.
-struct EndNote<'a> {
-    /// The VM.
+/// Records at drop whether a request was served; one abandoned by its caller was not.
+struct CompletionGuard<'a> {
+    /// The state of this gateway VM.
     inner: &'a Inner,
     /// The service.
     service: &'a str,
@@ -460,7 +484,7 @@
     is_served: bool,
 }
 
-impl Drop for EndNote<'_> {
+impl Drop for CompletionGuard<'_> {
     fn drop(&mut self) {
         let mut services = self.inner.services.borrow_mut();
         let state = services.entry(self.service.to_owned()).or_default();
@@ -468,19 +492,20 @@
     }
 }
 
-/// What the end of one send means for the request.
-enum Settled {
-    /// It is answered.
+/// What follows the end of one send.
+enum NextStep {
+    /// The request is answered.
     Done(Answer),
-    /// It may be sent again.
+    /// The request may be sent again.
     MayRepeat,
-    /// It may not.
-    Over,
+    /// The request is not sent again.
+    Final,
 }
 
-impl Record {
-    /// Notes a failure: an answer tells most, then that the request may have run.
-    fn note(&mut self, next: Result<Answer, Kind>) {
+impl SendSummary {
+    /// Records a failure, and keeps the most informative one: an answer comes before an error, and
+    /// an error that says the request may have run before others.
+    fn note_failure(&mut self, next: Result<Answer, Kind>) {
         self.failed = Some(match (self.failed.take(), next) {
             (Some(Ok(answer)), Err(_)) => Ok(answer),
             (Some(Err(before)), Err(next)) => Err(before.combined_with(next)),
@@ -488,8 +513,8 @@
         });
     }
 
-    /// The final answer of a request that could not be served.
-    fn last_word(self, otherwise: Kind) -> Result<Answer, Kind> {
-        self.failed.unwrap_or(Err(otherwise))
+    /// Returns the result of a request that could not be served.
+    fn into_result(self, default_kind: Kind) -> Result<Answer, Kind> {
+        self.failed.unwrap_or(Err(default_kind))
     }
 }
--- a/crates/leverstream-gateway/src/gateway.rs
+++ b/crates/leverstream-gateway/src/gateway.rs
@@ -22,7 +22,7 @@
 use crate::repeats::Repeats;
 use crate::starts::Starts;
 use crate::suspects::Suspicions;
-use crate::waiting::Waiting;
+use crate::waiting::WaitQueue;
 use crate::{Settings, emptied, evidence, follow, listeners, mesh, outlast};
 
 /// How often a planned stop looks whether it may end, in milliseconds.
@@ -95,7 +95,7 @@
     /// What is asked of it.
     pub demand: Demand,
     /// Who waits for a slot.
-    pub waiting: Waiting,
+    pub waiting: WaitQueue,
 }
 
 /// Why a gateway could not start.
--- a/crates/leverstream-gateway/src/idle.rs
+++ b/crates/leverstream-gateway/src/idle.rs
@@ -1,38 +1,42 @@
+//! Pool of idle connections to backend servers.
+
 use std::collections::HashMap;
 
 use leverstream_catalog::Incarnation;
 use leverstream_wire::Conn;
 
-/// How long an idle connection is kept when the backend server does not say, in milliseconds.
-const KEEP_DEFAULT_MS: u64 = 4_000;
+/// The keep-alive time of a connection for which the backend server names none.
+const DEFAULT_KEEP_ALIVE_MS: u64 = 4_000;
 
-/// The part of the told time for which requests that can be repeated use an idle connection.
-const KEEP_PART: f64 = 0.7;
+/// The fraction of the keep-alive time for which a repeatable request uses an idle connection; the
+/// margin avoids a connection that the backend server is about to close.
+const USABLE_FRACTION: f64 = 0.7;
 
 /// How long a connection may have been idle for a request that cannot be repeated.
 ///
-/// The end of an idle connection may cross such a request, which would then be lost.
-const ONCE_IDLE_MS: u64 = 1_000;
+/// The backend server may close an idle connection while such a request is on its way, and the
+/// request would be lost.
+const MAX_IDLE_NON_REPEATABLE_MS: u64 = 1_000;
 
-/// The most idle connections kept to one backend server.
-const LIMIT: usize = 8;
+/// The maximum number of idle connections kept per backend server.
+const MAX_IDLE_CONNS: usize = 8;
 
-/// How often connections that have been idle for too long are closed, in milliseconds.
-const SWEEP_MS: u64 = 1_000;
+/// The interval at which connections past their keep-alive time are closed.
+const SWEEP_INTERVAL_MS: u64 = 1_000;
 
 /// Idle connections by backend server.
 #[derive(Debug, Default)]
 pub(crate) struct IdlePool {
-    /// The connections by start: one to an earlier start leads nowhere.
-    by_start: HashMap<Incarnation, IdleConns>,
-    /// When those that were idle for too long were last closed.
+    /// The connections by incarnation: a connection to an earlier incarnation is dead.
+    by_incarnation: HashMap<Incarnation, IdleConns>,
+    /// When expired connections were last closed.
     swept_ms: u64,
 }
 
-/// Idle connections to one backend server, the last idle at the end.
+/// Idle connections to one backend server, the most recently used last.
 #[derive(Debug, Default)]
 struct IdleConns {
-    /// The connections.
+    /// The connections, ordered by `since_ms`.
     conns: Vec<IdleConn>,
 }
 
@@ -43,49 +47,61 @@
     conn: Conn,
     /// When it became idle.
     since_ms: u64,
-    /// How long the backend server keeps it.
-    kept_ms: u64,
+    /// How long the backend server keeps the connection open.
+    keep_alive_ms: u64,
 }
 
 impl IdlePool {
-    /// Takes a connection to a start that is safe for the request.
-    pub fn take(&mut self, of: &Incarnation, is_repeatable: bool, now_ms: u64) -> Option<Conn> {
-        self.by_start.get_mut(of)?.take(is_repeatable, now_ms)
+    /// Takes a connection to an incarnation that is safe to use for the request.
+    pub fn take(
+        &mut self,
+        incarnation: &Incarnation,
+        is_repeatable: bool,
+        now_ms: u64,
+    ) -> Option<Conn> {
+        self.by_incarnation.get_mut(incarnation)?.take(is_repeatable, now_ms)
     }
 
-    /// Closes all connections to a start.
-    pub fn forget(&mut self, of: &Incarnation) {
-        self.by_start.remove(of);
+    /// Closes all idle connections to an incarnation.
+    pub fn close_all(&mut self, incarnation: &Incarnation) {
+        self.by_incarnation.remove(incarnation);
     }
 
-    /// Keeps a connection for a later request; `told_ms` is how long the backend server keeps it.
-    pub fn put(&mut self, of: Incarnation, conn: Conn, told_ms: Option<u64>, now_ms: u64) {
-        if now_ms.saturating_sub(self.swept_ms) >= SWEEP_MS {
+    /// Keeps a connection for a later request; `keep_alive_ms` is the time that the backend server
+    /// names.
+    pub fn put(
+        &mut self,
+        incarnation: Incarnation,
+        conn: Conn,
+        keep_alive_ms: Option<u64>,
+        now_ms: u64,
+    ) {
+        if now_ms.saturating_sub(self.swept_ms) >= SWEEP_INTERVAL_MS {
             self.swept_ms = now_ms;
-            self.by_start.retain(|_, conns| conns.sweep(now_ms));
+            self.by_incarnation.retain(|_, conns| conns.sweep(now_ms));
         }
-        let conns = self.by_start.entry(of).or_default();
-        conns.put(conn, told_ms, now_ms);
+        let conns = self.by_incarnation.entry(incarnation).or_default();
+        conns.put(conn, keep_alive_ms, now_ms);
     }
 }
 
 impl IdleConns {
-    /// Closes those that were idle for too long; tells whether any is left.
+    /// Closes expired connections; returns whether any is left.
     fn sweep(&mut self, now_ms: u64) -> bool {
-        self.conns.retain(|idle| now_ms.saturating_sub(idle.since_ms) < idle.kept_ms);
+        self.conns.retain(|idle| now_ms.saturating_sub(idle.since_ms) < idle.keep_alive_ms);
         !self.conns.is_empty()
     }
 
-    /// Takes a connection that is safe for the request.
+    /// Takes a connection that is safe to use for the request.
     fn take(&mut self, is_repeatable: bool, now_ms: u64) -> Option<Conn> {
         while let Some(idle) = self.conns.pop() {
             let age_ms = now_ms.saturating_sub(idle.since_ms);
-            let limit_ms = (idle.kept_ms as f64 * KEEP_PART) as u64;
+            let limit_ms = (idle.keep_alive_ms as f64 * USABLE_FRACTION) as u64;
             if age_ms < limit_ms && idle.conn.is_clean() {
-                if is_repeatable || age_ms < ONCE_IDLE_MS {
+                if is_repeatable || age_ms < MAX_IDLE_NON_REPEATABLE_MS {
                     return Some(idle.conn);
                 }
-                // Those below were idle for longer still.
+                // The remaining connections have been idle for longer.
                 self.conns.push(idle);
                 return None;
             }
@@ -94,11 +110,11 @@
     }
 
     /// Keeps a connection for a later request.
-    fn put(&mut self, conn: Conn, told_ms: Option<u64>, now_ms: u64) {
-        let kept_ms = told_ms.unwrap_or(KEEP_DEFAULT_MS);
+    fn put(&mut self, conn: Conn, keep_alive_ms: Option<u64>, now_ms: u64) {
+        let keep_alive_ms = keep_alive_ms.unwrap_or(DEFAULT_KEEP_ALIVE_MS);
         self.sweep(now_ms);
-        if self.conns.len() < LIMIT && conn.is_reusable() {
-            self.conns.push(IdleConn { conn, since_ms: now_ms, kept_ms });
+        if self.conns.len() < MAX_IDLE_CONNS && conn.is_reusable() {
+            self.conns.push(IdleConn { conn, since_ms: now_ms, keep_alive_ms });
         }
     }
 }
--- a/crates/leverstream-gateway/src/inbound.rs
+++ b/crates/leverstream-gateway/src/inbound.rs
@@ -1,3 +1,5 @@
+//! Reads callers' requests, and encodes them for backend servers.
+
 use std::cell::OnceCell;
 
 use actix_http::header::HeaderMap;
@@ -13,7 +15,7 @@
 
 use crate::reply::is_hop_by_hop;
 
-/// The header field by which callers show a key.
+/// The header field that carries a caller's key.
 const AUTHORIZATION: &str = "authorization";
 
 /// A caller's request, read whole.
@@ -22,29 +24,29 @@
     pub method: Method,
     /// The path and query, as the caller wrote them.
     pub target: String,
-    /// The host that it is for.
+    /// The host that the request is addressed to.
     pub host: String,
-    /// The caller's id of it, if it has one.
+    /// The request id, if the caller chose one.
     pub id: Option<String>,
-    /// How long the caller waits for the answer.
-    pub patience_ms: Option<u64>,
-    /// What the caller showed to say whose request it is.
+    /// The time that the caller waits for the answer.
+    pub caller_timeout_ms: Option<u64>,
+    /// The credentials that the caller sent.
     pub credentials: Credentials,
-    /// The workspace whose request it is, for the backend server.
+    /// The workspace that the request belongs to, which the backend server is told.
     pub workspace: Option<String>,
-    /// The header fields that travel along, as they go out.
+    /// The header fields to forward.
     fields: Vec<(String, Vec<u8>)>,
     /// Whether the caller announced a body.
     has_body: bool,
     /// The body.
     pub body: Bytes,
-    /// What the request is known again by, once that was asked.
+    /// The digest that identifies repeats of the request, computed on first use.
     digest: OnceCell<RequestDigest>,
 }
 
 impl Inbound {
-    /// Reads the head, refusing shapes by which requests are smuggled.
-    pub fn open(request: &Request) -> Result<Inbound, Kind> {
+    /// Reads the head; rejects forms that allow request smuggling.
+    pub fn parse(request: &Request) -> Result<Inbound, Kind> {
         let fields = request.headers();
         let has_body = check_framing(request)?;
         let uri = request.uri();
@@ -54,7 +56,7 @@
         }
         let authority = uri.authority().map(actix_http::uri::Authority::as_str);
         let host = request_host(authority, text(fields, "host")).ok_or(Kind::BadRequest)?;
-        let patience_ms = match text(fields, headers::TIME_LEFT_MS) {
+        let caller_timeout_ms = match text(fields, headers::TIME_LEFT_MS) {
             Some(text) => Some(text.trim().parse().map_err(|_| Kind::BadRequest)?),
             None => None,
         };
@@ -63,10 +65,10 @@
             target,
             host,
             id: text(fields, headers::REQUEST_ID).map(str::to_owned),
-            patience_ms,
+            caller_timeout_ms,
             credentials: Credentials::None,
             workspace: None,
-            fields: travelling(fields),
+            fields: forwarded_fields(fields),
             has_body,
             body: Bytes::new(),
             digest: OnceCell::new(),
@@ -89,18 +91,19 @@
         Ok(())
     }
 
-    /// Takes what says whose request it is, in whose place only a digest stays; where there are no workspaces it is
-    /// for the backend servers and travels along.
+    /// Takes the credentials out of the header fields and keeps only a digest of the key. Without
+    /// workspaces, the field is meant for the backend servers and is forwarded.
     pub fn take_credentials(&mut self, has_workspaces: bool, hasher: &KeyHasher) {
         if has_workspaces {
-            let shown = self.fields.iter().filter(|(name, _)| name == AUTHORIZATION);
-            let values = shown.map(|(_, value)| value.as_slice());
+            let authorization_fields = self.fields.iter().filter(|(name, _)| name == AUTHORIZATION);
+            let values = authorization_fields.map(|(_, value)| value.as_slice());
             self.credentials = Credentials::read(values, hasher);
             self.fields.retain(|(name, _)| name != AUTHORIZATION);
         }
     }
 
-    /// What the request is known again by; its body and workspace must be known.
+    /// Returns the digest that identifies repeats of the request; its body and workspace must be
+    /// known.
     pub fn digest(&self, hasher: &RequestHasher) -> RequestDigest {
         *self.digest.get_or_init(|| {
             hasher.request_digest(&RequestIdentity {
@@ -113,12 +116,12 @@
         })
     }
 
-    /// The path without the query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.target.split_once('?').map_or(self.target.as_str(), |(path, _)| path)
     }
 
-    /// Writes the request for one instance, with the time that is left.
+    /// Encodes the request for one instance, with the time left until its deadline.
     pub fn encode(&self, instance: &str, left_ms: u64) -> Vec<u8> {
         let mut head = Head::open(self.method.as_str(), &self.target);
         for (name, value) in &self.fields {
@@ -139,47 +142,47 @@
     }
 }
 
-/// The fields that travel along: without those for one connection, those that `Connection` names,
-/// and those that each hop sets anew.
-fn travelling(fields: &HeaderMap) -> Vec<(String, Vec<u8>)> {
-    let named: Vec<String> = fields
+/// Returns the header fields to forward: all except hop-by-hop fields, those that `Connection`
+/// names, and those that each hop sets itself.
+fn forwarded_fields(fields: &HeaderMap) -> Vec<(String, Vec<u8>)> {
+    let connection_fields: Vec<String> = fields
         .get_all("connection")
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let set_anew = [
+    let set_per_hop = [
         headers::REQUEST_ID,
         headers::TIME_LEFT_MS,
         headers::EXPECTED_INSTANCE,
         headers::WORKSPACE,
         "expect",
     ];
-    let travels = |name: &str| {
+    let is_forwarded = |name: &str| {
         !is_hop_by_hop(name)
-            && !set_anew.contains(&name)
-            && (name == "host" || !named.iter().any(|other| other == name))
+            && !set_per_hop.contains(&name)
+            && (name == "host" || !connection_fields.iter().any(|other| other == name))
     };
     fields
         .iter()
-        .filter(|(name, _)| travels(name.as_str()))
+        .filter(|(name, _)| is_forwarded(name.as_str()))
         .map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec()))
         .collect()
 }
 
-/// Tells whether a body was announced, refusing shapes by which requests are smuggled.
+/// Returns whether a body is announced; rejects forms that allow request smuggling.
 fn check_framing(request: &Request) -> Result<bool, Kind> {
     let fields = request.headers();
     let lengths = fields.get_all("content-length").count();
     let encodings = fields.get_all("transfer-encoding").count();
-    let is_old = request.head().version < Version::HTTP_11;
-    if lengths > 1 || encodings > 1 || (encodings > 0 && (is_old || lengths > 0)) {
+    let is_before_http_11 = request.head().version < Version::HTTP_11;
+    if lengths > 1 || encodings > 1 || (encodings > 0 && (is_before_http_11 || lengths > 0)) {
         return Err(Kind::BadRequest);
     }
     Ok(lengths + encodings > 0)
 }
 
-/// A header field as text.
+/// Returns a header field as text.
 fn text<'a>(fields: &'a HeaderMap, name: &str) -> Option<&'a str> {
     fields.get(name).and_then(|value| value.to_str().ok())
 }
--- a/crates/leverstream-gateway/src/lib.rs
+++ b/crates/leverstream-gateway/src/lib.rs
@@ -39,4 +39,4 @@
 
 pub use gateway::{Gateway, GatewayError};
 pub use settings::{Settings, SettingsError};
-pub use waiting::{Rank, Turn, Waiting};
+pub use waiting::{Rank, Turn, WaitQueue};
--- a/crates/leverstream-gateway/src/listeners.rs
+++ b/crates/leverstream-gateway/src/listeners.rs
@@ -18,27 +18,27 @@
 use crate::gateway::Inner;
 use crate::{news, reply, serve};
 
-/// How many connections may wait to be accepted.
+/// The number of connections that may wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// How much longer than the callers' limit an idle connection is kept, so that its end crosses no
-/// request of a caller who keeps to the limit.
+/// How much longer than the limit for callers an idle connection is kept, so that closing it
+/// doesn't cross a request of a caller that keeps to the limit.
 const IDLE_MARGIN_MS: u64 = 2_000;
 
-/// The pause after a failure to accept, which is a lack of descriptors, in milliseconds.
+/// The pause after a failed accept, whose cause is a lack of file descriptors.
 const ACCEPT_PAUSE_MS: u64 = 20;
 
-/// How long closing waits for the other side.
-const CLOSE_MS: u64 = 1_000;
+/// The timeout for the other side to disconnect.
+const CLOSE_TIMEOUT_MS: u64 = 1_000;
 
-/// Serves callers' requests.
+/// Listens for callers' requests.
 pub(crate) async fn callers(address: SocketAddr, inner: &Rc<Inner>) -> std::io::Result<()> {
-    open(address, "callers", inner, serve::serve).await
+    listen(address, "callers", inner, serve::serve).await
 }
 
-/// Answers whether the VM is ready.
+/// Listens for readiness checks.
 pub(crate) async fn readiness(address: SocketAddr, inner: &Rc<Inner>) -> std::io::Result<()> {
-    open(address, "readiness", inner, |inner, request| async move {
+    listen(address, "readiness", inner, |inner, request| async move {
         match (request.path(), inner.is_ready()) {
             (READY_PATH, true) => reply::empty(StatusCode::OK),
             (READY_PATH, false) => reply::empty(StatusCode::SERVICE_UNAVAILABLE),
@@ -48,9 +48,9 @@
     .await
 }
 
-/// Answers where to connect.
+/// Listens for queries of the addresses to connect to.
 pub(crate) async fn directory(address: SocketAddr, inner: &Rc<Inner>) -> std::io::Result<()> {
-    open(address, "directory", inner, |inner, request| async move {
+    listen(address, "directory", inner, |inner, request| async move {
         if request.path() != RESOLVE_PATH {
             return reply::empty(StatusCode::NOT_FOUND);
         }
@@ -66,9 +66,9 @@
     .await
 }
 
-/// Answers other VMs that want to know what this one knows.
+/// Listens for other VMs that fetch what this one knows.
 pub(crate) async fn peers(address: SocketAddr, inner: &Rc<Inner>) -> std::io::Result<()> {
-    open(
+    listen(
         address,
         "peers",
         inner,
@@ -77,9 +77,9 @@
     .await
 }
 
-/// Shows the metrics.
+/// Listens for metrics scrapes.
 pub(crate) async fn metrics(address: SocketAddr, inner: &Rc<Inner>) -> std::io::Result<()> {
-    open(address, "metrics", inner, |inner, _| async move {
+    listen(address, "metrics", inner, |inner, _| async move {
         inner.meters.show_backends(inner.fleet.borrow().state_counts(inner.now_ms()));
         inner.meters.show_limits(inner.fleet.borrow().limits_by_service());
         let text = leverstream_observe::encode(&inner.meters.registry);
@@ -89,7 +89,7 @@
 }
 
 /// Listens on an address and serves each connection with a handler.
-async fn open<H, F>(
+async fn listen<H, F>(
     address: SocketAddr,
     name: &'static str,
     inner: &Rc<Inner>,
@@ -116,7 +116,7 @@
     H: Fn(Rc<Inner>, Request) -> F + Copy + 'static,
     F: Future<Output = Response<BoxBody>> + 'static,
 {
-    let services = Services { built: RefCell::new(None) };
+    let service_cache = ServiceCache { built: RefCell::new(None) };
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -127,25 +127,27 @@
             }
         };
         let limits = inner.catalog().map_or_else(Limits::default, |catalog| catalog.limits);
-        let Some(service) = services.for_limits(limits, &inner, handler).await else { continue };
+        let Some(service) = service_cache.for_limits(limits, &inner, handler).await else {
+            continue;
+        };
         actix_rt::spawn(async move {
-            // A connection's end is no event; what became of its requests is logged with them.
+            // The end of a connection is not logged; the results of its requests are.
             let _ = service(stream).await;
         });
     }
 }
 
-/// Serves one connection.
+/// A function that serves one connection.
 type ServeConn = Rc<dyn Fn(TcpStream) -> futures_util::future::LocalBoxFuture<'static, ()>>;
 
-/// The service for new connections, built anew when the limits change.
-struct Services {
+/// The HTTP service for new connections, rebuilt when the limits change.
+struct ServiceCache {
     /// The limits and the service built for them.
     built: RefCell<Option<(Limits, ServeConn)>>,
 }
 
-impl Services {
-    /// The service for the limits in force.
+impl ServiceCache {
+    /// Returns the service for the given limits, and builds it if they changed.
     async fn for_limits<H, F>(
         &self,
         limits: Limits,
@@ -169,7 +171,7 @@
         let factory = HttpService::build()
             .keep_alive(KeepAlive::Timeout(Duration::from_millis(limits.idle_ms + IDLE_MARGIN_MS)))
             .client_request_timeout(Duration::from_millis(limits.head_ms))
-            .client_disconnect_timeout(Duration::from_millis(CLOSE_MS))
+            .client_disconnect_timeout(Duration::from_millis(CLOSE_TIMEOUT_MS))
             .tcp_nodelay(true)
             .h1_allow_half_closed(false)
             .h1(handle)
--- a/crates/leverstream-gateway/src/reply.rs
+++ b/crates/leverstream-gateway/src/reply.rs
@@ -1,11 +1,13 @@
+//! Builds the HTTP responses that the gateway sends.
+
 use actix_http::body::BoxBody;
 use actix_http::{Response, StatusCode};
 use bytes::Bytes;
 use leverstream_error::{KIND_HEADER, Kind, OUTCOME_HEADER};
 use leverstream_wire::Answer;
 
-/// The header fields that hold for one connection only (RFC 9110, section 7.6.1), and the length,
-/// which the next hop's framing sets.
+/// The hop-by-hop header fields (RFC 9110, section 7.6.1), and the length, which the framing of the
+/// next hop sets.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -18,54 +20,54 @@
     "content-length",
 ];
 
-/// What a caller is asked for who showed no key that is a workspace's.
+/// The authentication scheme that a caller without a valid key is asked for.
 const CHALLENGE: &str = "Bearer";
 
-/// Why a request is not served, and when its caller may come back if not when the kind says.
+/// The error that a request is answered with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Refusal {
+pub(crate) struct ErrorAnswer {
     /// The kind.
     pub kind: Kind,
-    /// When to come back.
+    /// The delay after which the caller may retry, if it differs from the kind's own.
     pub retry_after_ms: Option<u64>,
 }
 
-impl From<Kind> for Refusal {
-    fn from(kind: Kind) -> Refusal {
-        Refusal { kind, retry_after_ms: None }
+impl From<Kind> for ErrorAnswer {
+    fn from(kind: Kind) -> ErrorAnswer {
+        ErrorAnswer { kind, retry_after_ms: None }
     }
 }
 
-/// Tells whether a header field holds for one connection only.
+/// Returns whether a header field is hop-by-hop.
 pub(crate) fn is_hop_by_hop(name: &str) -> bool {
     HOP_BY_HOP.contains(&name)
 }
 
-/// Writes a backend server's answer.
-pub(crate) fn pass_on(answer: Answer) -> Response<BoxBody> {
+/// Returns a backend server's answer as the response to the caller.
+pub(crate) fn relay_answer(answer: Answer) -> Response<BoxBody> {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::build(status);
-    let named: Vec<String> = answer
+    let connection_fields: Vec<String> = answer
         .text("connection")
         .map(|value| value.split(',').map(|name| name.trim().to_ascii_lowercase()).collect())
         .unwrap_or_default();
     for (name, value) in &answer.fields {
-        if !is_hop_by_hop(name) && !named.contains(name) {
+        if !is_hop_by_hop(name) && !connection_fields.contains(name) {
             response.append_header((name.as_str(), value.as_slice()));
         }
     }
     response.body(answer.body).map_into_boxed_body()
 }
 
-/// Writes an answer of the VM's own.
+/// Returns the response for an error of the gateway itself.
 ///
-/// A request that has not run is told so by status 503 whatever its time has come to, with when to
-/// come back.
-pub(crate) fn refuse(refusal: Refusal) -> Response<BoxBody> {
-    let Refusal { kind, retry_after_ms } = refusal;
+/// A request that has not run gets status 503 in place of any other 5xx, with the time at which to
+/// retry.
+pub(crate) fn error_response(error: ErrorAnswer) -> Response<BoxBody> {
+    let ErrorAnswer { kind, retry_after_ms } = error;
     let answer = kind.answer();
-    let is_late_refusal = kind.is_not_run() && answer.status >= 500;
-    let status = if is_late_refusal { 503 } else { answer.status };
+    let is_unrun_server_error = kind.is_not_run() && answer.status >= 500;
+    let status = if is_unrun_server_error { 503 } else { answer.status };
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::build(status);
     response.insert_header((KIND_HEADER, kind.to_string()));
@@ -80,21 +82,21 @@
     response.body(kind.to_string()).map_into_boxed_body()
 }
 
-/// Writes an answer with a body of JSON.
+/// Returns a response with a JSON body.
 pub(crate) fn json(body: Vec<u8>) -> Response<BoxBody> {
     let mut response = Response::build(StatusCode::OK);
     response.insert_header(("content-type", "application/json"));
     response.body(body).map_into_boxed_body()
 }
 
-/// Writes an answer with a body for another VM.
+/// Returns a response with a binary body for another VM.
 pub(crate) fn bytes(body: Bytes) -> Response<BoxBody> {
     let mut response = Response::build(StatusCode::OK);
     response.insert_header(("content-type", "application/octet-stream"));
     response.body(body).map_into_boxed_body()
 }
 
-/// Writes an answer without a body.
+/// Returns a response without a body.
 pub(crate) fn empty(status: StatusCode) -> Response<BoxBody> {
     Response::new(status).map_into_boxed_body()
 }
--- a/crates/leverstream-gateway/src/serve.rs
+++ b/crates/leverstream-gateway/src/serve.rs
@@ -1,3 +1,5 @@
+//! Serves a caller's request: finds its route, admits its workspace, and forwards it.
+
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,42 +14,44 @@
 use rand::Rng;
 use tracing::info;
 
-use crate::authorize::Gate;
+use crate::authorize::Authorizer;
 use crate::forward::{Forward, Sends};
 use crate::gateway::Inner;
 use crate::inbound::Inbound;
-use crate::reply::{self, Refusal};
+use crate::reply::{self, ErrorAnswer};
 
-/// How long a request waits for a VM that has just started to read the configuration and the backend servers,
-/// which takes a tenth of a second where a fifth of a core reads a thousand backend servers.
-const START_HOLD_MS: u64 = 250;
+/// How long a request waits, on a VM that has just started, until the configuration and the backend
+/// servers are read. With a fifth of a core, reading a thousand backend servers takes a tenth of a
+/// second.
+const STARTUP_WAIT_MS: u64 = 250;
 
-/// Over how long callers come back to a service that wanted nothing for a while, in milliseconds: some times what its work
-/// takes.
-const RETURN_SPREAD_MS: u64 = 1_000;
+/// The time over which the retries of callers are spread after a service has held off: a few times
+/// the latency of a typical request.
+const RETRY_SPREAD_MS: u64 = 1_000;
 
-/// How often it looks whether they are known.
-const START_LOOK_MS: u64 = 10;
+/// The interval at which a request that waits for startup checks whether the configuration and the
+/// backend servers are known.
+const STARTUP_CHECK_INTERVAL_MS: u64 = 10;
 
 /// Answers a caller's request.
 pub(crate) async fn serve(inner: Rc<Inner>, request: Request) -> Response<BoxBody> {
     let arrived_ms = inner.now_ms();
     inner.meters.requests.inc();
-    let _counted = Counted::open(&inner);
-    let mut trail = Trail::default();
-    let result = handle(&inner, request, arrived_ms, &mut trail).await;
+    let _in_flight = InFlightGuard::new(&inner);
+    let mut request_log = RequestLog::default();
+    let result = handle(&inner, request, arrived_ms, &mut request_log).await;
     let took_ms = inner.now_ms().saturating_sub(arrived_ms);
     inner.meters.seconds.observe(took_ms as f64 / 1000.0);
     let mut response = match result {
         Ok(answer) => {
-            trail.log(&inner, answer.status, "answered", took_ms);
-            reply::pass_on(answer)
+            request_log.log(&inner, answer.status, "answered", took_ms);
+            reply::relay_answer(answer)
         }
-        Err(refusal) => {
-            inner.meters.refuse(refusal.kind);
-            let response = reply::refuse(refusal);
-            let outcome = refusal.kind.to_string();
-            trail.log(&inner, response.status().as_u16(), &outcome, took_ms);
+        Err(error_answer) => {
+            inner.meters.refuse(error_answer.kind);
+            let response = reply::error_response(error_answer);
+            let outcome = error_answer.kind.to_string();
+            request_log.log(&inner, response.status().as_u16(), &outcome, took_ms);
             response
         }
     };
@@ -57,63 +61,63 @@
     response
 }
 
-/// What is known of a request by its end, for the log.
+/// The fields of the log line that a finished request writes.
 #[derive(Default)]
-struct Trail {
-    /// The caller's id.
+struct RequestLog {
+    /// The request id that the caller chose.
     id: String,
     /// The route.
     route: String,
     /// The service.
     service: String,
-    /// The version of the configuration that decided.
+    /// The version of the configuration that was applied.
     version: u64,
     /// The workspace.
     workspace: String,
-    /// How it went at backend servers.
+    /// The sends to backend servers.
     sends: Sends,
 }
 
-/// Reads a request, finds its route and has it run.
+/// Reads a request, finds its route and forwards it.
 async fn handle(
     inner: &Rc<Inner>,
     mut request: Request,
     arrived_ms: u64,
-    trail: &mut Trail,
-) -> Result<Answer, Refusal> {
-    let mut inbound = Inbound::open(&request)?;
-    trail.id = inbound.id.clone().unwrap_or_default();
-    let first = first_catalog(inner, arrived_ms).await?;
-    trail.version = first.version;
-    inbound.read_body(request.take_payload(), first.limits.body_bytes).await?;
-    inbound.take_credentials(first.workspaces.is_some(), &inner.hasher);
-    let gate = Gate {
+    request_log: &mut RequestLog,
+) -> Result<Answer, ErrorAnswer> {
+    let mut inbound = Inbound::parse(&request)?;
+    request_log.id = inbound.id.clone().unwrap_or_default();
+    let initial = wait_for_catalog(inner, arrived_ms).await?;
+    request_log.version = initial.version;
+    inbound.read_body(request.take_payload(), initial.limits.body_bytes).await?;
+    inbound.take_credentials(initial.workspaces.is_some(), &inner.hasher);
+    let authorizer = Authorizer {
         clock: inner.clock,
         leases: &inner.leases,
         admission: &inner.admission,
         mesh: &inner.mesh,
     };
-    let route = find_route(&first, &inbound)?;
-    trail.route.clone_from(&route.name);
-    gate.until_sure(&first, route, inbound.credentials).await?;
-    // Another configuration may have come into force meanwhile.
-    let catalog = inner.catalog().unwrap_or(first);
-    trail.version = catalog.version;
+    let route = find_route(&initial, &inbound)?;
+    request_log.route.clone_from(&route.name);
+    authorizer.wait_until_certain(&initial, route, inbound.credentials).await?;
+    // A newer configuration may have come into force during the wait.
+    let catalog = inner.catalog().unwrap_or(initial);
+    request_log.version = catalog.version;
     let route = find_route(&catalog, &inbound)?;
-    trail.route.clone_from(&route.name);
-    let point: f64 = rand::rng().random();
-    let target = route.target_at(point).ok_or(Kind::RouteUnknown)?;
-    trail.service.clone_from(&target.service);
-    let admitted = gate.admit(&catalog, route, inbound.credentials, &trail.id).await;
-    if admitted.as_ref().is_err_and(|refusal| refusal.kind == Kind::RateLimited) {
-        note_refused(inner, &target.service);
+    request_log.route.clone_from(&route.name);
+    let sample: f64 = rand::rng().random();
+    let target = route.target_at(sample).ok_or(Kind::RouteUnknown)?;
+    request_log.service.clone_from(&target.service);
+    let admitted = authorizer.admit(&catalog, route, inbound.credentials, &request_log.id).await;
+    if admitted.as_ref().is_err_and(|error_answer| error_answer.kind == Kind::RateLimited) {
+        note_rate_limited(inner, &target.service);
     }
     let admitted = admitted?;
     if let Some(admitted) = &admitted {
-        trail.workspace.clone_from(&admitted.name);
+        request_log.workspace.clone_from(&admitted.name);
         inbound.workspace = Some(admitted.name.clone());
     }
-    let patience_ms = inbound.patience_ms.unwrap_or(route.timeout_ms);
+    let caller_timeout_ms = inbound.caller_timeout_ms.unwrap_or(route.timeout_ms);
     let route_key = inner.fleet.borrow_mut().route_key(&route.name, route.objective_ms);
     let forward = Forward {
         inner,
@@ -122,61 +126,64 @@
         route,
         service: &target.service,
         arrived_ms,
-        deadline_ms: arrived_ms + patience_ms.min(route.timeout_ms),
+        deadline_ms: arrived_ms + caller_timeout_ms.min(route.timeout_ms),
         route_key,
     };
-    let result = forward.run(&trail.sends).await;
-    result.map_err(|kind| refusal(inner, kind, &target.service))
+    let result = forward.run(&request_log.sends).await;
+    result.map_err(|kind| error_answer(inner, kind, &target.service))
 }
 
-/// Says when a request that could not be served may come again.
-fn refusal(inner: &Inner, kind: Kind, service: &str) -> Refusal {
+/// Builds the error answer to a request that could not be served, with the time at which its caller
+/// may retry.
+fn error_answer(inner: &Inner, kind: Kind, service: &str) -> ErrorAnswer {
     if kind != Kind::BackendsHoldOff {
         return kind.into();
     }
     let now_ms = inner.now_ms();
     let (from_ms, over_ms) = match inner.fleet.borrow().availability(service, now_ms) {
-        // Not all at once, and after the first ones that try how much is wanted again.
-        Availability::HoldsOffUntil(until_ms) => (until_ms, RETURN_SPREAD_MS),
-        // Over the time that the limits need for those that wait already, and once more.
+        // Retries are spread, and follow the first requests that test whether the hold-off is over.
+        Availability::HoldsOffUntil(until_ms) => (until_ms, RETRY_SPREAD_MS),
+        // Retries start after the time that the limits need for the requests that already wait, and
+        // are spread over as long again.
         Availability::Limited { per_s, from_ms } => {
             let waiting =
                 inner.services.borrow().get(service).map_or(0, |state| state.waiting.count());
             let needed_ms = ((waiting + 1) as f64 / per_s * 1_000.0) as u64;
-            (from_ms.max(now_ms).saturating_add(needed_ms), needed_ms.max(RETURN_SPREAD_MS))
+            (from_ms.max(now_ms).saturating_add(needed_ms), needed_ms.max(RETRY_SPREAD_MS))
         }
         Availability::Available | Availability::NoBackendServer => return kind.into(),
     };
     let spread_ms = rand::rng().random_range(0..=over_ms);
     let retry_after_ms = from_ms.saturating_sub(now_ms).saturating_add(spread_ms);
-    Refusal { kind, retry_after_ms: Some(retry_after_ms) }
+    ErrorAnswer { kind, retry_after_ms: Some(retry_after_ms) }
 }
 
-/// The configuration in force; a VM that has just started is about to know it.
-async fn first_catalog(inner: &Inner, arrived_ms: u64) -> Result<Rc<Catalog>, Kind> {
+/// Returns the configuration in force; on a VM that has just started, waits until it is known.
+async fn wait_for_catalog(inner: &Inner, arrived_ms: u64) -> Result<Rc<Catalog>, Kind> {
     inner.has_caller.set(true);
-    while !inner.knows_all() && inner.now_ms() < arrived_ms + START_HOLD_MS {
-        tokio::time::sleep(Duration::from_millis(START_LOOK_MS)).await;
+    while !inner.knows_all() && inner.now_ms() < arrived_ms + STARTUP_WAIT_MS {
+        tokio::time::sleep(Duration::from_millis(STARTUP_CHECK_INTERVAL_MS)).await;
     }
     inner.catalog().filter(|_| inner.has_fleet.get()).ok_or(Kind::NoCatalog)
 }
 
-/// Notes that a request was refused before it came to its service, which counts towards the floor.
-fn note_refused(inner: &Inner, service: &str) {
+/// Records that a request was refused before it reached its service, which counts towards the
+/// service's floor.
+fn note_rate_limited(inner: &Inner, service: &str) {
     let now_ms = inner.now_ms();
     let mut services = inner.services.borrow_mut();
     services.entry(service.to_owned()).or_default().demand.note_refused(now_ms);
 }
 
-/// Finds the route of a request.
+/// Returns the route of a request.
 fn find_route<'a>(catalog: &'a Catalog, request: &Inbound) -> Result<&'a Route, Kind> {
     catalog.route(&request.host, request.path()).ok_or(Kind::RouteUnknown)
 }
 
-impl Trail {
-    /// Writes the line of a request's end.
+impl RequestLog {
+    /// Writes the log line of a finished request.
     fn log(&self, inner: &Inner, status: u16, outcome: &str, took_ms: u64) {
-        let Trail { id, route, service, version, workspace, sends } = self;
+        let RequestLog { id, route, service, version, workspace, sends } = self;
         let keys_age_ms = inner.leases.age_ms(inner.now_ms());
         let (count, waited_ms) = (sends.count.get(), sends.waited_ms.get());
         let backend = &*sends.backend.borrow();
@@ -216,18 +223,18 @@
     }
 }
 
-/// Counts a request as under way.
-struct Counted<'a>(&'a Cell<u32>);
+/// Counts a request as in flight until it is dropped.
+struct InFlightGuard<'a>(&'a Cell<u32>);
 
-impl Counted<'_> {
-    /// Counts one more.
-    fn open(inner: &Inner) -> Counted<'_> {
+impl InFlightGuard<'_> {
+    /// Increments the number of requests in flight.
+    fn new(inner: &Inner) -> InFlightGuard<'_> {
         inner.in_flight.set(inner.in_flight.get() + 1);
-        Counted(&inner.in_flight)
+        InFlightGuard(&inner.in_flight)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
--- a/crates/leverstream-gateway/src/slot.rs
+++ b/crates/leverstream-gateway/src/slot.rs
@@ -1,3 +1,5 @@
+//! Takes a slot at a backend server for a request, waiting for one if necessary.
+
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,48 +12,56 @@
 use crate::gateway::Inner;
 use crate::waiting::Rank;
 
-/// After how long one who waits looks again without being woken: loads of other VMs go stale.
-const LOOK_AGAIN_MS: u64 = 60;
+/// How long a request in the wait queue sleeps before it checks again without a wake-up: load
+/// reports of other VMs go stale.
+const RECHECK_INTERVAL_MS: u64 = 60;
 
-/// How many times what limits usually take to let a request through must be left for one to wait for it: which VM gets the next
-/// permit is chance, and one that waits in vain is told late.
-const LIMITED_MARGIN: f64 = 2.0;
+/// How many times the expected wait for the limits of the backend servers must remain for a request
+/// to wait for them. Which VM gets the next permit is random, and a request that waits in vain gets
+/// its error late.
+const LIMITED_WAIT_FACTOR: f64 = 2.0;
 
-/// What a request needs to know to get a slot.
-pub(crate) struct SlotWant<'a> {
+/// A request for a slot.
+pub(crate) struct SlotRequest<'a> {
     /// The service.
     pub service: &'a str,
-    /// Whether the request may be sent on once more if it fails there.
+    /// Whether the request may be sent again if the attempt fails.
     pub is_repeatable: bool,
-    /// Its rank.
+    /// The rank in the wait queue.
     pub rank: Rank,
-    /// Its workspace, among which those of a rank take turns.
+    /// The workspace; within a rank, workspaces are served in rounds.
     pub workspace: Option<WorkspaceId>,
-    /// Where it was already.
+    /// The backend servers that were already tried.
     pub tried: &'a [BackendKey],
-    /// Its route.
+    /// The route.
     pub route: RouteKey,
-    /// Its size, in bytes.
+    /// The size of the body in bytes.
     pub bytes: usize,
-    /// The time within which its answer is on time.
+    /// The latency objective of the route.
     pub objective_ms: u64,
-    /// Until when it is worth waiting.
+    /// The time until which it is worth waiting.
     pub until_ms: u64,
 }
 
-impl SlotWant<'_> {
-    /// Refuses a request that no backend server will take in its time, so that its caller is told at once.
-    fn check_open(&self, fleet: &Fleet, queue: Queue, now_ms: u64) -> Result<(), Kind> {
+impl SlotRequest<'_> {
+    /// Refuses a request that no backend server will accept in time, so that its caller gets the
+    /// error at once.
+    fn check_available(
+        &self,
+        fleet: &Fleet,
+        position: QueuePosition,
+        now_ms: u64,
+    ) -> Result<(), Kind> {
         match fleet.availability(self.service, now_ms) {
             Availability::NoBackendServer => Err(Kind::NoBackend),
             Availability::HoldsOffUntil(at_ms) if at_ms >= self.until_ms => {
                 Err(Kind::BackendsHoldOff)
             }
             Availability::Limited { per_s, from_ms } => {
-                let is_next = queue.ahead == 0 && (from_ms <= now_ms || queue.has_waited);
-                let needed_ms = (queue.ahead + 1) as f64 / per_s * 1_000.0;
-                let margin = if queue.has_waited { 1.0 } else { LIMITED_MARGIN };
-                let fits = now_ms as f64 + needed_ms * margin <= self.until_ms as f64;
+                let is_next = position.ahead == 0 && (from_ms <= now_ms || position.has_waited);
+                let needed_ms = (position.ahead + 1) as f64 / per_s * 1_000.0;
+                let factor = if position.has_waited { 1.0 } else { LIMITED_WAIT_FACTOR };
+                let fits = now_ms as f64 + needed_ms * factor <= self.until_ms as f64;
                 if is_next || fits { Ok(()) } else { Err(Kind::BackendsHoldOff) }
             }
             Availability::HoldsOffUntil(_) | Availability::Available => Ok(()),
@@ -59,10 +69,10 @@
     }
 }
 
-/// How a request stands among those that wait.
+/// The position of a request in the wait queue.
 #[derive(Clone, Copy, Debug)]
-struct Queue {
-    /// How many go before it.
+struct QueuePosition {
+    /// The number of requests ahead of it.
     ahead: usize,
     /// Whether it has waited already.
     has_waited: bool,
@@ -70,93 +80,93 @@
 
 /// A slot at a backend server, held until it is dropped.
 pub(crate) struct Slot {
-    /// The VM.
+    /// The state of this gateway VM.
     inner: Rc<Inner>,
     /// The service.
     service: String,
     /// The backend server.
     pub key: BackendKey,
-    /// How it looked when it was chosen, and among how many.
+    /// The evaluation on which the choice rested.
     pub pick: Pick,
-    /// When it was taken.
+    /// When the slot was taken.
     pub since_ms: u64,
     /// The request's route.
     route: RouteKey,
-    /// How the request ended.
+    /// The outcome of the request.
     outcome: Cell<Outcome>,
 }
 
 /// Takes a slot, waiting for one if none is free.
-pub(crate) async fn take(inner: &Rc<Inner>, want: &SlotWant<'_>) -> Result<Slot, Kind> {
-    let began_ms = inner.now_ms();
+pub(crate) async fn take(inner: &Rc<Inner>, request: &SlotRequest<'_>) -> Result<Slot, Kind> {
+    let started_ms = inner.now_ms();
     let turn = {
         let mut services = inner.services.borrow_mut();
-        let waiting = &mut services.entry(want.service.to_owned()).or_default().waiting;
-        waiting.turn(want.rank, want.workspace)
+        let waiting = &mut services.entry(request.service.to_owned()).or_default().waiting;
+        waiting.assign_turn(request.rank, request.workspace)
     };
     loop {
         let now_ms = inner.now_ms();
-        let ahead = inner.services.borrow()[want.service].waiting.before(turn);
-        let queue = Queue { ahead, has_waited: now_ms > began_ms };
-        want.check_open(&inner.fleet.borrow(), queue, now_ms)?;
+        let ahead = inner.services.borrow()[request.service].waiting.count_ahead(turn);
+        let position = QueuePosition { ahead, has_waited: now_ms > started_ms };
+        request.check_available(&inner.fleet.borrow(), position, now_ms)?;
         if ahead == 0
-            && let Some(slot) = try_take(inner, want, now_ms - began_ms, now_ms)
+            && let Some(slot) = try_take(inner, request, now_ms - started_ms, now_ms)
         {
             return Ok(slot);
         }
-        if now_ms >= want.until_ms {
+        if now_ms >= request.until_ms {
             return Err(Kind::NoSlot);
         }
         let woken = {
             let mut services = inner.services.borrow_mut();
-            services.entry(want.service.to_owned()).or_default().waiting.enter(turn)
+            services.entry(request.service.to_owned()).or_default().waiting.enqueue(turn)
         };
-        let wait_ms = LOOK_AGAIN_MS.min(want.until_ms - now_ms);
-        // Woken or not, it looks again.
+        let wait_ms = RECHECK_INTERVAL_MS.min(request.until_ms - now_ms);
+        // The loop checks again after a wake-up and after the timeout alike.
         let _ = tokio::time::timeout(Duration::from_millis(wait_ms.max(1)), woken).await;
     }
 }
 
-/// Takes the best free slot, if there is one worth taking by now.
+/// Takes the best free slot, if any is acceptable after `waited_ms`.
 pub(crate) fn try_take(
     inner: &Rc<Inner>,
-    want: &SlotWant<'_>,
+    request: &SlotRequest<'_>,
     waited_ms: u64,
     now_ms: u64,
 ) -> Option<Slot> {
     let mut fleet = inner.fleet.borrow_mut();
-    let demand = &inner.services.borrow()[want.service].demand;
-    let requests_fail = demand.is_failing(want.is_repeatable, now_ms);
+    let demand = &inner.services.borrow()[request.service].demand;
+    let requests_fail = demand.is_failing(request.is_repeatable, now_ms);
     let sharers = inner.mesh.sharing.count() as f64;
-    let bytes = want.bytes as f64 + fleet.route(want.route).answer_bytes();
-    let wanted = PickRequest {
-        service: want.service,
+    let bytes = request.bytes as f64 + fleet.route(request.route).answer_bytes();
+    let pick_request = PickRequest {
+        service: request.service,
         hall: &inner.settings.hall,
-        is_repeatable: want.is_repeatable,
-        tried: want.tried,
+        is_repeatable: request.is_repeatable,
+        tried: request.tried,
         waited_ms,
         far_bytes_cost: inner.settings.halls.cost(bytes),
-        objective_ms: want.objective_ms,
+        objective_ms: request.objective_ms,
         floor_share: inner.settings.floor.aim(),
         requests_fail,
         requests_per_s: demand.per_s(now_ms).map(|per_s| per_s * sharers),
     };
-    let pick = choose(&fleet, &wanted, now_ms, &mut rand::rng())?;
-    fleet.begin_request(pick.key, want.route, now_ms);
+    let pick = choose(&fleet, &pick_request, now_ms, &mut rand::rng())?;
+    fleet.begin_request(pick.key, request.route, now_ms);
     inner.mesh.has_news();
     Some(Slot {
         inner: Rc::clone(inner),
-        service: want.service.to_owned(),
+        service: request.service.to_owned(),
         key: pick.key,
         pick,
         since_ms: now_ms,
-        route: want.route,
+        route: request.route,
         outcome: Cell::new(Outcome::Abandoned),
     })
 }
 
 impl Slot {
-    /// Tells how the request ended.
+    /// Sets the outcome of the request.
     pub fn end(&self, outcome: Outcome) {
         self.outcome.set(outcome);
     }
--- a/crates/leverstream-gateway/src/waiting.rs
+++ b/crates/leverstream-gateway/src/waiting.rs
@@ -1,25 +1,30 @@
+//! The queue of requests that wait for a slot.
+
 use std::collections::HashMap;
 
 use leverstream_workspace::WorkspaceId;
 use tokio::sync::oneshot;
 
-/// Requests that wait for a slot: the more urgent first, workspaces of one rank by turns, then who came first.
+/// The requests of a service that wait for a slot, in the order of [`Turn`]: by rank, then in
+/// rounds among the workspaces of a rank, then by arrival.
 ///
-/// A workspace that sends many requests at once waits behind its own, not before the others': each of its requests
-/// takes the next round, and a request of another workspace goes into the round that is being served.
+/// A workspace that sends many requests at once queues behind its own requests and doesn't delay
+/// other workspaces: each of its requests goes into the round after its previous one, while a
+/// request of another workspace goes into the round that is being served.
 #[derive(Default)]
-pub struct Waiting {
-    /// Those that wait, in no order.
-    places: Vec<Place>,
-    /// The last number given out.
-    last: u64,
+pub struct WaitQueue {
+    /// The waiting requests, unordered.
+    waiters: Vec<Waiter>,
+    /// The last arrival number assigned.
+    last_number: u64,
     /// The round that is being served.
-    round: u64,
-    /// The round of the last request of each workspace that is ahead of the one being served.
-    rounds: HashMap<WorkspaceId, u64>,
+    current_round: u64,
+    /// The round of the last request of each workspace since the queue was last empty.
+    last_rounds: HashMap<WorkspaceId, u64>,
 }
 
-/// What decides which of the requests that wait is more urgent, by the smaller number; the workspace's comes first.
+/// The priority of a waiting request; the smaller rank goes first, and the workspace's rank counts
+/// before the route's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     /// The rank of the workspace; 0 goes first.
@@ -28,72 +33,74 @@
     pub route: u32,
 }
 
-/// When it is a request's turn: the least goes first.
+/// The place of a request in the order of service; the smallest goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Turn {
-    /// Its rank.
+    /// The rank.
     rank: Rank,
-    /// The round of its workspace's turn.
+    /// The round in which its workspace is served.
     round: u64,
-    /// Its number in order of arrival.
+    /// The arrival number.
     number: u64,
 }
 
-/// One request that waits.
-struct Place {
-    /// When it is its turn.
+/// A waiting request.
+struct Waiter {
+    /// Its place in the order of service.
     turn: Turn,
-    /// Wakes it.
+    /// Wakes the request.
     wake: oneshot::Sender<()>,
 }
 
-impl Waiting {
-    /// Gives a request its turn; requests of no workspace are served in order of arrival.
-    pub fn turn(&mut self, rank: Rank, workspace: Option<WorkspaceId>) -> Turn {
-        self.last += 1;
-        if self.places.is_empty() {
-            // Nobody waits, so nobody is ahead of others.
-            self.rounds.clear();
+impl WaitQueue {
+    /// Assigns a turn to a request; requests without a workspace are served in order of arrival.
+    pub fn assign_turn(&mut self, rank: Rank, workspace: Option<WorkspaceId>) -> Turn {
+        self.last_number += 1;
+        if self.waiters.is_empty() {
+            // No request waits, so no workspace has rounds ahead of others.
+            self.last_rounds.clear();
         }
         let round = match workspace {
             Some(workspace) => {
-                let next = self.rounds.get(&workspace).map_or(self.round, |last| last + 1);
-                let round = next.max(self.round);
-                self.rounds.insert(workspace, round);
+                let next =
+                    self.last_rounds.get(&workspace).map_or(self.current_round, |last| last + 1);
+                let round = next.max(self.current_round);
+                self.last_rounds.insert(workspace, round);
                 round
             }
-            None => self.round,
+            None => self.current_round,
         };
-        Turn { rank, round, number: self.last }
+        Turn { rank, round, number: self.last_number }
     }
 
-    /// Lets a request wait; the receiver ends when it is its turn to look again.
-    pub fn enter(&mut self, turn: Turn) -> oneshot::Receiver<()> {
+    /// Adds a request to the queue; the receiver completes when the request should check again for
+    /// a slot.
+    pub fn enqueue(&mut self, turn: Turn) -> oneshot::Receiver<()> {
         let (wake, woken) = oneshot::channel();
-        self.places.push(Place { turn, wake });
+        self.waiters.push(Waiter { turn, wake });
         woken
     }
 
-    /// Wakes the first `count` of those that still wait.
+    /// Wakes the first `count` requests that still wait.
     pub fn wake(&mut self, count: usize) {
-        self.places.retain(|place| !place.wake.is_closed());
+        self.waiters.retain(|waiter| !waiter.wake.is_closed());
         for _ in 0..count {
-            let first = (0..self.places.len()).min_by_key(|index| self.places[*index].turn);
+            let first = (0..self.waiters.len()).min_by_key(|index| self.waiters[*index].turn);
             let Some(first) = first else { break };
-            let place = self.places.swap_remove(first);
-            self.round = self.round.max(place.turn.round);
-            // One that left meanwhile hears nothing.
-            let _ = place.wake.send(());
+            let waiter = self.waiters.swap_remove(first);
+            self.current_round = self.current_round.max(waiter.turn.round);
+            // The receiver may have been dropped in the meantime.
+            let _ = waiter.wake.send(());
         }
     }
 
-    /// How many wait whose turn comes before a request's.
-    pub fn before(&self, turn: Turn) -> usize {
-        self.places.iter().filter(|place| !place.wake.is_closed() && place.turn < turn).count()
+    /// Returns the number of waiting requests ahead of a turn.
+    pub fn count_ahead(&self, turn: Turn) -> usize {
+        self.waiters.iter().filter(|waiter| !waiter.wake.is_closed() && waiter.turn < turn).count()
     }
 
-    /// How many wait.
+    /// Returns the number of waiting requests.
     pub fn count(&self) -> usize {
-        self.places.iter().filter(|place| !place.wake.is_closed()).count()
+        self.waiters.iter().filter(|waiter| !waiter.wake.is_closed()).count()
     }
 }
--- a/crates/leverstream-gateway/tests/parts.rs
+++ b/crates/leverstream-gateway/tests/parts.rs
@@ -1,58 +1,60 @@
-//! The parts of a gateway that need no network: waiting, settings.
+//! Tests of the gateway's wait queue and settings, which need no network.
 
-use leverstream_gateway::{Rank, Settings, Waiting};
+use leverstream_gateway::{Rank, Settings, WaitQueue};
 use leverstream_workspace::WorkspaceId;
 use tokio::sync::oneshot;
 
-/// The rank of a route whose workspace has none of its own.
+/// Returns the rank of a route whose workspace has no rank of its own.
 fn rank(route: u32) -> Rank {
     Rank { workspace: 0, route }
 }
 
 #[test]
-fn the_more_urgent_is_woken_first_and_then_who_came_first() {
-    let mut waiting = Waiting::default();
-    let turns = [rank(2), rank(0), rank(0)].map(|rank| waiting.turn(rank, None));
-    let mut late = waiting.enter(turns[0]);
-    let mut first = waiting.enter(turns[1]);
-    let mut second = waiting.enter(turns[2]);
-    assert_eq!(waiting.before(turns[0]), 2);
-    assert_eq!(waiting.before(turns[1]), 0);
-    waiting.wake(1);
-    assert!(first.try_recv().is_ok() && second.try_recv().is_err() && late.try_recv().is_err());
+fn smaller_rank_is_woken_first_and_equal_ranks_in_arrival_order() {
+    let mut queue = WaitQueue::default();
+    let turns = [rank(2), rank(0), rank(0)].map(|rank| queue.assign_turn(rank, None));
+    let mut low_priority = queue.enqueue(turns[0]);
+    let mut first = queue.enqueue(turns[1]);
+    let mut second = queue.enqueue(turns[2]);
+    assert_eq!(queue.count_ahead(turns[0]), 2);
+    assert_eq!(queue.count_ahead(turns[1]), 0);
+    queue.wake(1);
+    assert!(
+        first.try_recv().is_ok() && second.try_recv().is_err() && low_priority.try_recv().is_err()
+    );
     drop(second);
-    assert_eq!(waiting.count(), 1);
-    waiting.wake(1);
-    assert!(late.try_recv().is_ok());
+    assert_eq!(queue.count(), 1);
+    queue.wake(1);
+    assert!(low_priority.try_recv().is_ok());
 }
 
 #[test]
-fn a_workspace_that_floods_waits_behind_its_own_requests() {
-    let mut waiting = Waiting::default();
+fn requests_of_a_flooding_workspace_queue_behind_its_own() {
+    let mut queue = WaitQueue::default();
     let (flooding, other) = (Some(WorkspaceId(1)), Some(WorkspaceId(2)));
-    let enter = |waiting: &mut Waiting, workspace| {
-        let turn = waiting.turn(rank(0), workspace);
-        waiting.enter(turn)
+    let enqueue = |queue: &mut WaitQueue, workspace| {
+        let turn = queue.assign_turn(rank(0), workspace);
+        queue.enqueue(turn)
     };
-    let mut flood: Vec<_> = (0..50).map(|_| enter(&mut waiting, flooding)).collect();
-    let mut calm: Vec<_> = (0..3).map(|_| enter(&mut waiting, other)).collect();
-    waiting.wake(6);
+    let mut flood: Vec<_> = (0..50).map(|_| enqueue(&mut queue, flooding)).collect();
+    let mut others: Vec<_> = (0..3).map(|_| enqueue(&mut queue, other)).collect();
+    queue.wake(6);
     let served = |list: &mut Vec<oneshot::Receiver<()>>| {
         list.iter_mut().map(|woken| usize::from(woken.try_recv().is_ok())).sum::<usize>()
     };
-    assert_eq!(served(&mut calm), 3);
+    assert_eq!(served(&mut others), 3);
     assert_eq!(served(&mut flood), 3);
 }
 
 #[test]
-fn the_rank_of_a_workspace_goes_before_that_of_a_route() {
-    let mut waiting = Waiting::default();
-    let urgent_route = waiting.turn(Rank { workspace: 1, route: 0 }, Some(WorkspaceId(1)));
-    let urgent_workspace = waiting.turn(Rank { workspace: 0, route: 9 }, Some(WorkspaceId(2)));
+fn workspace_rank_takes_precedence_over_route_rank() {
+    let mut queue = WaitQueue::default();
+    let urgent_route = queue.assign_turn(Rank { workspace: 1, route: 0 }, Some(WorkspaceId(1)));
+    let urgent_workspace = queue.assign_turn(Rank { workspace: 0, route: 9 }, Some(WorkspaceId(2)));
     assert!(urgent_workspace < urgent_route);
 }
 
-/// Settings that are complete.
+/// Complete settings.
 const SETTINGS: &str = r#"
 vm = "a"
 hall = "h1"
@@ -79,14 +81,14 @@
 "#;
 
 #[test]
-fn complete_settings_are_read() {
-    let settings = Settings::from_toml(SETTINGS).expect("they are complete");
+fn complete_settings_are_accepted() {
+    let settings = Settings::from_toml(SETTINGS).expect("complete settings are accepted");
     assert_eq!(settings.allowance().window_ms, 10_000);
     assert_eq!(settings.grace_ms(), 6_000);
 }
 
 #[test]
-fn settings_at_fault_name_the_field() {
+fn error_of_invalid_settings_names_the_field() {
     let cases = [
         ("callers = \"127.0.0.1:1\"", "", "callers"),
         ("slack = 62.5", "slack = \"many\"", "slack"),
@@ -98,7 +100,8 @@
     ];
     for (present, instead, named) in cases {
         let text = SETTINGS.replacen(present, instead, 1);
-        let error = Settings::from_toml(&text).expect_err("they are refused").to_string();
+        let error =
+            Settings::from_toml(&text).expect_err("invalid settings are refused").to_string();
         assert!(error.contains(named), "{error}");
     }
 }
