--- a/crates/leverstream-gateway/src/forward.rs
+++ b/crates/leverstream-gateway/src/forward.rs
@@ -210,8 +210,8 @@
         self.check_last_backend()
     }
 
-    /// Refuses a request under which all other backend servers of its service may have crashed. If
-    /// the last one crashed too, the whole service would be down; the caller can retry when others
+    /// Refuses a request under which all other backend servers of its service may have ended. If
+    /// the last one ended too, the whole service would be down; the caller can retry when others
     /// are back.
     fn check_last_backend(&self) -> Result<(), Kind> {
         if self.inner.suspicions.verdict(self.request) != Verdict::LastTry {
@@ -234,7 +234,7 @@
         admitted.check(&self.inner.leases, workspaces, self.inner.now_ms())
     }
 
-    /// Refuses a request under which backend servers crash. Other VMs may have reported it while it
+    /// Refuses a request under which backend servers end. Other VMs may have reported it while it
     /// waited.
     fn check_suspect(&self) -> Result<(), Kind> {
         self.inner.suspicions.check(self.request, self.inner.now_ms())
@@ -259,7 +259,7 @@
         };
         summary.note_failure(failed);
         summary.ran += u32::from(ran);
-        // Two backend servers have crashed under the request: it must not reach a third before its
+        // Two backend servers have ended under the request: it must not reach a third before its
         // caller repeats it.
         let may_end_another =
             ran && self.inner.suspicions.verdict(self.request) >= Verdict::LastTry;
@@ -354,7 +354,7 @@
         if summary.ran + flights.len() as u32 >= self.route.attempts {
             return None;
         }
-        // A request that may crash a backend server is in flight at one backend server at a time.
+        // A request that may end a backend server is in flight at one backend server at a time.
         if self.inner.suspicions.verdict(self.request) != Verdict::Free {
             return None;
         }
--- a/crates/leverstream-gateway/src/listeners.rs
+++ b/crates/leverstream-gateway/src/listeners.rs
@@ -116,7 +116,7 @@
     H: Fn(Rc<Inner>, Request) -> F + Copy + 'static,
     F: Future<Output = Response<BoxBody>> + 'static,
 {
-    let service_cache = ServiceCache { built: RefCell::new(None) };
+    let cache = ServiceCache { built: RefCell::new(None) };
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -127,9 +127,7 @@
             }
         };
         let limits = inner.catalog().map_or_else(Limits::default, |catalog| catalog.limits);
-        let Some(service) = service_cache.for_limits(limits, &inner, handler).await else {
-            continue;
-        };
+        let Some(service) = cache.for_limits(limits, &inner, handler).await else { continue };
         actix_rt::spawn(async move {
             // The end of a connection is not logged; the results of its requests are.
             let _ = service(stream).await;
