--- a/crates/leverstream-gateway/src/attempt.rs
+++ b/crates/leverstream-gateway/src/attempt.rs
@@ -237,8 +237,8 @@
 /// A guard for a sent request that waits for its answer.
 ///
 /// If it is dropped before the exchange ends, because the caller disconnects or the deadline
-/// passes, the request is remembered for a while as abandoned: its backend server may still crash
-/// under it.
+/// passes, the request is remembered for a while as abandoned: its backend server may still end
+/// because of it.
 struct AnswerWait<'a> {
     /// The attempt.
     attempt: &'a Attempt<'a>,
--- a/crates/leverstream-gateway/src/inbound.rs
+++ b/crates/leverstream-gateway/src/inbound.rs
@@ -32,7 +32,7 @@
     pub caller_timeout_ms: Option<u64>,
     /// The credentials that the caller sent.
     pub credentials: Credentials,
-    /// The workspace that the request belongs to, which the backend server is told.
+    /// The workspace that the request belongs to; its name is sent to the backend server.
     pub workspace: Option<String>,
     /// The header fields to forward.
     fields: Vec<(String, Vec<u8>)>,
--- a/crates/leverstream-gateway/src/reply.rs
+++ b/crates/leverstream-gateway/src/reply.rs
@@ -26,7 +26,7 @@
 /// The error that a request is answered with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ErrorAnswer {
-    /// The kind.
+    /// The kind of error.
     pub kind: Kind,
     /// The delay after which the caller may retry, if it differs from the kind's own.
     pub retry_after_ms: Option<u64>,
