--- a/crates/leverstream-table/src/route.rs
+++ b/crates/leverstream-table/src/route.rs
@@ -33,7 +33,7 @@
         let is_valid_method = method == "*"
             || (!method.is_empty() && method.bytes().all(|b| b.is_ascii_uppercase() || b == b'-'));
         if !is_valid_method {
-            return Err(format!("`{method}` is not a method in capital letters or `*`"));
+            return Err(format!("`{method}` is not `*` or a method in capitals"));
         }
         let prefix = path.strip_suffix('*').unwrap_or(path);
         if !prefix.starts_with('/') || prefix.contains(['*', ' ', '?', '#']) {
