--- a/crates/leverstream-node/src/book.rs
+++ b/crates/leverstream-node/src/book.rs
@@ -1,68 +1,72 @@
+//! The local replica of the table and its comparison with those of other VMs.
+
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use leverstream_peer::{ServiceObject, ServiceVersion};
 use leverstream_table::{ServiceDoc, fingerprint};
 
-/// How many buckets a table is compared by.
-pub const BUCKETS: usize = 64;
+/// The number of hash buckets by which two replicas are compared.
+pub const BUCKET_COUNT: usize = 64;
 
-/// The table as this process holds it: for each service the highest version it has seen.
+/// The replica of the table in this process: for each service the highest version received.
 #[derive(Default)]
 pub struct Book {
     /// The documents by service.
     docs: Arc<HashMap<String, Arc<ServiceDoc>>>,
-    /// Sums of the fingerprints of services and versions, by bucket.
+    /// The sum of the fingerprints of service and version, by bucket.
     buckets: Vec<u64>,
 }
 
 impl Book {
-    /// Opens an empty table.
+    /// Creates an empty replica.
     pub fn open() -> Book {
-        Book { docs: Arc::default(), buckets: vec![0; BUCKETS] }
+        Book { docs: Arc::default(), buckets: vec![0; BUCKET_COUNT] }
     }
 
-    /// Takes a document in if it is newer than the one held.
+    /// Stores a document if it is newer than the present one; returns whether it was.
     pub fn adopt(&mut self, doc: ServiceDoc) -> bool {
-        let held = self.version(&doc.service);
-        if doc.version <= held {
+        let current = self.version(&doc.service);
+        if doc.version <= current {
             return false;
         }
         let bucket = &mut self.buckets[bucket_of(&doc.service)];
-        if held > 0 {
-            *bucket = bucket.wrapping_sub(fingerprint(&doc.service, held));
+        if current > 0 {
+            *bucket = bucket.wrapping_sub(fingerprint(&doc.service, current));
         }
         *bucket = bucket.wrapping_add(fingerprint(&doc.service, doc.version));
         Arc::make_mut(&mut self.docs).insert(doc.service.clone(), Arc::new(doc));
         true
     }
 
-    /// The documents.
+    /// Returns all documents by service, those of removed services too.
     pub fn docs(&self) -> &Arc<HashMap<String, Arc<ServiceDoc>>> {
         &self.docs
     }
 
-    /// Finds a document, that of a removed service too.
+    /// Returns a service's document, also if the service is removed.
     pub fn doc(&self, service: &str) -> Option<&Arc<ServiceDoc>> {
         self.docs.get(service)
     }
 
-    /// The version held of a service; 0 when none is.
+    /// Returns the version of a service; 0 if there is no document.
     pub fn version(&self, service: &str) -> u64 {
         self.docs.get(service).map_or(0, |doc| doc.version)
     }
 
-    /// A number that two processes share when they hold the same versions.
+    /// Returns a fingerprint that is equal for replicas with the same versions.
     pub fn fingerprint(&self) -> u64 {
         self.buckets.iter().fold(0, |sum, bucket| sum.wrapping_add(*bucket))
     }
 
-    /// The sums by bucket, to find what differs.
+    /// Returns the sums by bucket, which show where two replicas differ.
     pub fn buckets(&self) -> &[u64] {
         &self.buckets
     }
 
-    /// The versions held in the buckets whose sums differ from those given; all for none given.
+    /// Returns the versions in the buckets whose sums differ from the given ones.
+    ///
+    /// Returns all versions if no sums are given.
     pub fn versions_differing(&self, buckets: &[u64]) -> Vec<ServiceVersion> {
         let differs = |service: &str| {
             let bucket = bucket_of(service);
@@ -73,13 +77,13 @@
             .collect()
     }
 
-    /// The services of which newer versions are listed than the ones held.
+    /// Returns the services of which the list has a newer version.
     pub fn outdated(&self, versions: &[ServiceVersion]) -> Vec<String> {
         let newer = versions.iter().filter(|item| item.version > self.version(&item.service));
         newer.map(|item| item.service.clone()).collect()
     }
 
-    /// The named documents as messages.
+    /// Returns the documents of the named services as messages.
     pub fn objects(&self, services: &[String]) -> Vec<ServiceObject> {
         let docs = services.iter().filter_map(|service| self.docs.get(service));
         docs.map(|doc| ServiceObject {
@@ -91,7 +95,7 @@
     }
 }
 
-/// The bucket of a service.
+/// Returns the bucket of a service.
 fn bucket_of(service: &str) -> usize {
-    (fingerprint(service, 0) % BUCKETS as u64) as usize
+    (fingerprint(service, 0) % BUCKET_COUNT as u64) as usize
 }
--- a/crates/leverstream-node/src/survey.rs
+++ b/crates/leverstream-node/src/build_reports.rs
@@ -1,3 +1,5 @@
+//! Builds the status and health reports for operators.
+
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -8,14 +10,14 @@
 
 use crate::control::Control;
 use crate::peers;
-use crate::reports::{BackendReport, HealthReport, InForce, MemberReport, StatusReport};
+use crate::reports::{BackendReport, HealthReport, MemberReport, StatusReport, VersionReport};
 use crate::service::Service;
 
-/// How many VMs are asked at once for the versions they hold.
-const ASKED_AT_ONCE: usize = 64;
+/// How many VMs are queried for their versions at the same time.
+const MAX_CONCURRENT_QUERIES: usize = 64;
 
-/// Puts the state of the fleet together, asking the members which versions they hold.
-pub fn status(control: &Control) -> impl Future<Output = StatusReport> + use<> {
+/// Collects the state of the fleet and queries the members for the versions that they have.
+pub fn collect_status(control: &Control) -> impl Future<Output = StatusReport> + use<> {
     let now_ms = control.proxy.now_ms();
     let me = control.swim.me().identity.id;
     let mut report = StatusReport {
@@ -25,16 +27,16 @@
         services: BTreeMap::new(),
         news_age_ms: control.news_age_ms(now_ms),
         is_isolated: control.swim.is_isolated(),
-        is_stopping: control.leaving_since_ms.is_some(),
+        is_stopping: control.stopping_since_ms.is_some(),
     };
     for doc in control.book.docs().values().filter(|doc| !doc.removed) {
-        let in_force = InForce {
+        let version_report = VersionReport {
             version: doc.version,
             vms_with_it: 1,
             vms_asked: 1,
             taken_over: doc.row.taken_over,
         };
-        report.services.insert(doc.service.clone(), in_force);
+        report.services.insert(doc.service.clone(), version_report);
     }
     let others: Vec<SocketAddr> = control
         .members
@@ -45,31 +47,34 @@
         .collect();
     let channels = control.channels.clone();
     async move {
-        let asked = futures_util::stream::iter(others)
+        let queries = futures_util::stream::iter(others)
             .map(|peer| {
                 let channels = channels.clone();
-                async move { peers::versions(&channels, peer).await }
+                async move { peers::list_versions(&channels, peer).await }
             })
-            .buffer_unordered(ASKED_AT_ONCE);
-        let answers: Vec<_> = asked.collect().await;
+            .buffer_unordered(MAX_CONCURRENT_QUERIES);
+        let answers: Vec<_> = queries.collect().await;
         for versions in answers.into_iter().flatten() {
-            for in_force in report.services.values_mut() {
-                in_force.vms_asked += 1;
+            for version_report in report.services.values_mut() {
+                version_report.vms_asked += 1;
             }
-            for held in versions {
-                let Some(in_force) = report.services.get_mut(&held.service) else { continue };
-                if held.version > in_force.version {
-                    *in_force =
-                        InForce { version: held.version, vms_with_it: 0, ..in_force.clone() };
+            for item in versions {
+                let Some(version_report) = report.services.get_mut(&item.service) else { continue };
+                if item.version > version_report.version {
+                    *version_report = VersionReport {
+                        version: item.version,
+                        vms_with_it: 0,
+                        ..version_report.clone()
+                    };
                 }
-                in_force.vms_with_it += usize::from(held.version == in_force.version);
+                version_report.vms_with_it += usize::from(item.version == version_report.version);
             }
         }
         report
     }
 }
 
-/// Describes a member.
+/// Builds the report on a member.
 fn member_report(member: &Member) -> MemberReport {
     let state = match member.state {
         MemberState::Alive => "alive",
@@ -86,7 +91,7 @@
     }
 }
 
-/// Describes the health of a service's backend servers.
+/// Builds the report on the health of a service's backend servers at this VM.
 pub fn health_report(service: &Service, now_ms: u64) -> HealthReport {
     let view = service.view(now_ms);
     let in_flight = |index: usize| {
@@ -101,12 +106,12 @@
         .enumerate()
         .map(|(index, (key, _, row))| {
             let health = service.health.view(key, now_ms);
-            let (own, others) = in_flight(index);
+            let (own_in_flight, others_in_flight) = in_flight(index);
             BackendReport {
                 is_leaving: row.leaving,
                 eject_score: service.doc.row.eject_score,
-                in_flight: own,
-                others_in_flight: others,
+                in_flight: own_in_flight,
+                others_in_flight,
                 ..backend_report(&health, now_ms)
             }
         })
@@ -120,7 +125,7 @@
     }
 }
 
-/// Describes a backend server's health.
+/// Builds the report on a backend server's health; the caller fills in the fields of its row.
 fn backend_report(health: &BackendHealth, now_ms: u64) -> BackendReport {
     let (reason, trial_in_ms) = match health.standing {
         Standing::Ejected { until_ms, reason, .. } => {
--- a/crates/leverstream-node/src/control.rs
+++ b/crates/leverstream-node/src/control.rs
@@ -1,3 +1,7 @@
+//! The actor of the control thread: it owns the table, the member list and backend health.
+//!
+//! It publishes its decisions as a snapshot that traffic threads read without locks.
+
 mod handlers;
 
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -21,129 +25,133 @@
 use tokio::sync::mpsc;
 
 use crate::book::Book;
+use crate::control_handle::ControlHandle;
 use crate::peers::{self, Channels};
 use crate::probe;
-use crate::questions::Questions;
 use crate::service::Service;
 use crate::settings::Settings;
 
-/// How often what is due is done.
+/// The interval at which the control thread runs its periodic tasks.
 const TICK_MS: u64 = 50;
 
-/// The most observations taken in at once, so that one tick stays short.
-const OBSERVATIONS_A_TICK: usize = 20_000;
+/// The most observations processed in one tick, which bounds the duration of a tick.
+const MAX_OBSERVATIONS_PER_TICK: usize = 20_000;
 
-/// How long after the start a process that knows nobody waits before it watches the store itself.
-const ALONE_MS: u64 = 1_000;
+/// How long a process that knows no other member waits after its start before it watches the store.
+const PEER_DISCOVERY_MS: u64 = 1_000;
 
-/// The time between two comparisons of the table with another VM.
-const COMPARE_MS: u64 = 1_000;
+/// The interval between comparisons of the table with another VM.
+const COMPARE_INTERVAL_MS: u64 = 1_000;
 
-/// The same for a process that has no table yet.
-const FIRST_COMPARE_MS: u64 = 100;
+/// The interval between comparisons while this process has no table yet.
+const EMPTY_TABLE_COMPARE_INTERVAL_MS: u64 = 100;
 
-/// The least time between two lists of all members from another VM.
-const MEMBERS_MS: u64 = 30_000;
+/// The minimum interval between requests to another VM for its full member list.
+const MIN_LIST_MEMBERS_INTERVAL_MS: u64 = 30_000;
 
-/// The bytes a second of evidence that a process begins to exchange; the answers are as many again.
+/// The evidence bytes per second that a process sends in exchanges it initiates.
+///
+/// The replies use the same amount again.
 const EVIDENCE_BYTES_PER_S: f64 = 6_000.0;
 
-/// What a call takes besides its message, in bytes.
-const CALL_BYTES: usize = 120;
+/// The bytes that a call sends in addition to its message.
+const CALL_OVERHEAD_BYTES: usize = 120;
 
-/// The time between two lists of all members, for each member.
-const MEMBERS_MS_EACH: u64 = 43;
+/// The interval between requests for the full member list, per known member.
+const LIST_MEMBERS_INTERVAL_MS_PER_MEMBER: u64 = 43;
 
-/// A leaving mark that still stands is told again after so many seconds; it counts for a minute.
-const LEAVING_AGAIN_S: u64 = 30;
+/// How long after its last announcement a leaving mark that still applies is announced again.
+///
+/// A mark is valid for a minute.
+const LEAVING_REANNOUNCE_S: u64 = 30;
 
-/// After so many seconds a leaving mark is forgotten.
-const LEAVING_KEPT_S: u64 = 300;
+/// How long a leaving mark is remembered.
+const LEAVING_RETENTION_S: u64 = 300;
 
-/// How many waiting requests of a service may try again at each tick.
-const WAKES_A_TICK: usize = 8;
+/// How many queued requests of a service are woken in each tick to try again.
+const WAKES_PER_TICK: usize = 8;
 
-/// The control thread's state: the one place where table, members and health are decided on.
+/// The state of the control thread, the only place that changes table, members and health.
 pub struct Control {
-    /// What traffic threads share.
+    /// The state shared with traffic threads.
     pub(crate) proxy: Data<Proxy>,
-    /// The settings.
+    /// The settings of this process.
     pub(crate) settings: Settings,
-    /// The members.
+    /// The membership protocol.
     pub(crate) swim: Swim,
-    /// The table.
+    /// The local replica of the table.
     pub(crate) book: Book,
-    /// The services that this VM serves.
+    /// The services that this VM serves, by name.
     pub(crate) services: HashMap<String, Service>,
-    /// The last key given to a service.
+    /// The key that was last assigned to a service.
     last_key: u32,
-    /// How ejection is decided.
-    rule: &'static EjectRule,
-    /// The platform.
+    /// The rule that decides on ejections.
+    eject_rule: &'static EjectRule,
+    /// The client of the platform's store.
     pub(crate) platform: Store,
     /// Connections to other VMs.
     pub(crate) channels: Channels,
     /// The fleet's key.
     fleet_key: FleetKey,
-    /// The socket for datagrams.
+    /// The UDP socket for datagrams between members.
     socket: Rc<UdpSocket>,
-    /// What traffic threads have observed.
+    /// The observations that traffic threads report.
     observations: mpsc::Receiver<Observation>,
-    /// The members as they were last published.
+    /// The members as last published to traffic threads.
     pub(crate) members: Arc<Members>,
-    /// The VMs of each service, as last chosen.
+    /// The current placement of each service on VMs.
     placements: HashMap<String, Placement>,
-    /// Backend servers that the platform says leave, with when that was last read.
+    /// The backend servers that the platform marks as leaving, with the Unix time of the mark.
     leaving: HashMap<SocketAddr, u64>,
-    /// The bytes of evidence that may still be sent.
-    evidence: TokenBucket,
-    /// The peer after which the next exchanges go on.
-    last_peer: Option<SocketAddr>,
-    /// When health checks were last made.
-    pub(crate) probes: probe::Plan,
-    /// When evidence was last exchanged.
+    /// Limits the evidence bytes sent to other VMs.
+    evidence_budget: TokenBucket,
+    /// The peer of the last exchange; the next round continues after it.
+    last_exchange_peer: Option<SocketAddr>,
+    /// The schedule of active health checks.
+    pub(crate) probes: probe::ProbeSchedule,
+    /// When the last round of evidence exchanges began.
     exchanged_ms: u64,
-    /// When tables were last compared.
+    /// When the table was last compared with another VM.
     compared_ms: u64,
-    /// When all members were last listed from another VM.
+    /// When a full member list was last requested from another VM.
     listed_ms: Option<u64>,
-    /// Services being fetched.
+    /// The services whose documents are being fetched.
     fetching: HashSet<String>,
-    /// When the platform last answered.
-    pub(crate) store_heard_ms: Option<u64>,
-    /// When another VM was last heard.
-    pub(crate) peer_heard_ms: Option<u64>,
-    /// Since when the process is stopping as planned.
-    pub(crate) leaving_since_ms: Option<u64>,
-    /// What is counted.
+    /// When the store last answered.
+    pub(crate) store_last_heard_ms: Option<u64>,
+    /// When a datagram from another VM last arrived.
+    pub(crate) peer_last_heard_ms: Option<u64>,
+    /// When the planned stop began, if one is in progress.
+    pub(crate) stopping_since_ms: Option<u64>,
+    /// The control thread's metrics.
     gauges: Gauges,
 }
 
-/// What a control thread needs to start.
-pub struct Parts {
-    /// What traffic threads share.
+/// The dependencies of a [`Control`].
+pub struct ControlParts {
+    /// The state shared with traffic threads.
     pub proxy: Data<Proxy>,
-    /// The settings.
+    /// The settings of this process.
     pub settings: Settings,
-    /// The members.
+    /// The membership protocol.
     pub swim: Swim,
-    /// How ejection is decided.
-    pub rule: &'static EjectRule,
-    /// The platform.
+    /// The rule that decides on ejections.
+    pub eject_rule: &'static EjectRule,
+    /// The client of the platform's store.
     pub platform: Store,
     /// Connections to other VMs.
     pub channels: Channels,
     /// The fleet's key.
     pub fleet_key: FleetKey,
-    /// The socket for datagrams.
+    /// The UDP socket for datagrams between members.
     pub socket: Rc<UdpSocket>,
-    /// What traffic threads have observed.
+    /// The observations that traffic threads report.
     pub observations: mpsc::Receiver<Observation>,
-    /// What is counted.
+    /// The control thread's metrics.
     pub gauges: Gauges,
 }
 
-/// What the control thread counts.
+/// The metrics that the control thread sets.
 #[derive(Clone, Default)]
 pub struct Gauges {
     /// Members that are not dead.
@@ -152,19 +160,19 @@
     pub services: Gauge,
     /// Services that this VM serves.
     pub serving: Gauge,
-    /// Milliseconds since the store or another VM was heard.
+    /// Milliseconds since the last contact with the store or another VM.
     pub news_age_ms: Gauge,
-    /// Backend servers out of service here.
+    /// Backend servers that this VM has ejected.
     pub ejected: Gauge,
-    /// Datagrams refused.
+    /// Datagrams rejected because they could not be authenticated or decoded.
     pub refused_datagrams: Gauge,
     /// Bytes of datagrams sent.
     pub datagram_bytes: Gauge,
 }
 
 impl Control {
-    /// Puts the parts together.
-    pub fn new(parts: Parts) -> Control {
+    /// Creates the control state from its dependencies.
+    pub fn new(parts: ControlParts) -> Control {
         Control {
             proxy: parts.proxy,
             settings: parts.settings,
@@ -172,7 +180,7 @@
             book: Book::open(),
             services: HashMap::new(),
             last_key: 0,
-            rule: parts.rule,
+            eject_rule: parts.eject_rule,
             platform: parts.platform,
             channels: parts.channels,
             fleet_key: parts.fleet_key,
@@ -181,51 +189,51 @@
             members: Arc::default(),
             placements: HashMap::new(),
             leaving: HashMap::new(),
-            evidence: TokenBucket::new(EVIDENCE_BYTES_PER_S, EVIDENCE_BYTES_PER_S, 0),
-            last_peer: None,
-            probes: probe::Plan::default(),
+            evidence_budget: TokenBucket::new(EVIDENCE_BYTES_PER_S, EVIDENCE_BYTES_PER_S, 0),
+            last_exchange_peer: None,
+            probes: probe::ProbeSchedule::default(),
             exchanged_ms: 0,
             compared_ms: 0,
             listed_ms: None,
             fetching: HashSet::new(),
-            store_heard_ms: None,
-            peer_heard_ms: None,
-            leaving_since_ms: None,
+            store_last_heard_ms: None,
+            peer_last_heard_ms: None,
+            stopping_since_ms: None,
             gauges: parts.gauges,
         }
     }
 
-    /// Does what is due and publishes the result.
+    /// Runs the periodic tasks and publishes a new snapshot.
     fn tick(&mut self, context: &mut Context<Control>) {
         let now_ms = self.proxy.now_ms();
-        self.observe(now_ms);
-        let out = self.swim.tick(now_ms);
-        self.send(out);
+        self.apply_observations(now_ms);
+        let datagrams = self.swim.tick(now_ms);
+        self.send_datagrams(datagrams);
         let changed = self.swim.take_changed();
         if !changed.is_empty() {
-            self.place(&changed, now_ms);
+            self.update_placements(&changed, now_ms);
         }
         for service in self.services.values_mut() {
             service.tick(now_ms);
         }
-        self.drop_services(now_ms);
-        self.exchange(context, now_ms);
-        self.compare(context, now_ms);
+        self.remove_expired_services(now_ms);
+        self.exchange_evidence(context, now_ms);
+        self.compare_tables(context, now_ms);
         let checks = self.probes.due(self.services.values(), &self.swim, now_ms);
-        probe::start(checks, &context.address().recipient());
-        self.publish(now_ms);
+        probe::start_checks(checks, &context.address().recipient());
+        self.publish_snapshot(now_ms);
         for service in self.services.values() {
-            service.live.wake(WAKES_A_TICK);
+            service.live.wake(WAKES_PER_TICK);
         }
         self.proxy.ledger.remove_expired(now_ms);
-        self.count(now_ms);
+        self.update_gauges(now_ms);
     }
 
-    /// Takes in what traffic threads have observed.
-    fn observe(&mut self, now_ms: u64) {
+    /// Applies observations of traffic threads to the health of backend servers.
+    fn apply_observations(&mut self, now_ms: u64) {
         let mut by_key: HashMap<ServiceKey, &mut Service> =
             self.services.values_mut().map(|service| (service.key, service)).collect();
-        for _ in 0..OBSERVATIONS_A_TICK {
+        for _ in 0..MAX_OBSERVATIONS_PER_TICK {
             let Ok(observation) = self.observations.try_recv() else { return };
             match observation {
                 Observation::Finished { service, backend, work, time_ms, charged, is_trial } => {
@@ -244,125 +252,138 @@
         }
     }
 
-    /// Sends datagrams; one that cannot be sent is lost like any other.
-    fn send(&self, out: Vec<Outgoing>) {
-        for Outgoing { to, packet } in out {
+    /// Sends datagrams; one that fails to send counts as lost in the network.
+    fn send_datagrams(&self, datagrams: Vec<Outgoing>) {
+        for Outgoing { to, packet } in datagrams {
             let datagram = self.fleet_key.seal(&packet);
             self.gauges.datagram_bytes.inc_by(datagram.len() as i64);
             if datagram.len() > PACKET_LIMIT_BYTES {
-                log::warn!("members: a datagram of {} bytes is too large.", datagram.len());
+                log::warn!(
+                    "members: a datagram of {} bytes exceeds the size limit.",
+                    datagram.len()
+                );
             }
             let _ = self.socket.try_send_to(&datagram, to);
         }
     }
 
-    /// Works out anew which services this VM serves, as far as changed members can move them.
-    fn place(&mut self, changed: &[Member], now_ms: u64) {
+    /// Recomputes the placement of the services that a change of members can move.
+    fn update_placements(&mut self, changed: &[Member], now_ms: u64) {
         let halls = self.members.halls;
         self.members = Arc::new(Members::new(self.swim.remembered().cloned().collect()));
         let moves_all = self.members.halls != halls;
         let is_moved = |doc: &&Arc<ServiceDoc>| {
             let placement = self.placements.get(&doc.service);
-            let by = |member: &Member| placement.is_none_or(|held| held.is_moved_by(member));
-            moves_all || changed.iter().any(by)
+            let moves =
+                |member: &Member| placement.is_none_or(|placement| placement.is_moved_by(member));
+            moves_all || changed.iter().any(moves)
         };
         let docs: Vec<Arc<ServiceDoc>> =
             self.book.docs().values().filter(is_moved).cloned().collect();
         for doc in docs {
-            self.place_service(&doc, now_ms);
+            self.update_placement(&doc, now_ms);
         }
     }
 
-    /// Works out anew whether this VM serves a service.
-    fn place_service(&mut self, doc: &Arc<ServiceDoc>, now_ms: u64) {
+    /// Recomputes the placement of a service and whether this VM serves it.
+    fn update_placement(&mut self, doc: &Arc<ServiceDoc>, now_ms: u64) {
         let me = self.swim.me().identity.id;
         let (placement, entry) = self.members.place(doc);
         self.placements.insert(doc.service.clone(), placement);
-        let is_mine = !doc.removed && doc.row.taken_over && entry.iter().any(|vm| vm.id == me);
-        if is_mine {
-            self.open_service(doc, now_ms);
+        let is_served_here =
+            !doc.removed && doc.row.taken_over && entry.iter().any(|vm| vm.id == me);
+        if is_served_here {
+            self.add_service(doc, now_ms);
         }
         let Some(service) = self.services.get_mut(&doc.service) else { return };
-        service.entry = entry;
+        service.entry_vms = entry;
         service.set_doc(doc, now_ms);
-        let keep_ms = self.settings.times.ticket_ttl_ms;
-        service.kept_until_ms = match (is_mine, service.kept_until_ms) {
+        let ticket_ttl_ms = self.settings.times.ticket_ttl_ms;
+        service.serves_until_ms = match (is_served_here, service.serves_until_ms) {
             (true, _) => None,
-            (false, None) => Some(now_ms + keep_ms),
-            (false, kept) => kept,
+            (false, None) => Some(now_ms + ticket_ttl_ms),
+            (false, until_ms) => until_ms,
         };
     }
 
-    /// Begins to serve a service, if it is not served already.
-    fn open_service(&mut self, doc: &Arc<ServiceDoc>, now_ms: u64) {
+    /// Starts to serve a service that this VM does not serve yet.
+    fn add_service(&mut self, doc: &Arc<ServiceDoc>, now_ms: u64) {
         if !self.services.contains_key(&doc.service) {
             self.last_key += 1;
-            let service = Service::open(ServiceKey(self.last_key), doc, self.rule, now_ms);
+            let service = Service::new(ServiceKey(self.last_key), doc, self.eject_rule, now_ms);
             self.services.insert(doc.service.clone(), service);
         }
     }
 
-    /// Serves a service of which this VM has been sent work, until its tickets have run out.
-    fn serve_for_a_while(&mut self, name: &str, now_ms: u64) {
+    /// Serves a service for which this VM received requests, until the tickets for it expire.
+    fn serve_temporarily(&mut self, name: &str, now_ms: u64) {
         let Some(doc) = self.book.doc(name).filter(|doc| !doc.removed).cloned() else { return };
-        self.open_service(&doc, now_ms);
-        self.place_service(&doc, now_ms);
-        self.publish(now_ms);
+        self.add_service(&doc, now_ms);
+        self.update_placement(&doc, now_ms);
+        self.publish_snapshot(now_ms);
     }
 
-    /// Stops to serve what this VM was told to leave, once its tickets have run out.
+    /// Removes the services that moved to other VMs, once their tickets have expired.
     ///
-    /// Not while requests wait or run, nor during a planned stop, which finishes what there is.
-    fn drop_services(&mut self, now_ms: u64) {
-        let is_stopping = self.leaving_since_ms.is_some();
+    /// A service stays while requests are queued or in flight, and during a planned stop, which
+    /// finishes all remaining requests.
+    fn remove_expired_services(&mut self, now_ms: u64) {
+        let is_stopping = self.stopping_since_ms.is_some();
         self.services.retain(|_, service| {
-            let is_over = service.kept_until_ms.is_some_and(|until_ms| now_ms >= until_ms);
-            is_stopping || !is_over || !service.is_idle()
+            let is_expired = service.serves_until_ms.is_some_and(|until_ms| now_ms >= until_ms);
+            is_stopping || !is_expired || !service.is_idle()
         });
     }
 
-    /// Swaps evidence with the VMs that serve the same services.
-    fn exchange(&mut self, context: &Context<Control>, now_ms: u64) {
+    /// Exchanges evidence with the VMs that serve the same services.
+    fn exchange_evidence(&mut self, context: &Context<Control>, now_ms: u64) {
         if now_ms.saturating_sub(self.exchanged_ms) < self.settings.times.exchange_ms {
             return;
         }
         self.exchanged_ms = now_ms;
         let me = self.swim.me().identity.id;
-        let digest = self.digest(now_ms);
+        let digest = self.collect_evidence(now_ms);
         let mut peers: BTreeMap<SocketAddr, HashSet<String>> = BTreeMap::new();
         for service in self.services.values() {
-            // One of each pair begins; the answer carries the other's evidence.
-            for vm in service.entry.iter().filter(|vm| vm.id > me) {
+            // The VM with the lower id initiates; the reply carries the other VM's evidence.
+            for vm in service.entry_vms.iter().filter(|vm| vm.id > me) {
                 peers.entry(vm.peer_address).or_default().insert(service.doc.service.clone());
             }
         }
-        // Whoever got none for want of bytes comes first the next time.
+        // Peers skipped because the byte budget ran out come first in the next round.
         let mut order: Vec<(SocketAddr, HashSet<String>)> = peers.into_iter().collect();
-        let done = order.iter().take_while(|(peer, _)| Some(*peer) <= self.last_peer).count();
-        order.rotate_left(done);
+        let already_exchanged =
+            order.iter().take_while(|(peer, _)| Some(*peer) <= self.last_exchange_peer).count();
+        order.rotate_left(already_exchanged);
         for (peer, services) in order {
-            let shared = digest.services.iter().filter(|part| services.contains(&part.service));
-            let part = Digest { reporter: me, services: shared.cloned().collect() };
-            let bytes = (part.encoded_len() + CALL_BYTES) as f64;
-            if !self.evidence.try_take_many(bytes, now_ms) {
+            let shared = digest.services.iter().filter(|digest| services.contains(&digest.service));
+            let shared_digest = Digest { reporter: me, services: shared.cloned().collect() };
+            let bytes = (shared_digest.encoded_len() + CALL_OVERHEAD_BYTES) as f64;
+            if !self.evidence_budget.try_take_many(bytes, now_ms) {
                 return;
             }
-            self.last_peer = Some(peer);
-            peers::exchange(&self.channels, peer, part, Questions::to(&context.address()));
+            self.last_exchange_peer = Some(peer);
+            peers::exchange_evidence(
+                &self.channels,
+                peer,
+                shared_digest,
+                ControlHandle::new(&context.address()),
+            );
         }
     }
 
-    /// The evidence of this VM.
-    fn digest(&mut self, now_ms: u64) -> Digest {
+    /// Collects the evidence of this VM.
+    fn collect_evidence(&mut self, now_ms: u64) -> Digest {
         let services = self.services.values_mut().map(|service| service.digest(now_ms)).collect();
         Digest { reporter: self.swim.me().identity.id, services }
     }
 
-    /// Compares the table with another VM's, and now and then the members.
-    fn compare(&mut self, context: &Context<Control>, now_ms: u64) {
+    /// Compares the table with another VM and periodically requests a full member list.
+    fn compare_tables(&mut self, context: &Context<Control>, now_ms: u64) {
         let fingerprint = self.book.fingerprint();
-        let every_ms = if fingerprint == 0 { FIRST_COMPARE_MS } else { COMPARE_MS };
-        if now_ms.saturating_sub(self.compared_ms) < every_ms {
+        let interval_ms =
+            if fingerprint == 0 { EMPTY_TABLE_COMPARE_INTERVAL_MS } else { COMPARE_INTERVAL_MS };
+        if now_ms.saturating_sub(self.compared_ms) < interval_ms {
             return;
         }
         self.compared_ms = now_ms;
@@ -372,74 +393,90 @@
         let differing = differing.map(|member| member.identity.peer_address);
         if let Some(peer) = differing {
             let buckets = self.book.buckets().to_vec();
-            peers::compare(&self.channels, peer, buckets, Questions::to(&context.address()));
+            peers::compare_tables(
+                &self.channels,
+                peer,
+                buckets,
+                ControlHandle::new(&context.address()),
+            );
         }
         let listed_age_ms = self.listed_ms.map(|listed_ms| now_ms.saturating_sub(listed_ms));
-        let list_after_ms = MEMBERS_MS.max(self.members.list.len() as u64 * MEMBERS_MS_EACH);
-        if listed_age_ms.is_none_or(|age_ms| age_ms >= list_after_ms)
+        let list_interval_ms = MIN_LIST_MEMBERS_INTERVAL_MS
+            .max(self.members.list.len() as u64 * LIST_MEMBERS_INTERVAL_MS_PER_MEMBER);
+        if listed_age_ms.is_none_or(|age_ms| age_ms >= list_interval_ms)
             && let Some(peer) = self.swim.choose()
         {
             self.listed_ms = Some(now_ms);
-            peers::list_members(&self.channels, peer, Questions::to(&context.address()));
+            peers::list_members(&self.channels, peer, ControlHandle::new(&context.address()));
         }
     }
 
-    /// Takes documents in and tells others of the new ones.
-    fn adopt(&mut self, docs: Vec<ServiceDoc>, now_ms: u64) {
-        let mut adopted = Vec::new();
+    /// Merges documents into the table and announces the newer ones to other VMs.
+    fn merge_docs(&mut self, docs: Vec<ServiceDoc>, now_ms: u64) {
+        let mut newer = Vec::new();
         for doc in docs {
             let (service, version) = (doc.service.clone(), doc.version);
             self.fetching.remove(&service);
             if self.book.adopt(doc) {
-                log::info!("table: {service} is in force with version {version}.");
-                adopted.push((service, version));
+                log::info!("table: applied version {version} of {service}.");
+                newer.push((service, version));
             }
         }
-        let out = self.swim.set_table(self.book.fingerprint());
-        self.send(out);
+        let datagrams = self.swim.set_table(self.book.fingerprint());
+        self.send_datagrams(datagrams);
         let changed = self.swim.take_changed();
         if !changed.is_empty() {
-            self.place(&changed, now_ms);
+            self.update_placements(&changed, now_ms);
         }
-        for (service, version) in adopted {
+        for (service, version) in newer {
             if let Some(doc) = self.book.doc(&service).cloned() {
-                self.place_service(&doc, now_ms);
+                self.update_placement(&doc, now_ms);
             }
-            let out = self.swim.announce(&service, version);
-            self.send(out);
+            let datagrams = self.swim.announce(&service, version);
+            self.send_datagrams(datagrams);
         }
-        self.publish(now_ms);
+        self.publish_snapshot(now_ms);
     }
 
-    /// Notes that a backend server leaves and tells others, unless that was done lately.
-    fn take_leaving(&mut self, address: SocketAddr, marked_s: u64) {
+    /// Records that a backend server is leaving and announces it, unless this was done recently.
+    fn record_leaving(&mut self, address: SocketAddr, marked_s: u64) {
         let now_ms = self.proxy.now_ms();
-        let held_s = self.leaving.get(&address).copied().unwrap_or(0);
-        if marked_s < held_s + LEAVING_AGAIN_S {
+        let previous_s = self.leaving.get(&address).copied().unwrap_or(0);
+        if marked_s < previous_s + LEAVING_REANNOUNCE_S {
             return;
         }
-        log::info!("table: the platform says that the backend server at {address} leaves.");
+        log::info!("table: the platform marks the backend server at {address} as leaving.");
         self.leaving.insert(address, marked_s);
-        self.leaving.retain(|_, held_s| *held_s + LEAVING_KEPT_S > marked_s);
+        self.leaving.retain(|_, previous_s| *previous_s + LEAVING_RETENTION_S > marked_s);
         for service in self.services.values_mut() {
             service.drain_address(address, now_ms);
         }
-        let out = self.swim.announce_leaving(address, marked_s);
-        self.send(out);
-        self.publish(now_ms);
+        let datagrams = self.swim.announce_leaving(address, marked_s);
+        self.send_datagrams(datagrams);
+        self.publish_snapshot(now_ms);
     }
 
-    /// Fetches what another VM holds in a newer version.
-    fn fetch(&mut self, from: SocketAddr, versions: &[ServiceVersion], context: &Context<Control>) {
+    /// Fetches the documents of which another VM has a newer version.
+    fn fetch_outdated(
+        &mut self,
+        from: SocketAddr,
+        versions: &[ServiceVersion],
+        context: &Context<Control>,
+    ) {
         let mut services = self.book.outdated(versions);
         services.retain(|service| self.fetching.insert(service.clone()));
         if !services.is_empty() {
-            peers::fetch(&self.channels, from, services, Questions::to(&context.address()));
+            peers::fetch_docs(
+                &self.channels,
+                from,
+                services,
+                ControlHandle::new(&context.address()),
+            );
         }
     }
 
-    /// Publishes what traffic threads need to know.
-    fn publish(&mut self, now_ms: u64) {
+    /// Publishes a new snapshot for traffic threads.
+    fn publish_snapshot(&mut self, now_ms: u64) {
         let serving = self
             .services
             .iter()
@@ -453,8 +490,8 @@
         }));
     }
 
-    /// Brings the gauges up to date.
-    fn count(&self, now_ms: u64) {
+    /// Updates the gauges.
+    fn update_gauges(&self, now_ms: u64) {
         let gauges = &self.gauges;
         gauges.members.set(self.members.list.len() as i64);
         gauges.services.set(self.book.docs().values().filter(|doc| !doc.removed).count() as i64);
@@ -464,9 +501,9 @@
         gauges.ejected.set(ejected as i64);
     }
 
-    /// Milliseconds since the store or another VM was heard.
+    /// Milliseconds since the last contact with the store or another VM.
     pub(crate) fn news_age_ms(&self, now_ms: u64) -> u64 {
-        let heard_ms = self.store_heard_ms.max(self.peer_heard_ms).unwrap_or(0);
-        now_ms.saturating_sub(heard_ms)
+        let last_contact_ms = self.store_last_heard_ms.max(self.peer_last_heard_ms).unwrap_or(0);
+        now_ms.saturating_sub(last_contact_ms)
     }
 }
--- a/crates/leverstream-node/src/control/handlers.rs
+++ b/crates/leverstream-node/src/control/handlers.rs
@@ -1,4 +1,4 @@
-//! The messages that the control thread answers.
+//! The handlers of the messages to the control thread.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -10,15 +10,15 @@
 use leverstream_proxy::Clock;
 use leverstream_table::ServiceDoc;
 
-use super::{ALONE_MS, Control, TICK_MS};
+use super::{Control, PEER_DISCOVERY_MS, TICK_MS};
+use crate::build_reports::{collect_status, health_report};
 use crate::edit;
 use crate::messages::{
-    Adopt, Compare, Datagram, Duty, Exchange, Fetch, GetDuty, GetHealth, GetStatus, Hints, Leave,
-    ListDocs, ListMembers, MakeEdit, MayStop, MergeMembers, Offered, Probed, Repair, ServeService,
-    Stored,
+    BeginStop, Compare, Datagram, Duty, Exchange, Fetch, GetDuty, GetHealth, GetStatus, ListDocs,
+    ListMembers, MayStop, MergeDocs, MergeMembers, OfferVersions, ProbeResult, Repair,
+    ServeService, StoreListing, SubmitEdit, VmList,
 };
 use crate::reports::{EditReply, Failure, HealthReport, StatusReport};
-use crate::survey::{health_report, status};
 
 impl Actor for Control {
     type Context = Context<Control>;
@@ -35,44 +35,45 @@
 
     fn handle(&mut self, message: Datagram, context: &mut Context<Control>) {
         let now_ms = self.proxy.now_ms();
-        self.peer_heard_ms = Some(now_ms);
-        let out = self.swim.receive(message.from, &message.packet, now_ms);
-        self.send(out);
-        for (from, news) in self.swim.take_heard() {
-            self.fetch(from, &[news], context);
+        self.peer_last_heard_ms = Some(now_ms);
+        let datagrams = self.swim.receive(message.from, &message.packet, now_ms);
+        self.send_datagrams(datagrams);
+        for (from, version) in self.swim.take_heard() {
+            self.fetch_outdated(from, &[version], context);
         }
         for leaving in self.swim.take_leaving() {
             if let Ok(address) = leaving.address.parse() {
-                self.take_leaving(address, leaving.marked_s);
+                self.record_leaving(address, leaving.marked_s);
             }
         }
     }
 }
 
-impl Handler<Adopt> for Control {
+impl Handler<MergeDocs> for Control {
     type Result = ();
 
-    fn handle(&mut self, message: Adopt, _: &mut Context<Control>) {
+    fn handle(&mut self, message: MergeDocs, _: &mut Context<Control>) {
         let now_ms = self.proxy.now_ms();
-        self.adopt(message.docs, now_ms);
+        self.merge_docs(message.docs, now_ms);
     }
 }
 
-impl Handler<Stored> for Control {
+impl Handler<StoreListing> for Control {
     type Result = Vec<Repair>;
 
-    /// Takes in what the platform holds and returns what it holds in too old a version.
-    fn handle(&mut self, message: Stored, _: &mut Context<Control>) -> Vec<Repair> {
+    /// Merges documents from the store and returns those that it must write back.
+    fn handle(&mut self, message: StoreListing, _: &mut Context<Control>) -> Vec<Repair> {
         let now_ms = self.proxy.now_ms();
-        self.store_heard_ms = Some(now_ms);
+        self.store_last_heard_ms = Some(now_ms);
         let mut stored: HashMap<String, u64> = HashMap::new();
         let mut repairs = Vec::new();
         let mut docs = Vec::new();
-        for (doc, expected) in message.docs {
-            stored.insert(doc.service.clone(), expected);
+        for (doc, revision) in message.docs {
+            stored.insert(doc.service.clone(), revision);
             match self.book.doc(&doc.service) {
-                Some(held) if held.version > doc.version => {
-                    repairs.push(Repair { doc: held.as_ref().clone(), expected });
+                Some(newer) if newer.version > doc.version => {
+                    repairs
+                        .push(Repair { doc: newer.as_ref().clone(), expected_revision: revision });
                 }
                 _ => docs.push(doc),
             }
@@ -80,9 +81,11 @@
         if message.is_complete {
             let missing =
                 self.book.docs().values().filter(|doc| !stored.contains_key(&doc.service));
-            repairs.extend(missing.map(|doc| Repair { doc: doc.as_ref().clone(), expected: 0 }));
+            repairs.extend(
+                missing.map(|doc| Repair { doc: doc.as_ref().clone(), expected_revision: 0 }),
+            );
         }
-        self.adopt(docs, now_ms);
+        self.merge_docs(docs, now_ms);
         repairs
     }
 }
@@ -94,22 +97,22 @@
         let me = &self.swim.me().identity;
         let chosen = watchers(&me.hall, &self.members.list);
         let is_chosen = chosen.iter().any(|member| member.identity.id == me.id);
-        let is_alone = self.members.list.len() <= 1;
-        // At the start the others are given time to answer; they may have the table already.
-        let is_watcher = is_chosen && (!is_alone || self.proxy.now_ms() >= ALONE_MS);
-        actix::MessageResult(Duty { is_watcher, is_alone })
+        let is_only_member = self.members.list.len() <= 1;
+        // Other VMs get time to answer after the start, as they may have the table already.
+        let is_watcher = is_chosen && (!is_only_member || self.proxy.now_ms() >= PEER_DISCOVERY_MS);
+        actix::MessageResult(Duty { is_watcher, is_only_member })
     }
 }
 
-impl Handler<Hints> for Control {
+impl Handler<VmList> for Control {
     type Result = ();
 
-    fn handle(&mut self, mut message: Hints, _: &mut Context<Control>) {
-        message.addresses.extend(&self.settings.peers.seeds);
-        self.swim.hint(message.addresses);
+    fn handle(&mut self, mut message: VmList, _: &mut Context<Control>) {
+        message.peer_addresses.extend(&self.settings.peers.seeds);
+        self.swim.hint(message.peer_addresses);
         let marked_s = Clock::unix_ms() / 1_000;
-        for address in message.leaving {
-            self.take_leaving(address, marked_s);
+        for address in message.leaving_backends {
+            self.record_leaving(address, marked_s);
         }
     }
 }
@@ -120,18 +123,22 @@
     fn handle(&mut self, message: Exchange, _: &mut Context<Control>) -> Self::Result {
         let now_ms = self.proxy.now_ms();
         let reporter = message.digest.reporter;
-        for told in &message.digest.services {
-            if let Some(service) = self.services.get_mut(&told.service) {
-                service.report(reporter, told, now_ms);
+        for reported in &message.digest.services {
+            if let Some(service) = self.services.get_mut(&reported.service) {
+                service.report(reporter, reported, now_ms);
             }
         }
         if message.is_answer {
             return actix::MessageResult(Digest::default());
         }
-        let shared: HashSet<&str> =
-            message.digest.services.iter().map(|part| part.service.as_str()).collect();
-        let mut digest = self.digest(now_ms);
-        digest.services.retain(|part| shared.contains(part.service.as_str()));
+        let shared: HashSet<&str> = message
+            .digest
+            .services
+            .iter()
+            .map(|service_digest| service_digest.service.as_str())
+            .collect();
+        let mut digest = self.collect_evidence(now_ms);
+        digest.services.retain(|service_digest| shared.contains(service_digest.service.as_str()));
         actix::MessageResult(digest)
     }
 }
@@ -152,14 +159,14 @@
     }
 }
 
-impl Handler<Offered> for Control {
+impl Handler<OfferVersions> for Control {
     type Result = ();
 
-    fn handle(&mut self, message: Offered, context: &mut Context<Control>) {
+    fn handle(&mut self, message: OfferVersions, context: &mut Context<Control>) {
         if message.versions.is_empty() {
             self.fetching.clear();
         }
-        self.fetch(message.from, &message.versions, context);
+        self.fetch_outdated(message.from, &message.versions, context);
     }
 }
 
@@ -180,10 +187,10 @@
     }
 }
 
-impl Handler<Probed> for Control {
+impl Handler<ProbeResult> for Control {
     type Result = ();
 
-    fn handle(&mut self, message: Probed, _: &mut Context<Control>) {
+    fn handle(&mut self, message: ProbeResult, _: &mut Context<Control>) {
         let now_ms = self.proxy.now_ms();
         let mut services = self.services.values_mut();
         if let Some(service) = services.find(|service| service.key == message.service) {
@@ -195,17 +202,17 @@
     }
 }
 
-impl Handler<MakeEdit> for Control {
+impl Handler<SubmitEdit> for Control {
     type Result = ResponseFuture<Result<EditReply, Failure>>;
 
-    fn handle(&mut self, message: MakeEdit, context: &mut Context<Control>) -> Self::Result {
+    fn handle(&mut self, message: SubmitEdit, context: &mut Context<Control>) -> Self::Result {
         let service = message.0.changes.first().map(|change| change.cell.service.clone());
-        let held = service.and_then(|service| self.book.doc(&service).cloned());
-        Box::pin(edit::make(
+        let local_doc = service.and_then(|service| self.book.doc(&service).cloned());
+        Box::pin(edit::submit(
             self.platform.clone(),
             context.address(),
             self.proxy.clock,
-            held,
+            local_doc,
             message.0,
         ))
     }
@@ -215,11 +222,11 @@
     type Result = Vec<Arc<ServiceDoc>>;
 
     fn handle(&mut self, message: ListDocs, _: &mut Context<Control>) -> Vec<Arc<ServiceDoc>> {
-        let is_wanted = |doc: &&Arc<ServiceDoc>| {
+        let is_requested = |doc: &&Arc<ServiceDoc>| {
             message.service.as_ref().is_none_or(|service| doc.service == *service)
         };
         let mut docs: Vec<Arc<ServiceDoc>> =
-            self.book.docs().values().filter(is_wanted).cloned().collect();
+            self.book.docs().values().filter(is_requested).cloned().collect();
         docs.sort_by(|a, b| a.service.cmp(&b.service));
         docs
     }
@@ -230,7 +237,7 @@
 
     fn handle(&mut self, message: ServeService, _: &mut Context<Control>) {
         let now_ms = self.proxy.now_ms();
-        self.serve_for_a_while(&message.service, now_ms);
+        self.serve_temporarily(&message.service, now_ms);
     }
 }
 
@@ -238,7 +245,7 @@
     type Result = ResponseFuture<StatusReport>;
 
     fn handle(&mut self, _: GetStatus, _: &mut Context<Control>) -> Self::Result {
-        Box::pin(status(self))
+        Box::pin(collect_status(self))
     }
 }
 
@@ -251,19 +258,19 @@
     }
 }
 
-impl Handler<Leave> for Control {
+impl Handler<BeginStop> for Control {
     type Result = ();
 
-    fn handle(&mut self, _: Leave, _: &mut Context<Control>) {
+    fn handle(&mut self, _: BeginStop, _: &mut Context<Control>) {
         let now_ms = self.proxy.now_ms();
-        if self.leaving_since_ms.is_some() {
+        if self.stopping_since_ms.is_some() {
             return;
         }
-        log::info!("node: leaves the answers and finishes what is under way.");
-        self.leaving_since_ms = Some(now_ms);
-        let out = self.swim.leave(now_ms);
-        self.send(out);
-        self.publish(now_ms);
+        log::info!("node: leaves the answers and finishes the requests in flight.");
+        self.stopping_since_ms = Some(now_ms);
+        let datagrams = self.swim.leave(now_ms);
+        self.send_datagrams(datagrams);
+        self.publish_snapshot(now_ms);
     }
 }
 
@@ -272,11 +279,12 @@
 
     fn handle(&mut self, _: MayStop, _: &mut Context<Control>) -> bool {
         let now_ms = self.proxy.now_ms();
-        let Some(since_ms) = self.leaving_since_ms else { return false };
+        let Some(since_ms) = self.stopping_since_ms else { return false };
         let times = &self.settings.times;
-        let has_run_out = now_ms >= since_ms + times.answer_holds_ms + 2 * times.ping_period_ms;
+        let have_answers_expired =
+            now_ms >= since_ms + times.answer_holds_ms + 2 * times.ping_period_ms;
         let is_idle = self.proxy.metrics.in_flight.get() == 0;
         let is_overdue = now_ms >= since_ms + times.stop_limit_ms;
-        is_overdue || (has_run_out && is_idle && self.proxy.ledger.is_empty())
+        is_overdue || (have_answers_expired && is_idle && self.proxy.ledger.is_empty())
     }
 }
--- a/crates/leverstream-node/src/edit.rs
+++ b/crates/leverstream-node/src/edit.rs
@@ -1,3 +1,5 @@
+//! Applies an operator's edit to the service's object in the store.
+
 use std::sync::Arc;
 
 use actix::Addr;
@@ -7,138 +9,143 @@
 use leverstream_table::{Applied, Edit, ServiceDoc, apply};
 
 use crate::control::Control;
-use crate::messages::Adopt;
+use crate::messages::MergeDocs;
 use crate::reports::{EditReply, Failure};
-use crate::store::{TABLE_KIND, read_doc, write_doc};
+use crate::store::{TABLE_KIND, doc_to_json, parse_doc};
 
-/// How long an edit is tried for while it has certainly not landed.
-const EDIT_MS: u64 = 2_000;
+/// How long an edit is retried while it has certainly not landed in the store.
+const EDIT_TIMEOUT_MS: u64 = 2_000;
 
-/// How long more is tried to learn what became of an edit that may have landed.
-const RESOLVE_MS: u64 = 6_000;
+/// The additional time to find out whether an edit that may have landed did so.
+const RESOLVE_TIMEOUT_MS: u64 = 6_000;
 
-/// The wait before a call to the platform is made again.
-const AGAIN_MS: u64 = 100;
+/// The delay before a failed call to the platform is repeated.
+const RETRY_DELAY_MS: u64 = 100;
 
-/// Makes an edit: reads the service's object, applies the edit, writes it back if unchanged.
+/// Reads the service's object, applies the edit and writes the object back if it is unchanged.
 ///
-/// An answer that is lost is resolved by reading the object again: it remembers the edit's id. The
-/// edit is said to be accepted only once it is in the platform, and said to be refused only when it
-/// certainly is not.
-pub async fn make(
+/// If the answer to a write is lost, the object is read again, as it records the edit's id. An edit
+/// is reported as accepted only once the store has it, and as refused only if the store certainly
+/// does not have it.
+pub async fn submit(
     store: Store,
     control: Addr<Control>,
     clock: Clock,
-    held: Option<Arc<ServiceDoc>>,
+    local_doc: Option<Arc<ServiceDoc>>,
     edit: Edit,
 ) -> Result<EditReply, Failure> {
     let service = edit.changes.first().map(|change| change.cell.service.clone());
     let service = service.unwrap_or_default();
-    let mut until_ms = clock.now_ms() + EDIT_MS;
+    let mut deadline_ms = clock.now_ms() + EDIT_TIMEOUT_MS;
     let mut may_have_landed = false;
-    let mut seen = held.as_ref().map_or(0, |doc| doc.version);
+    let mut highest_seen_version = local_doc.as_ref().map_or(0, |doc| doc.version);
     loop {
-        match step(&store, &service, held.as_deref(), &edit, &mut seen).await {
-            Ok(Step::Landed(doc)) => {
+        match try_once(&store, &service, local_doc.as_deref(), &edit, &mut highest_seen_version)
+            .await
+        {
+            Ok(Attempt::Landed(doc)) => {
                 let version = doc.version;
-                let _ = control.send(Adopt { docs: vec![*doc] }).await;
+                let _ = control.send(MergeDocs { docs: vec![*doc] }).await;
                 return Ok(EditReply { version, landed_before: false });
             }
-            Ok(Step::Already(version)) => {
+            Ok(Attempt::Duplicate(version)) => {
                 return Ok(EditReply { version, landed_before: true });
             }
-            Ok(Step::Again) => {}
-            Err(Problem::Refused(failure)) => return Err(failure),
-            Err(Problem::Platform(error)) => {
+            Ok(Attempt::Conflict) => {}
+            Err(AttemptError::Refused(failure)) => return Err(failure),
+            Err(AttemptError::Platform(error)) => {
                 if error.may_have_landed() && !may_have_landed {
                     may_have_landed = true;
-                    until_ms += RESOLVE_MS;
+                    deadline_ms += RESOLVE_TIMEOUT_MS;
                 }
-                let is_over = clock.now_ms() + AGAIN_MS >= until_ms;
-                let is_away =
+                let is_past_deadline = clock.now_ms() + RETRY_DELAY_MS >= deadline_ms;
+                let is_unreachable =
                     matches!(error, StoreError::Away | StoreError::Refused) && !may_have_landed;
-                if is_over || is_away {
-                    return Err(given_up(may_have_landed, &error));
+                if is_past_deadline || is_unreachable {
+                    return Err(platform_failure(may_have_landed, &error));
                 }
-                tokio::time::sleep(std::time::Duration::from_millis(AGAIN_MS)).await;
+                tokio::time::sleep(std::time::Duration::from_millis(RETRY_DELAY_MS)).await;
             }
         }
-        if clock.now_ms() >= until_ms {
-            return Err(given_up(may_have_landed, &StoreError::Unanswered));
+        if clock.now_ms() >= deadline_ms {
+            return Err(platform_failure(may_have_landed, &StoreError::Unanswered));
         }
     }
 }
 
-/// What one round came to.
-enum Step {
-    /// The edit landed now.
+/// The result of one attempt that got a conclusive answer.
+enum Attempt {
+    /// The store accepted the edit.
     Landed(Box<ServiceDoc>),
-    /// The edit had landed before.
-    Already(u64),
-    /// Another edit came first.
-    Again,
+    /// An earlier attempt of the same edit had already landed.
+    Duplicate(u64),
+    /// Another write changed the object first, so the edit must be tried again.
+    Conflict,
 }
 
-/// Why a round came to nothing.
-enum Problem {
-    /// The edit is refused.
+/// Why one attempt failed.
+enum AttemptError {
+    /// The edit is invalid or conflicts with the table.
     Refused(Failure),
-    /// The platform gave no answer that settles it.
+    /// The platform gave no conclusive answer.
     Platform(StoreError),
 }
 
-/// Reads, applies and writes once.
-async fn step(
+/// Reads the object, applies the edit and writes the object once.
+async fn try_once(
     store: &Store,
     service: &str,
-    held: Option<&ServiceDoc>,
+    local_doc: Option<&ServiceDoc>,
     edit: &Edit,
-    seen: &mut u64,
-) -> Result<Step, Problem> {
+    highest_seen_version: &mut u64,
+) -> Result<Attempt, AttemptError> {
     // A read changes nothing, so its failure never means that the edit may have landed.
-    let read = store.read(TABLE_KIND, service).await;
-    let object = read.map_err(|error| match error {
-        StoreError::Away | StoreError::Refused | StoreError::OverBudget => Problem::Platform(error),
-        _ => Problem::Platform(StoreError::OverBudget),
+    let result = store.read(TABLE_KIND, service).await;
+    let object = result.map_err(|error| match error {
+        StoreError::Away | StoreError::Refused | StoreError::OverBudget => {
+            AttemptError::Platform(error)
+        }
+        _ => AttemptError::Platform(StoreError::OverBudget),
     })?;
-    let read = |content: &Result<_, StoreError>| {
-        let failed = |error: &dyn std::fmt::Display| {
-            Problem::Refused(Failure::new(Kind::EditInvalid, &format!("{service}: {error}")))
+    let parse = |content: &Result<_, StoreError>| {
+        let invalid = |error: &dyn std::fmt::Display| {
+            AttemptError::Refused(Failure::new(Kind::EditInvalid, &format!("{service}: {error}")))
         };
         match content {
-            Ok(spec) => read_doc(spec).map_err(|error| failed(&error)),
-            Err(error) => Err(failed(error)),
+            Ok(spec) => parse_doc(spec).map_err(|error| invalid(&error)),
+            Err(error) => Err(invalid(error)),
         }
     };
-    let stored = object.as_ref().map(|object| read(&object.content)).transpose()?;
-    *seen = (*seen).max(stored.as_ref().map_or(0, |doc| doc.version));
+    let stored = object.as_ref().map(|object| parse(&object.content)).transpose()?;
+    *highest_seen_version =
+        (*highest_seen_version).max(stored.as_ref().map_or(0, |doc| doc.version));
     // After a restore the platform may hold an older document than the fleet.
-    let base = match (&stored, held) {
-        (Some(stored), Some(held)) if held.version > stored.version => Some(held),
+    let base = match (&stored, local_doc) {
+        (Some(stored), Some(local)) if local.version > stored.version => Some(local),
         (Some(stored), _) => Some(stored),
-        (None, held) => held,
+        (None, local) => local,
     };
     let refuse = |error: leverstream_table::TableError| {
-        Problem::Refused(Failure::new(error.kind(), &error.to_string()))
+        AttemptError::Refused(Failure::new(error.kind(), &error.to_string()))
     };
-    let doc = match apply(base, edit, *seen, Clock::unix_ms()).map_err(refuse)? {
-        Applied::Duplicate(version) => return Ok(Step::Already(version)),
+    let doc = match apply(base, edit, *highest_seen_version, Clock::unix_ms()).map_err(refuse)? {
+        Applied::Duplicate(version) => return Ok(Attempt::Duplicate(version)),
         Applied::New(doc) => doc,
     };
-    let spec = write_doc(&doc);
+    let spec = doc_to_json(&doc);
     let written = match &object {
         Some(object) => store.replace(TABLE_KIND, service, spec, Some(object.revision)).await,
         None => store.create(TABLE_KIND, service, spec).await,
     };
     match written {
-        Ok(()) => Ok(Step::Landed(doc)),
-        Err(StoreError::Conflict) => Ok(Step::Again),
-        Err(error) => Err(Problem::Platform(error)),
+        Ok(()) => Ok(Attempt::Landed(doc)),
+        Err(StoreError::Conflict) => Ok(Attempt::Conflict),
+        Err(error) => Err(AttemptError::Platform(error)),
     }
 }
 
-/// The answer when time is over or the platform is away.
-fn given_up(may_have_landed: bool, error: &StoreError) -> Failure {
+/// The failure after the deadline has passed or the platform cannot be reached.
+fn platform_failure(may_have_landed: bool, error: &StoreError) -> Failure {
     let kind = if may_have_landed { Kind::EditUnknown } else { Kind::PlatformAway };
     Failure::new(kind, &error.to_string())
 }
--- a/crates/leverstream-node/src/lib.rs
+++ b/crates/leverstream-node/src/lib.rs
@@ -1,26 +1,26 @@
-//! One process of the fleet: its settings, its control thread, its listeners.
+//! A process of the fleet: settings, control thread and listeners.
 //!
-//! [`Node::open`] binds the listeners and starts the control thread's actor; traffic threads serve
-//! callers from the snapshots that it publishes.
+//! [`Node::open`] binds the listeners and starts the actor of the control thread. Traffic threads
+//! serve callers from the snapshots that the actor publishes.
 
 mod book;
+mod build_reports;
 mod control;
+mod control_handle;
 mod edit;
 mod messages;
 mod node;
 mod operators;
 mod peers;
 mod probe;
-mod questions;
 mod reports;
 mod service;
 mod settings;
 mod store;
-mod survey;
 
 pub use book::Book;
 pub use node::{Node, NodeError};
 pub use reports::{
-    BackendReport, EditReply, Failure, HealthReport, InForce, MemberReport, StatusReport,
+    BackendReport, EditReply, Failure, HealthReport, MemberReport, StatusReport, VersionReport,
 };
 pub use settings::{Settings, SettingsError, SettingsFault};
--- a/crates/leverstream-node/src/messages.rs
+++ b/crates/leverstream-node/src/messages.rs
@@ -1,3 +1,5 @@
+//! The messages that the control thread receives.
+
 use std::net::SocketAddr;
 
 use actix::Message;
@@ -12,70 +14,70 @@
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Datagram {
-    /// Who sent it.
+    /// The sender's address.
     pub from: SocketAddr,
-    /// What it said.
+    /// The content.
     pub packet: Packet,
 }
 
-/// Documents to take in.
+/// Merges documents into the table.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Adopt {
+pub struct MergeDocs {
     /// The documents.
     pub docs: Vec<ServiceDoc>,
 }
 
-/// The platform's answer to a list or watch.
+/// The store's answer to a list or watch call.
 #[derive(Message)]
 #[rtype(result = "Vec<Repair>")]
-pub struct Stored {
-    /// The documents with the platform's version of each.
+pub struct StoreListing {
+    /// The documents, each with the store's revision of its object.
     pub docs: Vec<(ServiceDoc, u64)>,
-    /// Whether these are all there are.
+    /// Whether the answer contains all documents of the store.
     pub is_complete: bool,
 }
 
-/// A document that the platform holds in an older version than the fleet.
+/// A document to write back, as the store has an older version than the fleet or none.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Repair {
     /// The document to write.
     pub doc: ServiceDoc,
-    /// The platform's version of the object to replace.
-    pub expected: u64,
+    /// The store's revision of the object to replace; 0 if there is none.
+    pub expected_revision: u64,
 }
 
-/// Asks what this process should read of the platform now.
+/// Asks which reads of the store this process should do now.
 #[derive(Message)]
 #[rtype(result = "Duty")]
 pub struct GetDuty;
 
-/// What a process should read of the platform.
+/// Which reads of the store a process should do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Duty {
-    /// Whether it watches the table for its hall.
+    /// Whether the process watches the table on behalf of its hall.
     pub is_watcher: bool,
-    /// Whether it knows no other VM, so that it must look for some.
-    pub is_alone: bool,
+    /// Whether the process knows no other VM and must discover some.
+    pub is_only_member: bool,
 }
 
 /// The platform's list of VMs.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Hints {
-    /// The peers' listeners of the fleet's VMs.
-    pub addresses: Vec<SocketAddr>,
-    /// The backend servers on VMs that leave.
-    pub leaving: Vec<SocketAddr>,
+pub struct VmList {
+    /// The peer addresses of the fleet's VMs.
+    pub peer_addresses: Vec<SocketAddr>,
+    /// The backend servers on VMs that are leaving.
+    pub leaving_backends: Vec<SocketAddr>,
 }
 
-/// Evidence from another VM; answered with this VM's.
+/// Delivers evidence of another VM; answered with the evidence of this VM.
 #[derive(Message)]
 #[rtype(result = "Digest")]
 pub struct Exchange {
     /// The evidence.
     pub digest: Digest,
-    /// Whether it is the answer to this VM's own, so that none is wanted.
+    /// Whether this is the reply to an exchange that this VM initiated, so no evidence is returned.
     pub is_answer: bool,
 }
 
@@ -83,7 +85,7 @@
 #[derive(Message)]
 #[rtype(result = "Vec<ServiceVersion>")]
 pub struct Compare {
-    /// The other's sums.
+    /// The hashes of the other VM's buckets.
     pub buckets: Vec<u64>,
 }
 
@@ -95,11 +97,13 @@
     pub services: Vec<String>,
 }
 
-/// Versions that another VM is said to hold.
+/// Offers versions for fetching that another VM has.
+///
+/// An empty list ends a fetch: services that failed may be fetched again.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Offered {
-    /// Who holds them.
+pub struct OfferVersions {
+    /// The peer address of the VM that has them.
     pub from: SocketAddr,
     /// The versions.
     pub versions: Vec<ServiceVersion>,
@@ -110,7 +114,7 @@
 #[rtype(result = "Vec<MemberUpdate>")]
 pub struct ListMembers;
 
-/// Members that another VM knows.
+/// Merges the member list of another VM.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct MergeMembers {
@@ -118,34 +122,34 @@
     pub members: Vec<MemberUpdate>,
 }
 
-/// The end of a health check.
+/// Reports the result of a health check.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Probed {
+pub struct ProbeResult {
     /// The service.
     pub service: ServiceKey,
     /// The backend server.
     pub backend: BackendKey,
-    /// How it ended.
+    /// The result.
     pub probe: Probe,
-    /// Whether the answer said that the backend server drains.
+    /// Whether the answer announced that the backend server is draining.
     pub is_draining: bool,
 }
 
-/// An operator's edit.
+/// Submits an operator's edit.
 #[derive(Message)]
 #[rtype(result = "Result<EditReply, Failure>")]
-pub struct MakeEdit(pub Edit);
+pub struct SubmitEdit(pub Edit);
 
-/// Asks for the documents, or one of them.
+/// Asks for all documents or for one of them.
 #[derive(Message)]
 #[rtype(result = "Vec<std::sync::Arc<ServiceDoc>>")]
 pub struct ListDocs {
-    /// The service, or none for all.
+    /// The service; `None` for all services.
     pub service: Option<String>,
 }
 
-/// Asks to serve a service although this VM is not of its set.
+/// Asks this VM to serve a service although it is not in the service's entry set.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ServeService {
@@ -166,12 +170,15 @@
     pub service: String,
 }
 
-/// Begins a planned stop.
+/// Begins a planned stop of the process.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Leave;
+pub struct BeginStop;
 
-/// Asks whether a planned stop may end: nothing is under way and no answer names this VM.
+/// Asks whether a planned stop may end.
+///
+/// It may once no request is in flight, no ticket result is stored and no unexpired answer names
+/// this VM, or when the stop reaches its time limit.
 #[derive(Message)]
 #[rtype(result = "bool")]
 pub struct MayStop;
--- a/crates/leverstream-node/src/node.rs
+++ b/crates/leverstream-node/src/node.rs
@@ -1,3 +1,5 @@
+//! Starts and stops a process: its listeners, control thread, traffic threads and store tasks.
+
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -26,70 +28,70 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-use crate::control::{Control, Gauges, Parts};
-use crate::messages::{Datagram, Leave, MayStop, ServeService};
-use crate::operators::{self, Desk};
+use crate::control::{Control, ControlParts, Gauges};
+use crate::control_handle::ControlHandle;
+use crate::messages::{BeginStop, Datagram, MayStop, ServeService};
+use crate::operators::{self, OperatorState};
 use crate::peers::{self, Channels, PeerService};
-use crate::questions::Questions;
 use crate::settings::Settings;
 use crate::store;
 
-/// The most observations that wait for the control thread.
-const OBSERVATIONS_LIMIT: usize = 65_536;
+/// The capacity of the queue of observations for the control thread.
+const OBSERVATION_QUEUE_CAPACITY: usize = 65_536;
 
-/// How often a TCP and a UDP port of the same number are looked for.
-const PORT_TRIES: u32 = 32;
+/// The maximum number of attempts to bind TCP and UDP to the same free port.
+const MAX_PORT_ATTEMPTS: u32 = 32;
 
-/// How often a planned stop looks whether it may end.
+/// The interval at which a planned stop checks whether it may end.
 const STOP_POLL_MS: u64 = 50;
 
-/// How long connections that are still open at the end of a stop are given, in seconds.
-const SHUTDOWN_S: u64 = 5;
+/// How long a stop waits for connections that are still open at its end.
+const SHUTDOWN_TIMEOUT_S: u64 = 5;
 
-/// A caller that has not sent a request's head after this time is dropped.
-const HEAD_MS: u64 = 10_000;
+/// A connection that has not sent a request's head after this time is closed.
+const HEAD_TIMEOUT_MS: u64 = 10_000;
 
 /// A running process of the fleet.
 pub struct Node {
-    /// Where callers connect.
+    /// The address of the callers' listener.
     pub caller_address: SocketAddr,
-    /// Where other VMs connect.
+    /// The address of the peers' listener.
     pub peer_address: SocketAddr,
-    /// Where operators connect.
+    /// The address of the operators' listener.
     pub operator_address: SocketAddr,
-    /// The control thread.
+    /// The actor of the control thread.
     control: Addr<Control>,
-    /// The callers' and the operators' servers.
+    /// The HTTP servers of callers and operators.
     servers: Vec<ServerHandle>,
 }
 
 /// Why a process could not start.
 #[derive(Debug, Display)]
 pub enum NodeError {
-    /// `{place}` cannot be listened on: {error}
+    /// cannot listen on the address of `{setting}`: {error}
     Bind {
-        /// The settings key.
-        place: &'static str,
-        /// What the system said.
+        /// The key of the listener's address in the settings.
+        setting: &'static str,
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// `{0}` names nothing that is built in
-    Plugin(&'static str),
+    /// `{0}` has no supported value
+    UnsupportedSetting(&'static str),
 }
 
 impl std::error::Error for NodeError {}
 
 impl Node {
-    /// Binds the listeners and starts all parts on the present actix system.
+    /// Binds the listeners and starts all tasks on the current actix system.
     pub async fn open(settings: Settings) -> Result<Node, NodeError> {
         let clock = Clock::start();
         let mut rng = StdRng::from_os_rng();
         let callers = listen("callers.listen", settings.callers.listen)?;
         let operators = listen("operators.listen", settings.operators.listen)?;
-        let (peers, socket) = listen_twice(settings.peers.listen).await?;
-        let caller_address = bound("callers.listen", &callers)?;
-        let peer_address = bound("peers.listen", &peers)?;
-        let operator_address = bound("operators.listen", &operators)?;
+        let (peers, socket) = listen_tcp_and_udp(settings.peers.listen).await?;
+        let caller_address = local_address("callers.listen", &callers)?;
+        let peer_address = local_address("peers.listen", &peers)?;
+        let operator_address = local_address("operators.listen", &operators)?;
 
         let identity = Identity {
             id: rng.random(),
@@ -99,7 +101,7 @@
             capacity_per_s: 0,
         };
         let mut registry = Registry::with_prefix("leverstream");
-        let (observation_sender, observations) = mpsc::channel(OBSERVATIONS_LIMIT);
+        let (observation_sender, observations) = mpsc::channel(OBSERVATION_QUEUE_CAPACITY);
         let (stem_sender, stem_requests) = mpsc::channel(1_024);
         let (serve_sender, serve_requests) = mpsc::channel(1_024);
         let proxy = Data::new(Proxy {
@@ -111,7 +113,8 @@
                 max_answer_bytes: settings.limits.ledger_answer_bytes,
             }),
             metrics: Metrics::open(&mut registry),
-            picker: picker(&settings.traffic.picker).ok_or(NodeError::Plugin("traffic.picker"))?,
+            picker: picker(&settings.traffic.picker)
+                .ok_or(NodeError::UnsupportedSetting("traffic.picker"))?,
             settings: ProxySettings {
                 answer_holds_ms: settings.times.answer_holds_ms,
                 connect_timeout_ms: settings.times.connect_timeout_ms,
@@ -122,9 +125,9 @@
             serve_requests: serve_sender,
             stems: parking_lot::Mutex::default(),
         });
-        let platform = open_platform(&settings, &mut registry)?;
+        let platform = new_platform_client(&settings, &mut registry)?;
         let fleet_key = FleetKey::derive(&settings.peers.key);
-        let channels = Channels::open(&fleet_key);
+        let channels = Channels::new(&fleet_key);
         let socket = Rc::new(socket);
         let swim_settings = SwimSettings {
             period_ms: settings.times.ping_period_ms,
@@ -132,12 +135,12 @@
             suspicion_ms: settings.times.suspicion_ms,
             ..SwimSettings::default()
         };
-        let gauges = open_gauges(&mut registry);
+        let gauges = register_gauges(&mut registry);
         let rule = eject_rule(&settings.traffic.eject_rule);
-        let control = Control::new(Parts {
+        let control = Control::new(ControlParts {
             proxy: proxy.clone(),
             swim: Swim::open(identity, swim_settings, rng, clock.now_ms()),
-            rule: rule.ok_or(NodeError::Plugin("traffic.eject_rule"))?,
+            eject_rule: rule.ok_or(NodeError::UnsupportedSetting("traffic.eject_rule"))?,
             platform: platform.clone(),
             channels: channels.clone(),
             fleet_key: fleet_key.clone(),
@@ -148,7 +151,7 @@
         })
         .start();
 
-        actix_rt::spawn(receive(
+        actix_rt::spawn(receive_datagrams(
             socket,
             fleet_key.clone(),
             control.clone(),
@@ -156,28 +159,31 @@
         ));
         actix_rt::spawn(serve_stems(stem_requests, channels, proxy.clone()));
         actix_rt::spawn(serve_services(serve_requests, control.clone()));
-        let wait_ms = settings.platform.watch_ms;
-        actix_rt::spawn(store::watch(platform.clone(), control.clone(), wait_ms));
+        let watch_ms = settings.platform.watch_ms;
+        actix_rt::spawn(store::watch_table(platform.clone(), control.clone(), watch_ms));
         actix_rt::spawn(store::list_vms(platform, control.clone()));
-        let questions = Questions::to(&control);
-        serve_peers(peers, PeerService::open(questions, proxy.clone(), fleet_key))?;
-        let desk = Data::new(Desk {
+        let control_handle = ControlHandle::new(&control);
+        serve_peers(peers, PeerService::new(control_handle, proxy.clone(), fleet_key))?;
+        let state = Data::new(OperatorState {
             control: control.clone(),
             key: settings.operators.key.clone(),
             registry: Arc::new(registry),
         });
         let servers =
-            vec![serve_callers(callers, proxy, &settings)?, serve_operators(operators, desk)?];
-        log::info!("node: {} in hall {} starts.", settings.vm, settings.hall);
+            vec![serve_callers(callers, proxy, &settings)?, serve_operators(operators, state)?];
+        log::info!("node: starting {} in hall {}.", settings.vm, settings.hall);
         log::info!("node: listens for callers on {caller_address}.");
         log::info!("node: listens for peers on {peer_address}.");
         log::info!("node: listens for operators on {operator_address}.");
         Ok(Node { caller_address, peer_address, operator_address, control, servers })
     }
 
-    /// Stops as planned: leaves the answers, serves until they have run out, finishes what runs.
+    /// Performs a planned stop.
+    ///
+    /// Answers to callers no longer name this VM; it serves until earlier answers have expired and
+    /// finishes the requests in flight.
     pub async fn stop(&self) {
-        if self.control.send(Leave).await.is_err() {
+        if self.control.send(BeginStop).await.is_err() {
             return;
         }
         while !self.control.send(MayStop).await.unwrap_or(true) {
@@ -186,40 +192,40 @@
         for server in &self.servers {
             server.stop(true).await;
         }
-        log::info!("node: has stopped.");
+        log::info!("node: stopped.");
     }
 }
 
-/// Listens on an address.
-fn listen(place: &'static str, address: SocketAddr) -> Result<TcpListener, NodeError> {
-    TcpListener::bind(address).map_err(|error| NodeError::Bind { place, error })
+/// Binds a TCP listener to an address.
+fn listen(setting: &'static str, address: SocketAddr) -> Result<TcpListener, NodeError> {
+    TcpListener::bind(address).map_err(|error| NodeError::Bind { setting, error })
 }
 
-/// The address that a listener was given.
-fn bound(place: &'static str, listener: &TcpListener) -> Result<SocketAddr, NodeError> {
-    listener.local_addr().map_err(|error| NodeError::Bind { place, error })
+/// Returns a listener's local address.
+fn local_address(setting: &'static str, listener: &TcpListener) -> Result<SocketAddr, NodeError> {
+    listener.local_addr().map_err(|error| NodeError::Bind { setting, error })
 }
 
-/// Listens for TCP and UDP on the same port.
-async fn listen_twice(address: SocketAddr) -> Result<(TcpListener, UdpSocket), NodeError> {
-    let place = "peers.listen";
-    let mut last = None;
-    for _ in 0..PORT_TRIES {
-        let listener = listen(place, address)?;
-        match UdpSocket::bind(bound(place, &listener)?).await {
+/// Binds TCP and UDP to the same port.
+async fn listen_tcp_and_udp(address: SocketAddr) -> Result<(TcpListener, UdpSocket), NodeError> {
+    let setting = "peers.listen";
+    let mut last_error = None;
+    for _ in 0..MAX_PORT_ATTEMPTS {
+        let listener = listen(setting, address)?;
+        match UdpSocket::bind(local_address(setting, &listener)?).await {
             Ok(socket) => return Ok((listener, socket)),
-            Err(error) if address.port() != 0 => return Err(NodeError::Bind { place, error }),
-            Err(error) => last = Some(error),
+            Err(error) if address.port() != 0 => return Err(NodeError::Bind { setting, error }),
+            Err(error) => last_error = Some(error),
         }
     }
-    let error = last.unwrap_or_else(|| std::io::ErrorKind::AddrInUse.into());
-    Err(NodeError::Bind { place, error })
+    let error = last_error.unwrap_or_else(|| std::io::ErrorKind::AddrInUse.into());
+    Err(NodeError::Bind { setting, error })
 }
 
-/// Opens the platform's client and registers its counts.
-fn open_platform(settings: &Settings, registry: &mut Registry) -> Result<Store, NodeError> {
+/// Creates the client of the platform's store and registers its call counts.
+fn new_platform_client(settings: &Settings, registry: &mut Registry) -> Result<Store, NodeError> {
     let platform = &settings.platform;
-    let address = platform.address().ok_or(NodeError::Plugin("platform.url"))?;
+    let address = platform.address().ok_or(NodeError::UnsupportedSetting("platform.url"))?;
     let store = Store::open_bounded(address, platform.timeout_ms, platform.calls_per_s);
     let counts = [
         (Call::Get, "platform_get_calls"),
@@ -234,10 +240,10 @@
     Ok(store)
 }
 
-/// Registers what the control thread counts.
-fn open_gauges(registry: &mut Registry) -> Gauges {
+/// Creates and registers the control thread's gauges.
+fn register_gauges(registry: &mut Registry) -> Gauges {
     let gauges = Gauges::default();
-    let all = [
+    let named = [
         ("members", "Members that are not dead", &gauges.members),
         ("table_services", "Services in the table", &gauges.services),
         ("services_served", "Services that this VM serves", &gauges.serving),
@@ -246,14 +252,19 @@
         ("datagrams_refused", "Datagrams refused", &gauges.refused_datagrams),
         ("datagram_bytes", "Bytes of datagrams sent", &gauges.datagram_bytes),
     ];
-    for (name, help, gauge) in all {
+    for (name, help, gauge) in named {
         registry.register(name, help, gauge.clone());
     }
     gauges
 }
 
-/// Hands datagrams to the control thread.
-async fn receive(socket: Rc<UdpSocket>, key: FleetKey, control: Addr<Control>, refused: Gauge) {
+/// Receives datagrams and passes the valid ones to the control thread.
+async fn receive_datagrams(
+    socket: Rc<UdpSocket>,
+    key: FleetKey,
+    control: Addr<Control>,
+    refused_datagrams: Gauge,
+) {
     let mut buffer = vec![0; PACKET_LIMIT_BYTES + 1];
     loop {
         let Ok((count, from)) = socket.recv_from(&mut buffer).await else { continue };
@@ -262,13 +273,13 @@
                 let _ = control.try_send(Datagram { from, packet });
             }
             Err(_) => {
-                refused.inc();
+                refused_datagrams.inc();
             }
         }
     }
 }
 
-/// Fetches stems for traffic threads.
+/// Fetches the ticket stems that traffic threads request.
 async fn serve_stems(
     mut requests: mpsc::Receiver<StemRequest>,
     channels: Channels,
@@ -283,7 +294,7 @@
     }
 }
 
-/// Has services served that traffic threads ask for.
+/// Asks the control thread to serve the services that traffic threads request.
 async fn serve_services(mut requests: mpsc::Receiver<ServeRequest>, control: Addr<Control>) {
     while let Some(request) = requests.recv().await {
         let _ = control.send(ServeService { service: request.service }).await;
@@ -291,12 +302,12 @@
     }
 }
 
-/// Serves other VMs on the control thread.
+/// Serves calls from other VMs on the control thread.
 fn serve_peers(listener: TcpListener, service: PeerService) -> Result<(), NodeError> {
-    let place = "peers.listen";
-    let wrap = |error| NodeError::Bind { place, error };
-    listener.set_nonblocking(true).map_err(wrap)?;
-    let listener = tokio::net::TcpListener::from_std(listener).map_err(wrap)?;
+    let setting = "peers.listen";
+    let bind_error = |error| NodeError::Bind { setting, error };
+    listener.set_nonblocking(true).map_err(bind_error)?;
+    let listener = tokio::net::TcpListener::from_std(listener).map_err(bind_error)?;
     let incoming = stream::unfold(listener, |listener| async move {
         let accepted = listener.accept().await.map(|(stream, _)| {
             let _ = stream.set_nodelay(true);
@@ -309,13 +320,13 @@
         .serve_with_incoming(incoming);
     actix_rt::spawn(async move {
         if let Err(error) = server.await {
-            log::error!("peers: the listener has failed: {error}.");
+            log::error!("peers: the listener failed: {error}.");
         }
     });
     Ok(())
 }
 
-/// Serves callers on threads of their own.
+/// Serves callers on the traffic threads.
 fn serve_callers(
     listener: TcpListener,
     proxy: Data<Proxy>,
@@ -326,28 +337,31 @@
     })
     .workers(settings.callers.threads)
     .max_connections(settings.callers.connections_a_thread)
-    .client_request_timeout(Duration::from_millis(HEAD_MS))
+    .client_request_timeout(Duration::from_millis(HEAD_TIMEOUT_MS))
     .keep_alive(Duration::from_secs(60))
-    .shutdown_timeout(SHUTDOWN_S)
+    .shutdown_timeout(SHUTDOWN_TIMEOUT_S)
     .disable_signals()
     .listen(listener)
-    .map_err(|error| NodeError::Bind { place: "callers.listen", error })?
+    .map_err(|error| NodeError::Bind { setting: "callers.listen", error })?
     .run();
     let handle = server.handle();
     actix_rt::spawn(server);
     Ok(handle)
 }
 
-/// Serves operators on a thread of its own.
-fn serve_operators(listener: TcpListener, desk: Data<Desk>) -> Result<ServerHandle, NodeError> {
+/// Serves operators on a separate thread.
+fn serve_operators(
+    listener: TcpListener,
+    state: Data<OperatorState>,
+) -> Result<ServerHandle, NodeError> {
     let server =
-        HttpServer::new(move || App::new().app_data(desk.clone()).configure(operators::configure))
+        HttpServer::new(move || App::new().app_data(state.clone()).configure(operators::configure))
             .workers(1)
-            .client_request_timeout(Duration::from_millis(HEAD_MS))
+            .client_request_timeout(Duration::from_millis(HEAD_TIMEOUT_MS))
             .shutdown_timeout(1)
             .disable_signals()
             .listen(listener)
-            .map_err(|error| NodeError::Bind { place: "operators.listen", error })?
+            .map_err(|error| NodeError::Bind { setting: "operators.listen", error })?
             .run();
     let handle = server.handle();
     actix_rt::spawn(server);
--- a/crates/leverstream-node/src/operators.rs
+++ b/crates/leverstream-node/src/operators.rs
@@ -1,3 +1,5 @@
+//! The HTTP API for operators.
+
 use std::sync::Arc;
 
 use actix::Addr;
@@ -13,19 +15,19 @@
 use subtle::ConstantTimeEq;
 
 use crate::control::Control;
-use crate::messages::{GetHealth, GetStatus, ListDocs, MakeEdit};
+use crate::messages::{GetHealth, GetStatus, ListDocs, SubmitEdit};
 use crate::reports::Failure;
 
-/// The largest edit that is read, in bytes.
-const EDIT_LIMIT_BYTES: usize = 1 << 20;
+/// The maximum size of an edit.
+const MAX_EDIT_BYTES: usize = 1 << 20;
 
-/// What the operators' listener shares between its requests.
-pub struct Desk {
+/// The state shared by the handlers of operators' requests.
+pub struct OperatorState {
     /// The control thread.
     pub control: Addr<Control>,
-    /// The bearer key.
+    /// The bearer key that operators must present.
     pub key: String,
-    /// The metrics.
+    /// The registry of metrics.
     pub registry: Arc<Registry>,
 }
 
@@ -42,87 +44,96 @@
     }
 }
 
-/// Sets up the operators' listener.
+/// Configures the routes of the operators' listener.
 pub fn configure(config: &mut ServiceConfig) {
     let json = web::JsonConfig::default()
-        .limit(EDIT_LIMIT_BYTES)
+        .limit(MAX_EDIT_BYTES)
         .error_handler(|error, _| Failure::new(Kind::BadRequest, &error.to_string()).into());
-    config.app_data(json).route("/metrics", web::get().to(metrics)).service(
+    config.app_data(json).route("/metrics", web::get().to(get_metrics)).service(
         web::scope("/v1")
             .wrap(actix_web::middleware::from_fn(check_key))
-            .route("/table", web::get().to(table))
-            .route("/table/{service}", web::get().to(table_of))
-            .route("/edits", web::post().to(make_edit))
+            .route("/table", web::get().to(list_docs))
+            .route("/table/{service}", web::get().to(get_doc))
+            .route("/edits", web::post().to(submit_edit))
             .route("/status", web::get().to(get_status))
             .route("/health/{service}", web::get().to(get_health)),
     );
 }
 
-/// Refuses a request that does not show the operators' key.
+/// Rejects a request without the operators' key.
 async fn check_key(
     request: ServiceRequest,
     next: Next<impl MessageBody>,
 ) -> Result<ServiceResponse<impl MessageBody>, actix_web::Error> {
-    let shown = request.headers().get("authorization").and_then(|value| value.to_str().ok());
-    let shown = shown.and_then(|value| value.strip_prefix("Bearer ")).unwrap_or_default();
-    let fits = request
-        .app_data::<Data<Desk>>()
-        .is_some_and(|desk| bool::from(desk.key.as_bytes().ct_eq(shown.as_bytes())));
-    if !fits {
-        log::warn!("operators: a request without the key was refused.");
+    let presented = request.headers().get("authorization").and_then(|value| value.to_str().ok());
+    let presented = presented.and_then(|value| value.strip_prefix("Bearer ")).unwrap_or_default();
+    let is_valid = request
+        .app_data::<Data<OperatorState>>()
+        .is_some_and(|state| bool::from(state.key.as_bytes().ct_eq(presented.as_bytes())));
+    if !is_valid {
+        log::warn!("operators: rejected a request without a valid key.");
         return Err(Failure::new(Kind::Unauthorized, "show the operators' key").into());
     }
     next.call(request).await
 }
 
-/// Answers with the metrics.
-async fn metrics(desk: Data<Desk>) -> HttpResponse {
+/// Returns the metrics in the OpenMetrics text format.
+async fn get_metrics(state: Data<OperatorState>) -> HttpResponse {
     HttpResponse::Ok()
         .content_type("application/openmetrics-text; version=1.0.0; charset=utf-8")
-        .body(leverstream_observe::encode(&desk.registry))
+        .body(leverstream_observe::encode(&state.registry))
 }
 
-/// Answers with all documents.
-async fn table(desk: Data<Desk>) -> Result<HttpResponse, Failure> {
-    let docs = desk.control.send(ListDocs { service: None }).await.map_err(stopping)?;
+/// Returns all documents of the table.
+async fn list_docs(state: Data<OperatorState>) -> Result<HttpResponse, Failure> {
+    let docs = state.control.send(ListDocs { service: None }).await.map_err(stopping)?;
     Ok(HttpResponse::Ok().json(docs))
 }
 
-/// Answers with one document.
-async fn table_of(desk: Data<Desk>, service: Path<String>) -> Result<HttpResponse, Failure> {
+/// Returns a service's document.
+async fn get_doc(
+    state: Data<OperatorState>,
+    service: Path<String>,
+) -> Result<HttpResponse, Failure> {
     let service = service.into_inner();
-    let wanted = ListDocs { service: Some(service.clone()) };
-    let docs: Vec<Arc<ServiceDoc>> = desk.control.send(wanted).await.map_err(stopping)?;
-    let doc = docs.first().ok_or_else(|| unknown(&service))?;
+    let request = ListDocs { service: Some(service.clone()) };
+    let docs: Vec<Arc<ServiceDoc>> = state.control.send(request).await.map_err(stopping)?;
+    let doc = docs.first().ok_or_else(|| service_unknown(&service))?;
     Ok(HttpResponse::Ok().json(doc))
 }
 
-/// Makes an edit.
-async fn make_edit(desk: Data<Desk>, edit: Json<Edit>) -> Result<HttpResponse, Failure> {
-    let reply = desk.control.send(MakeEdit(edit.into_inner())).await.map_err(stopping)??;
+/// Submits an edit to the table.
+async fn submit_edit(
+    state: Data<OperatorState>,
+    edit: Json<Edit>,
+) -> Result<HttpResponse, Failure> {
+    let reply = state.control.send(SubmitEdit(edit.into_inner())).await.map_err(stopping)??;
     Ok(HttpResponse::Ok().json(reply))
 }
 
-/// Answers with the state of the fleet.
-async fn get_status(desk: Data<Desk>) -> Result<HttpResponse, Failure> {
-    let report = desk.control.send(GetStatus).await.map_err(stopping)?;
+/// Returns the state of the fleet.
+async fn get_status(state: Data<OperatorState>) -> Result<HttpResponse, Failure> {
+    let report = state.control.send(GetStatus).await.map_err(stopping)?;
     Ok(HttpResponse::Ok().json(report))
 }
 
-/// Answers with the health of a service's backend servers.
-async fn get_health(desk: Data<Desk>, service: Path<String>) -> Result<HttpResponse, Failure> {
+/// Returns the health of a service's backend servers at this VM.
+async fn get_health(
+    state: Data<OperatorState>,
+    service: Path<String>,
+) -> Result<HttpResponse, Failure> {
     let service = service.into_inner();
-    let wanted = GetHealth { service: service.clone() };
-    let report = desk.control.send(wanted).await.map_err(stopping)?;
-    Ok(HttpResponse::Ok().json(report.ok_or_else(|| unknown(&service))?))
+    let request = GetHealth { service: service.clone() };
+    let report = state.control.send(request).await.map_err(stopping)?;
+    Ok(HttpResponse::Ok().json(report.ok_or_else(|| service_unknown(&service))?))
 }
 
-/// The service is not in the table, or not served by this VM.
-fn unknown(service: &str) -> Failure {
+/// The failure for a service that is not in the table or not served by this VM.
+fn service_unknown(service: &str) -> Failure {
     Failure::new(Kind::ServiceUnknown, &format!("`{service}` is not here"))
 }
 
-/// The control thread is gone.
+/// The failure when the control thread no longer runs, as at the end of a stop.
 #[allow(clippy::needless_pass_by_value, reason = "used as an argument of map_err")]
 fn stopping(_: actix::MailboxError) -> Failure {
     Failure::new(Kind::Stopping, "the process is stopping")
--- a/crates/leverstream-node/src/peers.rs
+++ b/crates/leverstream-node/src/peers.rs
@@ -1,3 +1,5 @@
+//! Calls between VMs over gRPC: the service that answers them and the client side.
+
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,45 +20,47 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Request, Response, Status};
 
-use crate::messages::{Adopt, Compare, Exchange, Fetch, ListMembers, MergeMembers, Offered};
-use crate::questions::Questions;
+use crate::control_handle::ControlHandle;
+use crate::messages::{
+    Compare, Exchange, Fetch, ListMembers, MergeDocs, MergeMembers, OfferVersions,
+};
 
-/// How long a call to another VM may take.
-const CALL_MS: u64 = 1_000;
+/// The timeout of a call to another VM.
+const CALL_TIMEOUT_MS: u64 = 1_000;
 
-/// How long a call for a stem may take; a VM that is slower is left out of the answer.
-const STEM_MS: u64 = 400;
+/// The timeout of a call for a ticket stem; a slower VM is left out of the answer to the caller.
+const STEM_TIMEOUT_MS: u64 = 400;
 
-/// The most documents that are fetched in one call.
-const FETCH_LIMIT: usize = 64;
+/// The maximum number of documents in one fetch call.
+const MAX_DOCS_PER_FETCH: usize = 64;
 
-/// The most connections to other VMs that are kept.
-const CHANNELS_LIMIT: usize = 256;
+/// The maximum number of open connections to other VMs.
+const MAX_CHANNELS: usize = 256;
 
 /// Answers calls from other VMs.
 #[derive(Clone)]
 pub struct PeerService {
-    /// What is asked of the control thread.
-    control: Questions,
-    /// What traffic threads share.
+    /// Sends messages to the control thread.
+    control: ControlHandle,
+    /// The state shared with traffic threads.
     proxy: Data<Proxy>,
-    /// The fleet's key.
+    /// The fleet's key, which authenticates calls.
     key: FleetKey,
 }
 
 impl PeerService {
-    /// Opens the service.
-    pub fn open(control: Questions, proxy: Data<Proxy>, key: FleetKey) -> PeerService {
+    /// Creates the service.
+    pub fn new(control: ControlHandle, proxy: Data<Proxy>, key: FleetKey) -> PeerService {
         PeerService { control, proxy, key }
     }
 
-    /// Refuses a call that does not show the fleet's key.
-    fn check<T>(&self, request: &Request<T>) -> Result<(), Status> {
+    /// Rejects a call without a valid token of the fleet's key.
+    fn check_token<T>(&self, request: &Request<T>) -> Result<(), Status> {
         let token = request.metadata().get(TOKEN_METADATA).and_then(|value| value.to_str().ok());
         if token.is_some_and(|token| self.key.accepts(token)) {
             return Ok(());
         }
-        log::warn!("peers: a call without the fleet's key was refused.");
+        log::warn!("peers: rejected a call without a valid fleet key.");
         Err(Status::unauthenticated("the fleet's key is missing"))
     }
 }
@@ -64,22 +68,22 @@
 #[tonic::async_trait]
 impl Peer for PeerService {
     async fn stem(&self, request: Request<StemRequest>) -> Result<Response<StemReply>, Status> {
-        self.check(&request)?;
+        self.check_token(&request)?;
         let stem = self.proxy.mint.stem(self.proxy.now_ms()).to_bytes().to_vec();
         Ok(Response::new(StemReply { stem, holds_ms: self.proxy.mint.ttl_ms() }))
     }
 
     async fn exchange(&self, request: Request<Digest>) -> Result<Response<Digest>, Status> {
-        self.check(&request)?;
+        self.check_token(&request)?;
         let digest = request.into_inner();
         let answer = self.control.exchange.send(Exchange { digest, is_answer: false }).await;
-        Ok(Response::new(answer.map_err(away)?))
+        Ok(Response::new(answer.map_err(stopping)?))
     }
 
     async fn compare(&self, request: Request<Buckets>) -> Result<Response<Versions>, Status> {
-        self.check(&request)?;
+        self.check_token(&request)?;
         let buckets = request.into_inner().hashes;
-        let services = self.control.compare.send(Compare { buckets }).await.map_err(away)?;
+        let services = self.control.compare.send(Compare { buckets }).await.map_err(stopping)?;
         Ok(Response::new(Versions { services }))
     }
 
@@ -87,73 +91,80 @@
         &self,
         request: Request<MembersRequest>,
     ) -> Result<Response<MembersReply>, Status> {
-        self.check(&request)?;
-        let members = self.control.members.send(ListMembers).await.map_err(away)?;
+        self.check_token(&request)?;
+        let members = self.control.members.send(ListMembers).await.map_err(stopping)?;
         Ok(Response::new(MembersReply { members }))
     }
 
     async fn fetch(&self, request: Request<FetchRequest>) -> Result<Response<FetchReply>, Status> {
-        self.check(&request)?;
+        self.check_token(&request)?;
         let mut services = request.into_inner().services;
-        services.truncate(FETCH_LIMIT);
-        let objects = self.control.fetch.send(Fetch { services }).await.map_err(away)?;
+        services.truncate(MAX_DOCS_PER_FETCH);
+        let objects = self.control.fetch.send(Fetch { services }).await.map_err(stopping)?;
         Ok(Response::new(FetchReply { objects }))
     }
 }
 
-/// The control thread is gone, as at the end of a stop.
-fn away(_: actix::MailboxError) -> Status {
+/// The error when the control thread no longer runs, as at the end of a stop.
+fn stopping(_: actix::MailboxError) -> Status {
     Status::unavailable("the process is stopping")
 }
 
-/// Connections to other VMs, opened when they are needed and kept.
+/// A pool of connections to other VMs, opened on first use.
 #[derive(Clone)]
 pub struct Channels {
-    /// The connections by address.
+    /// The connections by peer address.
     channels: Rc<RefCell<HashMap<SocketAddr, Channel>>>,
-    /// Shows the fleet's key on each call.
-    token: ShowKey,
+    /// Adds the fleet's token to each call.
+    interceptor: TokenInterceptor,
 }
 
-/// Puts the fleet's token on each call.
+/// Adds the token of the fleet's key to the metadata of each call.
 #[derive(Clone)]
-pub struct ShowKey(MetadataValue<tonic::metadata::Ascii>);
+pub struct TokenInterceptor(MetadataValue<tonic::metadata::Ascii>);
 
-impl Interceptor for ShowKey {
+impl Interceptor for TokenInterceptor {
     fn call(&mut self, mut request: Request<()>) -> Result<Request<()>, Status> {
         request.metadata_mut().insert(TOKEN_METADATA, self.0.clone());
         Ok(request)
     }
 }
 
-/// A client of one other VM.
-type Client = PeerClient<InterceptedService<Channel, ShowKey>>;
+/// A client for calls to one VM.
+type Client = PeerClient<InterceptedService<Channel, TokenInterceptor>>;
 
 impl Channels {
-    /// Opens an empty set.
-    pub fn open(key: &FleetKey) -> Channels {
+    /// Creates an empty pool.
+    pub fn new(key: &FleetKey) -> Channels {
         let token = key.token().parse().unwrap_or_else(|_| MetadataValue::from_static(""));
-        Channels { channels: Rc::default(), token: ShowKey(token) }
+        Channels { channels: Rc::default(), interceptor: TokenInterceptor(token) }
     }
 
-    /// A client of the VM at an address; it connects with the first call.
+    /// Returns a client for the VM at an address; it connects on its first call.
+    ///
+    /// A full pool is emptied before a new connection is added.
     fn client(&self, address: SocketAddr) -> Option<Client> {
         let mut channels = self.channels.borrow_mut();
-        if channels.len() >= CHANNELS_LIMIT && !channels.contains_key(&address) {
+        if channels.len() >= MAX_CHANNELS && !channels.contains_key(&address) {
             channels.clear();
         }
         if let std::collections::hash_map::Entry::Vacant(entry) = channels.entry(address) {
             let endpoint = Endpoint::from_shared(format!("http://{address}")).ok()?;
-            let timeout = Duration::from_millis(CALL_MS);
+            let timeout = Duration::from_millis(CALL_TIMEOUT_MS);
             entry.insert(endpoint.connect_timeout(timeout).timeout(timeout).connect_lazy());
         }
         let channel = channels.get(&address)?.clone();
-        Some(PeerClient::with_interceptor(channel, self.token.clone()))
+        Some(PeerClient::with_interceptor(channel, self.interceptor.clone()))
     }
 }
 
-/// Swaps evidence with another VM.
-pub fn exchange(channels: &Channels, peer: SocketAddr, digest: Digest, control: Questions) {
+/// Sends evidence to another VM and delivers the evidence in its reply to the control thread.
+pub fn exchange_evidence(
+    channels: &Channels,
+    peer: SocketAddr,
+    digest: Digest,
+    control: ControlHandle,
+) {
     let Some(mut client) = channels.client(peer) else { return };
     actix_rt::spawn(async move {
         if let Ok(answer) = client.exchange(digest).await {
@@ -163,67 +174,79 @@
     });
 }
 
-/// Asks another VM which versions it holds that differ, and offers them to the control thread.
-pub fn compare(channels: &Channels, peer: SocketAddr, hashes: Vec<u64>, control: Questions) {
+/// Asks another VM for the versions that differ and offers them to the control thread.
+pub fn compare_tables(
+    channels: &Channels,
+    peer: SocketAddr,
+    hashes: Vec<u64>,
+    control: ControlHandle,
+) {
     let Some(mut client) = channels.client(peer) else { return };
     actix_rt::spawn(async move {
         if let Ok(answer) = client.compare(Buckets { hashes }).await {
             let versions = answer.into_inner().services;
-            control.offer.do_send(Offered { from: peer, versions });
+            control.offer_versions.do_send(OfferVersions { from: peer, versions });
         }
     });
 }
 
-/// Asks another VM for all versions that it holds.
-pub async fn versions(channels: &Channels, peer: SocketAddr) -> Option<Vec<ServiceVersion>> {
+/// Asks another VM for the versions of all its documents.
+pub async fn list_versions(channels: &Channels, peer: SocketAddr) -> Option<Vec<ServiceVersion>> {
     let mut client = channels.client(peer)?;
     let answer = client.compare(Buckets { hashes: Vec::new() }).await.ok()?;
     Some(answer.into_inner().services)
 }
 
-/// Fetches documents from another VM.
-pub fn fetch(channels: &Channels, peer: SocketAddr, services: Vec<String>, control: Questions) {
+/// Fetches documents from another VM and sends them to the control thread.
+pub fn fetch_docs(
+    channels: &Channels,
+    peer: SocketAddr,
+    services: Vec<String>,
+    control: ControlHandle,
+) {
     let Some(mut client) = channels.client(peer) else { return };
     actix_rt::spawn(async move {
-        for part in services.chunks(FETCH_LIMIT) {
-            let request = FetchRequest { services: part.to_vec() };
+        for names in services.chunks(MAX_DOCS_PER_FETCH) {
+            let request = FetchRequest { services: names.to_vec() };
             let Ok(answer) = client.fetch(request).await else { break };
             let objects = answer.into_inner().objects;
             let docs = objects.iter().filter_map(|object| ServiceDoc::from_json(&object.json).ok());
-            control.adopt.do_send(Adopt { docs: docs.collect() });
+            control.merge_docs.do_send(MergeDocs { docs: docs.collect() });
         }
-        // Whatever failed may be fetched again.
-        control.offer.do_send(Offered { from: peer, versions: Vec::new() });
+        // An empty offer allows the control thread to fetch failed services again.
+        control.offer_versions.do_send(OfferVersions { from: peer, versions: Vec::new() });
     });
 }
 
-/// Asks another VM for all members that it knows.
-pub fn list_members(channels: &Channels, peer: SocketAddr, control: Questions) {
+/// Asks another VM for its member list and sends it to the control thread.
+pub fn list_members(channels: &Channels, peer: SocketAddr, control: ControlHandle) {
     let Some(mut client) = channels.client(peer) else { return };
     actix_rt::spawn(async move {
         if let Ok(answer) = client.members(MembersRequest {}).await {
-            control.merge.do_send(MergeMembers { members: answer.into_inner().members });
+            control.merge_members.do_send(MergeMembers { members: answer.into_inner().members });
         }
     });
 }
 
-/// Fetches stems from other VMs at once and keeps them for the answers to callers.
+/// Fetches ticket stems from other VMs concurrently and stores them for the answers to callers.
+///
+/// A stem is the part of a ticket that only its home, the VM it names, can issue.
 pub async fn fetch_stems(channels: Channels, proxy: Data<Proxy>, vms: Vec<VmView>) {
     let fetches = vms.into_iter().map(|vm| fetch_stem(&channels, &proxy, vm));
     futures_util::future::join_all(fetches).await;
 }
 
-/// Fetches one stem; without an answer in time the VM gets none and is left out.
+/// Fetches one stem; a VM that does not answer in time is left out of answers to callers.
 async fn fetch_stem(channels: &Channels, proxy: &Proxy, vm: VmView) {
     let Some(mut client) = channels.client(vm.peer_address) else { return };
-    let asked_ms = proxy.now_ms();
+    let requested_ms = proxy.now_ms();
     let call = client.stem(StemRequest {});
-    let answer = tokio::time::timeout(Duration::from_millis(STEM_MS), call).await;
+    let answer = tokio::time::timeout(Duration::from_millis(STEM_TIMEOUT_MS), call).await;
     let Ok(Ok(answer)) = answer else { return };
     let reply = answer.into_inner();
     let stem = Stem::from_bytes(&reply.stem).filter(|stem| stem.home == vm.id);
     if let Some(stem) = stem {
-        let held = HeldStem { stem, holds_ms: reply.holds_ms, fetched_ms: asked_ms };
+        let held = HeldStem { stem, holds_ms: reply.holds_ms, fetched_ms: requested_ms };
         proxy.stems.lock().insert(vm.id, held);
     }
 }
--- a/crates/leverstream-node/src/probe.rs
+++ b/crates/leverstream-node/src/probe.rs
@@ -1,3 +1,5 @@
+//! Active health checks of backend servers.
+
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -6,46 +8,46 @@
 use leverstream_member::{Member, Swim, entry_set};
 use leverstream_proxy::{DRAINING_HEADER, PROBE_HEADER, ServiceKey};
 
-use crate::messages::Probed;
+use crate::messages::ProbeResult;
 use crate::service::Service;
 
-/// How many VMs check one backend server.
-const PROBERS: usize = 2;
+/// How many VMs check the same backend server.
+const PROBERS_PER_BACKEND: usize = 2;
 
-/// How long a health check may take.
-const PROBE_MS: u64 = 1_000;
+/// The timeout of a health check.
+const PROBE_TIMEOUT_MS: u64 = 1_000;
 
-/// When each backend server is checked next.
+/// The schedule of health checks.
 #[derive(Default)]
-pub struct Plan {
-    /// The times by service and backend server.
+pub struct ProbeSchedule {
+    /// The next check of each backend server.
     due_ms: HashMap<(ServiceKey, BackendKey), u64>,
 }
 
-/// A health check to make.
-pub struct Check {
+/// A health check to run.
+pub struct HealthCheck {
     /// The service.
     service: ServiceKey,
     /// The backend server.
     backend: BackendKey,
-    /// What is asked for.
+    /// The URL to request.
     url: String,
 }
 
-impl Plan {
-    /// The health checks of some services that are due and fall to a VM.
+impl ProbeSchedule {
+    /// Returns the due health checks of the services that are assigned to this VM.
     pub fn due<'a>(
         &mut self,
         services: impl Iterator<Item = &'a Service>,
         swim: &Swim,
         now_ms: u64,
-    ) -> Vec<Check> {
-        let checked = services.filter(|service| !service.doc.row.probe_path.is_empty());
-        checked.flat_map(|service| self.due_of(service, swim, now_ms)).collect()
+    ) -> Vec<HealthCheck> {
+        let checkable = services.filter(|service| !service.doc.row.probe_path.is_empty());
+        checkable.flat_map(|service| self.due_for_service(service, swim, now_ms)).collect()
     }
 
-    /// Those of one service.
-    fn due_of(&mut self, service: &Service, swim: &Swim, now_ms: u64) -> Vec<Check> {
+    /// Returns the due health checks of one service that are assigned to this VM.
+    fn due_for_service(&mut self, service: &Service, swim: &Swim, now_ms: u64) -> Vec<HealthCheck> {
         let (me, row) = (swim.me().identity.id, &service.doc.row);
         let mut due = Vec::new();
         for (key, name, backend) in service.backends() {
@@ -54,42 +56,44 @@
                 continue;
             }
             *next_ms = now_ms + row.probe_interval_ms;
-            let known = swim
+            let entry_members = swim
                 .members()
-                .filter(|member| service.entry.iter().any(|vm| vm.id == member.identity.id));
-            if falls_to(me, &service.doc.service, name, known) {
+                .filter(|member| service.entry_vms.iter().any(|vm| vm.id == member.identity.id));
+            if is_assigned(me, &service.doc.service, name, entry_members) {
                 let url = format!("http://{}{}", backend.address, row.probe_path);
-                due.push(Check { service: service.key, backend: key, url });
+                due.push(HealthCheck { service: service.key, backend: key, url });
             }
         }
         due
     }
 }
 
-/// Starts health checks; how they end is told.
-pub fn start(checks: Vec<Check>, probed: &Recipient<Probed>) {
-    for one in checks {
-        actix_rt::spawn(check(probed.clone(), one));
+/// Starts health checks, which report their results to a recipient.
+pub fn start_checks(checks: Vec<HealthCheck>, results: &Recipient<ProbeResult>) {
+    for check in checks {
+        actix_rt::spawn(run_check(results.clone(), check));
     }
 }
 
-/// Tells whether a backend server's health check falls to a VM.
-fn falls_to<'a>(
+/// Returns whether a VM is assigned to check a backend server.
+///
+/// Rendezvous hashing assigns each backend server to [`PROBERS_PER_BACKEND`] members.
+fn is_assigned<'a>(
     id: u64,
     service: &str,
     backend: &str,
     members: impl Iterator<Item = &'a Member>,
 ) -> bool {
-    let chosen = entry_set(&format!("probe/{service}/{backend}"), members, PROBERS);
-    chosen.iter().any(|member| member.identity.id == id)
+    let probers = entry_set(&format!("probe/{service}/{backend}"), members, PROBERS_PER_BACKEND);
+    probers.iter().any(|member| member.identity.id == id)
 }
 
-/// Makes one health check and tells how it ended.
-async fn check(probed: Recipient<Probed>, check: Check) {
-    let Check { service, backend, url } = check;
+/// Runs a health check and reports its result.
+async fn run_check(results: Recipient<ProbeResult>, check: HealthCheck) {
+    let HealthCheck { service, backend, url } = check;
     let client = awc::Client::builder().disable_redirects().finish();
     let request = client.get(url).insert_header((PROBE_HEADER, "1"));
-    let answer = request.timeout(Duration::from_millis(PROBE_MS)).send().await;
+    let answer = request.timeout(Duration::from_millis(PROBE_TIMEOUT_MS)).send().await;
     let (probe, is_draining) = match answer {
         Ok(answer) => {
             let is_draining = answer.headers().contains_key(DRAINING_HEADER);
@@ -101,5 +105,5 @@
         }
         Err(_) => (Probe::Bad, false),
     };
-    probed.do_send(Probed { service, backend, probe, is_draining });
+    results.do_send(ProbeResult { service, backend, probe, is_draining });
 }
--- a/crates/leverstream-node/src/reports.rs
+++ b/crates/leverstream-node/src/reports.rs
@@ -1,126 +1,128 @@
+//! The JSON documents that operators receive.
+
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use leverstream_error::Kind;
 use serde::{Deserialize, Serialize};
 
-/// The answer to an edit that has landed.
+/// The answer to an accepted edit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EditReply {
-    /// The version that the edit made.
+    /// The service's version after the edit.
     pub version: u64,
-    /// Whether an earlier try of the same edit had landed already.
+    /// Whether an earlier attempt of the same edit had already landed.
     pub landed_before: bool,
 }
 
-/// An operator's request that failed.
+/// The answer to an operator's request that failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
-    /// The kind's name.
+    /// The name of the error's kind.
     pub error: String,
-    /// What became of the request.
+    /// Whether the request took effect.
     pub outcome: String,
-    /// What happened, in a sentence.
+    /// A description of the error.
     pub detail: String,
 }
 
 /// The state of the fleet, as one process sees it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// The process that reports.
+    /// The VM name of the reporting process.
     pub vm: String,
-    /// Its number.
+    /// The id of the reporting process, in hexadecimal.
     pub id: String,
     /// The members that are not dead.
     pub members: Vec<MemberReport>,
-    /// The versions of the services, and how many VMs have them.
-    pub services: BTreeMap<String, InForce>,
-    /// Milliseconds since the store or another VM was heard.
+    /// The version of each service and how many VMs have it.
+    pub services: BTreeMap<String, VersionReport>,
+    /// Milliseconds since the last contact with the store or another VM.
     pub news_age_ms: u64,
-    /// Whether the process hears no other.
+    /// Whether the process receives nothing from any other member.
     pub is_isolated: bool,
-    /// Whether it is stopping as planned.
+    /// Whether a planned stop of the process is in progress.
     pub is_stopping: bool,
 }
 
-/// How far a version is in force.
+/// How far a service's latest version has spread over the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct InForce {
-    /// The highest version that any VM holds.
+pub struct VersionReport {
+    /// The highest version that any VM has.
     pub version: u64,
-    /// How many VMs hold it.
+    /// How many VMs have it.
     pub vms_with_it: usize,
-    /// How many VMs answered.
+    /// How many VMs answered, this one included.
     pub vms_asked: usize,
-    /// Whether leverstream serves the service.
+    /// Whether leverstream has taken over the service.
     pub taken_over: bool,
 }
 
-/// A member.
+/// A fleet member as this process sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberReport {
-    /// Its process.
+    /// The id of its process, in hexadecimal.
     pub id: String,
-    /// Its hall.
+    /// The data hall that it runs in.
     pub hall: String,
-    /// Where callers connect.
+    /// The address for callers.
     pub caller_address: SocketAddr,
-    /// Where other VMs connect.
+    /// The address for other VMs.
     pub peer_address: SocketAddr,
-    /// Its state.
+    /// The membership state: alive, leaving, suspect or dead.
     pub state: String,
 }
 
 /// The health of a service's backend servers at one VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HealthReport {
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// The share of the weight that is in service.
+    /// The share of the total weight that is in service.
     pub capacity: f64,
-    /// The share that ejection must leave.
+    /// The share of the weight that ejections must leave in service.
     pub floor: f64,
-    /// Requests that wait here for a slot.
+    /// The requests queued at this VM for a slot.
     pub queued: usize,
     /// The backend servers.
     pub backends: Vec<BackendReport>,
 }
 
-/// A backend server's health, with the reasons for it.
+/// A backend server's health and the figures that determine it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BackendReport {
-    /// Its name.
+    /// The name of the backend server.
     pub backend: String,
-    /// Where it stands.
+    /// The standing, such as in service or ejected.
     pub standing: String,
-    /// Why it was ejected, if it is.
+    /// Why it was ejected; empty if it is not.
     pub reason: String,
-    /// When it may be tried, in milliseconds from now, if it is ejected.
+    /// Milliseconds until its next trial, if it is ejected.
     pub trial_in_ms: Option<u64>,
-    /// The score of this VM's own work and checks.
+    /// The score from this VM's own requests and health checks.
     pub own_score: f64,
-    /// The score on which several VMs agree.
+    /// The score on which several VMs agree, if they do.
     pub agreed_score: Option<f64>,
-    /// The score from which it is ejected.
+    /// The score at which it is ejected.
     pub eject_score: u16,
-    /// From which time work counts as slow.
+    /// The response time from which a request counts as slow.
     pub slow_ms: f64,
-    /// Good answers since the start.
+    /// Good answers since the start of the process.
     pub good: u64,
-    /// Units of bad evidence since the start.
+    /// Units of bad evidence since the start of the process.
     pub bad: u64,
-    /// This VM's requests under way there.
+    /// This VM's requests in flight at the backend server.
     pub in_flight: u32,
-    /// Other VMs' requests under way there, as last told.
+    /// Other VMs' requests in flight at the backend server, as last reported.
     pub others_in_flight: u32,
-    /// Whether it says that it drains.
+    /// Whether the backend server announced that it is draining.
     pub is_draining: bool,
-    /// Whether its row says that it leaves.
+    /// Whether the backend server's row marks it as leaving.
     pub is_leaving: bool,
 }
 
 impl Failure {
-    /// Describes a failure.
+    /// Creates a failure of a kind.
     pub fn new(kind: Kind, detail: &str) -> Failure {
         Failure {
             error: kind.to_string(),
@@ -129,7 +131,7 @@
         }
     }
 
-    /// The kind.
+    /// Returns the kind; an unknown name counts as a bad request.
     pub fn kind(&self) -> Kind {
         Kind::from_name(&self.error).unwrap_or(Kind::BadRequest)
     }
--- a/crates/leverstream-node/src/service.rs
+++ b/crates/leverstream-node/src/service.rs
@@ -1,3 +1,5 @@
+//! A service that this VM serves, with the state of its backend servers.
+
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,49 +13,49 @@
 };
 use leverstream_table::{BackendRow, ServiceDoc};
 
-/// How long a change is told to other VMs, in milliseconds.
-const RETELL_MS: u64 = 1_000;
+/// How long a changed digest is included in every exchange with other VMs.
+const CHANGE_REPORT_MS: u64 = 1_000;
 
-/// In one of so many stretches of that time, what has not changed is told too.
-const RETELL_ONE_IN: u64 = 4;
+/// An unchanged digest is included during one in this many periods of [`CHANGE_REPORT_MS`].
+const UNCHANGED_REPORT_PERIODS: u64 = 4;
 
-/// A service that this VM serves, as the control thread holds it.
+/// The control thread's state of a service that this VM serves.
 pub struct Service {
-    /// Its key.
+    /// The key of the service within this process.
     pub key: ServiceKey,
-    /// Its document.
+    /// The document in force.
     pub doc: Arc<ServiceDoc>,
-    /// The VMs that serve it.
-    pub entry: Vec<VmView>,
+    /// The VMs that serve the service.
+    pub entry_vms: Vec<VmView>,
     /// The health of its backend servers.
     pub health: Health,
-    /// What traffic threads change.
+    /// The counters that traffic threads update.
     pub live: Arc<ServiceLive>,
-    /// Until when it is served although this VM no longer belongs to the service's set.
-    pub kept_until_ms: Option<u64>,
-    /// The backend servers, in the order of their keys.
+    /// Until when this VM serves the service although it is not among its entry VMs.
+    pub serves_until_ms: Option<u64>,
+    /// All backend servers since the start, indexed by key.
     backends: Vec<Backend>,
-    /// The keys of backend servers in the table, by name.
+    /// The keys of the backend servers in the table, by name.
     by_name: HashMap<String, BackendKey>,
 }
 
-/// A backend server.
+/// The state of a backend server.
 struct Backend {
-    /// Its name.
+    /// The name in the table.
     name: String,
-    /// Its row, while it is in the table.
+    /// The row, as long as the table has one.
     row: Option<BackendRow>,
-    /// What traffic threads change.
+    /// The counters that traffic threads update.
     live: Arc<BackendLive>,
-    /// What there is to tell other VMs.
+    /// The digest for other VMs.
     digest: BackendDigest,
-    /// When that last changed.
+    /// When the digest last changed.
     changed_ms: u64,
 }
 
 impl Service {
-    /// Opens a service that this VM begins to serve.
-    pub fn open(
+    /// Creates the state of a service that this VM starts to serve.
+    pub fn new(
         key: ServiceKey,
         doc: &Arc<ServiceDoc>,
         rule: &'static EjectRule,
@@ -63,33 +65,33 @@
         let mut service = Service {
             key,
             doc: Arc::clone(doc),
-            entry: Vec::new(),
+            entry_vms: Vec::new(),
             health: Health::open(settings, rule, now_ms),
             live: ServiceLive::open(key, now_ms),
-            kept_until_ms: None,
+            serves_until_ms: None,
             backends: Vec::new(),
             by_name: HashMap::new(),
         };
-        service.take_rows(doc, false, now_ms);
+        service.update_backends(doc, false, now_ms);
         service
     }
 
-    /// Takes a new document over.
+    /// Applies a new document; does nothing if its version is already in force.
     pub fn set_doc(&mut self, doc: &Arc<ServiceDoc>, now_ms: u64) {
         if self.doc.version == doc.version {
             return;
         }
         self.health.set_settings(HealthSettings::from(&doc.row));
-        self.take_rows(doc, true, now_ms);
+        self.update_backends(doc, true, now_ms);
         self.doc = Arc::clone(doc);
     }
 
-    /// The key of a backend server in the table.
-    pub fn backend(&self, name: &str) -> Option<BackendKey> {
+    /// Returns the key of a backend server in the table.
+    pub fn backend_key(&self, name: &str) -> Option<BackendKey> {
         self.by_name.get(name).copied()
     }
 
-    /// The backend servers in the table.
+    /// Iterates over the backend servers in the table.
     pub fn backends(&self) -> impl Iterator<Item = (BackendKey, &str, &BackendRow)> {
         let indexed = self.backends.iter().enumerate();
         indexed.filter_map(|(index, backend)| {
@@ -97,7 +99,7 @@
         })
     }
 
-    /// Notes that the backend server at an address leaves.
+    /// Marks the backend servers at an address as draining.
     pub fn drain_address(&mut self, address: SocketAddr, now_ms: u64) {
         let keys: Vec<BackendKey> = self
             .backends()
@@ -109,13 +111,13 @@
         }
     }
 
-    /// Tells whether no request waits here or is under way.
+    /// Returns whether no request is queued or in flight.
     pub fn is_idle(&self) -> bool {
-        let has_flights = self.backends.iter().any(|backend| backend.live.in_flight() > 0);
-        self.live.queued() == 0 && !has_flights
+        let has_in_flight = self.backends.iter().any(|backend| backend.live.in_flight() > 0);
+        self.live.queued() == 0 && !has_in_flight
     }
 
-    /// Charges requests under way for their age, then decides what is due.
+    /// Counts overdue requests in flight as bad evidence, then updates the health.
     pub fn tick(&mut self, now_ms: u64) {
         for (index, backend) in self.backends.iter().enumerate() {
             let key = BackendKey(index as u32);
@@ -127,9 +129,9 @@
         self.health.tick(now_ms);
     }
 
-    /// What traffic threads are told.
+    /// Returns the view of the service for traffic threads.
     pub fn view(&self, now_ms: u64) -> ServiceView {
-        let vms = u32::try_from(self.entry.len().max(1)).unwrap_or(u32::MAX);
+        let vms = u32::try_from(self.entry_vms.len().max(1)).unwrap_or(u32::MAX);
         let backends: Vec<BackendView> = self
             .backends()
             .map(|(key, name, row)| {
@@ -155,17 +157,17 @@
         };
         ServiceView {
             doc: Arc::clone(&self.doc),
-            entry: self.entry.clone(),
+            entry: self.entry_vms.clone(),
             serving: Some(serving),
         }
     }
 
-    /// What other VMs are told: the backend servers about which something has changed lately.
+    /// Returns the digest for other VMs with the backend servers that changed recently.
     ///
-    /// Each change is told for a while, and what has not changed now and then, so that it reaches
-    /// every VM although some calls are lost.
+    /// A change is included for [`CHANGE_REPORT_MS`] and an unchanged digest periodically, so that
+    /// both reach every VM although some calls are lost.
     pub fn digest(&mut self, now_ms: u64) -> ServiceDigest {
-        let mut told = Vec::new();
+        let mut backends = Vec::new();
         for (index, backend) in self.backends.iter_mut().enumerate() {
             let key = BackendKey(index as u32);
             let count = self.health.count(key);
@@ -183,42 +185,41 @@
                 backend.digest = digest;
                 backend.changed_ms = now_ms;
             }
-            let is_fresh = now_ms.saturating_sub(backend.changed_ms) < RETELL_MS;
-            let is_due = (now_ms / RETELL_MS + index as u64).is_multiple_of(RETELL_ONE_IN);
-            if backend.row.is_some() && (is_fresh || is_due) {
-                told.push(backend.digest.clone());
+            let is_recent_change = now_ms.saturating_sub(backend.changed_ms) < CHANGE_REPORT_MS;
+            let is_periodic_report_due =
+                (now_ms / CHANGE_REPORT_MS + index as u64).is_multiple_of(UNCHANGED_REPORT_PERIODS);
+            if backend.row.is_some() && (is_recent_change || is_periodic_report_due) {
+                backends.push(backend.digest.clone());
             }
         }
-        ServiceDigest {
-            service: self.doc.service.clone(),
-            version: self.doc.version,
-            backends: told,
-        }
+        ServiceDigest { service: self.doc.service.clone(), version: self.doc.version, backends }
     }
 
-    /// Takes in what another VM tells.
+    /// Records the digest that another VM reports.
     pub fn report(&mut self, reporter: u64, digest: &ServiceDigest, now_ms: u64) {
         self.health.record_contact(reporter, now_ms);
-        for told in &digest.backends {
-            let Some(key) = self.backend(&told.backend) else { continue };
-            let count = EvidenceCounts { good: told.good, bad: told.bad };
-            self.health.report(key, reporter, count, told.in_flight, now_ms);
-            if told.draining && !self.health.is_draining(key, now_ms) {
+        for reported in &digest.backends {
+            let Some(key) = self.backend_key(&reported.backend) else { continue };
+            let count = EvidenceCounts { good: reported.good, bad: reported.bad };
+            self.health.report(key, reporter, count, reported.in_flight, now_ms);
+            if reported.draining && !self.health.is_draining(key, now_ms) {
                 self.health.drain(key, now_ms);
             }
         }
     }
 
-    /// Takes the rows of a document over; new backend servers of a known service start cold.
-    fn take_rows(&mut self, doc: &ServiceDoc, is_cold: bool, now_ms: u64) {
+    /// Applies the backend rows of a document.
+    ///
+    /// With `is_cold`, new backend servers begin with a warm-up.
+    fn update_backends(&mut self, doc: &ServiceDoc, is_cold: bool, now_ms: u64) {
         let mut by_name = HashMap::new();
         for (name, row) in &doc.backends {
-            let known = self.by_name.get(name).copied().filter(|key| {
-                let held = &self.backends[key.0 as usize].row;
-                held.as_ref().is_some_and(|held| held.address == row.address)
+            let existing = self.by_name.get(name).copied().filter(|key| {
+                let current = &self.backends[key.0 as usize].row;
+                current.as_ref().is_some_and(|current| current.address == row.address)
             });
             let weight = if row.accepts_requests() { row.weight } else { 0 };
-            let key = match known {
+            let key = match existing {
                 Some(key) => {
                     self.health.set_weight(key, weight);
                     key
--- a/crates/leverstream-node/tests/node.rs
+++ b/crates/leverstream-node/tests/node.rs
@@ -1,11 +1,11 @@
-//! Settings files and the table that a process holds.
+//! The checks of settings files and the local replica of the table.
 
 use leverstream_node::{Book, Settings};
 use leverstream_table::ServiceDoc;
 use yare::parameterized;
 
-/// A settings file that holds together.
-const GOOD: &str = r#"
+/// A valid settings file with only the required keys.
+const VALID: &str = r#"
 vm = "vm-1"
 hall = "hall-1"
 [callers]
@@ -20,57 +20,57 @@
 url = "http://127.0.0.1:1"
 "#;
 
-/// The faults of a file, a line each.
+/// Returns the faults in a settings file, one per line.
 fn faults(text: &str) -> String {
     Settings::from_toml(text).err().map(|error| error.to_string()).unwrap_or_default()
 }
 
 #[test]
-fn a_short_file_is_enough_and_the_example_is_a_whole_one() {
-    assert_eq!(faults(GOOD), "");
+fn a_file_with_the_required_keys_is_valid_and_the_example_lacks_only_secrets() {
+    assert_eq!(faults(VALID), "");
     let example = Settings::example().to_toml();
     assert_eq!(
         faults(&example),
-        "peers.key: give at least 16 characters\noperators.key: give at least 16 characters"
+        "peers.key: must have at least 16 characters\noperators.key: must have at least 16 characters"
     );
 }
 
 #[test]
-fn every_fault_is_told_at_once_with_its_place() {
-    let text = GOOD
+fn one_error_lists_all_faults_in_keys_and_types() {
+    let text = VALID
         .replace("vm = \"vm-1\"", "vmm = \"x\"")
         .replace("listen = \"127.0.0.1:0\"\n[peers]", "listen = 7\nthreads = \"two\"\n[peers]");
     let faults = faults(&text);
-    for place in [
-        "vmm: is no key",
+    for location in [
+        "vmm: is not a known key",
         "vm: is missing",
-        "callers.listen: is a integer",
-        "callers.threads: is a string",
+        "callers.listen: has the type integer",
+        "callers.threads: has the type string",
     ] {
-        assert!(faults.contains(place), "{place} in {faults}");
+        assert!(faults.contains(location), "`{location}` is missing in {faults}");
     }
 }
 
 #[parameterized(
-    address = { "listen = \"127.0.0.1:0\"\n[peers]", "listen = \"here\"\n[peers]", "callers.listen: give an IP address" },
-    key = { "key = \"sixteen characters\"\n[operators]", "key = \"short\"\n[operators]", "peers.key: give at least 16" },
-    picker = { "[platform]", "[traffic]\npicker = \"best\"\n[platform]", "traffic.picker: give one of" },
-    level = { "[platform]", "[log]\nlevel = \"loud\"\n[platform]", "log.level: give off" },
-    times = { "[platform]", "[times]\nticket_ttl_ms = 1\n[platform]", "times.ticket_ttl_ms: give at least twice" },
+    address = { "listen = \"127.0.0.1:0\"\n[peers]", "listen = \"here\"\n[peers]", "callers.listen: must be an IP address" },
+    key = { "key = \"sixteen characters\"\n[operators]", "key = \"short\"\n[operators]", "peers.key: must have at least 16" },
+    picker = { "[platform]", "[traffic]\npicker = \"best\"\n[platform]", "traffic.picker: must be one of" },
+    level = { "[platform]", "[log]\nlevel = \"loud\"\n[platform]", "log.level: must be off" },
+    times = { "[platform]", "[times]\nticket_ttl_ms = 1\n[platform]", "times.ticket_ttl_ms: must be at least twice" },
     syntax = { "[platform]", "[platform", "file: TOML parse error at line" },
 )]
-fn faults_name_their_place(from: &str, to: &str, wanted: &str) {
-    let faults = faults(&GOOD.replace(from, to));
-    assert!(faults.contains(wanted), "{faults}");
+fn a_fault_names_its_key(from: &str, to: &str, expected: &str) {
+    let faults = faults(&VALID.replace(from, to));
+    assert!(faults.contains(expected), "{faults}");
 }
 
-/// A version of a service.
+/// Creates an empty document of a service with a version.
 fn doc(service: &str, version: u64) -> ServiceDoc {
     ServiceDoc { version, ..ServiceDoc::empty(service) }
 }
 
 #[test]
-fn the_highest_version_stays_and_tables_compare_whatever_the_order() {
+fn replicas_with_the_same_highest_versions_have_equal_fingerprints_in_any_order() {
     let (mut one, mut two) = (Book::open(), Book::open());
     for (service, version) in [("a", 1), ("b", 5), ("a", 3), ("a", 2), ("b", 5)] {
         one.adopt(doc(service, version));
