--- a/crates/leverstream-bench/src/capacity.rs
+++ b/crates/leverstream-bench/src/capacity.rs
@@ -12,7 +12,7 @@
     BackendKey, EvidenceCounts, Health, HealthSettings, RequestOutcome, eject_rule,
 };
 use leverstream_member::{Identity, Member, Swim, SwimSettings};
-use leverstream_node::Book;
+use leverstream_node::TableReplica;
 use leverstream_peer::{BackendDigest, Digest, FleetKey, Packet, ServiceDigest};
 use leverstream_proxy::Members;
 use leverstream_route::{Candidate, PickContext, Request, choose, picker};
@@ -245,9 +245,9 @@
     let docs = whole_table();
     let json_bytes: usize = docs.iter().map(|doc| doc.to_json().len()).sum();
     let ((mut book, docs), bytes) = growth(allocated, move || {
-        let mut book = Book::open();
+        let mut book = TableReplica::new();
         for doc in &docs {
-            book.adopt(doc.clone());
+            book.merge(doc.clone());
         }
         (book, docs)
     });
@@ -267,7 +267,7 @@
         version += 1;
         let mut doc = docs[0].clone();
         doc.version = version;
-        book.adopt(doc);
+        book.merge(doc);
     });
     line(
         "an edit: its document fetched, read, taken in",
--- a/crates/leverstream-node/src/build_reports.rs
+++ b/crates/leverstream-node/src/build_reports.rs
@@ -29,7 +29,7 @@
         is_isolated: control.swim.is_isolated(),
         is_stopping: control.stopping_since_ms.is_some(),
     };
-    for doc in control.book.docs().values().filter(|doc| !doc.removed) {
+    for doc in control.replica.docs().values().filter(|doc| !doc.removed) {
         let version_report = VersionReport {
             version: doc.version,
             vms_with_it: 1,
--- a/crates/leverstream-node/src/control.rs
+++ b/crates/leverstream-node/src/control.rs
@@ -24,12 +24,12 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-use crate::book::Book;
 use crate::control_handle::ControlHandle;
 use crate::peers::{self, Channels};
 use crate::probe;
 use crate::service::Service;
 use crate::settings::Settings;
+use crate::table_replica::TableReplica;
 
 /// The interval at which the control thread runs its periodic tasks.
 const TICK_MS: u64 = 50;
@@ -80,7 +80,7 @@
     /// The membership protocol.
     pub(crate) swim: Swim,
     /// The local replica of the table.
-    pub(crate) book: Book,
+    pub(crate) replica: TableReplica,
     /// The services that this VM serves, by name.
     pub(crate) services: HashMap<String, Service>,
     /// The key that was last assigned to a service.
@@ -177,7 +177,7 @@
             proxy: parts.proxy,
             settings: parts.settings,
             swim: parts.swim,
-            book: Book::open(),
+            replica: TableReplica::new(),
             services: HashMap::new(),
             last_key: 0,
             eject_rule: parts.eject_rule,
@@ -279,7 +279,7 @@
             moves_all || changed.iter().any(moves)
         };
         let docs: Vec<Arc<ServiceDoc>> =
-            self.book.docs().values().filter(is_moved).cloned().collect();
+            self.replica.docs().values().filter(is_moved).cloned().collect();
         for doc in docs {
             self.update_placement(&doc, now_ms);
         }
@@ -317,7 +317,7 @@
 
     /// Serves a service for which this VM received requests, until the tickets for it expire.
     fn serve_temporarily(&mut self, name: &str, now_ms: u64) {
-        let Some(doc) = self.book.doc(name).filter(|doc| !doc.removed).cloned() else { return };
+        let Some(doc) = self.replica.doc(name).filter(|doc| !doc.removed).cloned() else { return };
         self.add_service(&doc, now_ms);
         self.update_placement(&doc, now_ms);
         self.publish_snapshot(now_ms);
@@ -380,7 +380,7 @@
 
     /// Compares the table with another VM and periodically requests a full member list.
     fn compare_tables(&mut self, context: &Context<Control>, now_ms: u64) {
-        let fingerprint = self.book.fingerprint();
+        let fingerprint = self.replica.fingerprint();
         let interval_ms =
             if fingerprint == 0 { EMPTY_TABLE_COMPARE_INTERVAL_MS } else { COMPARE_INTERVAL_MS };
         if now_ms.saturating_sub(self.compared_ms) < interval_ms {
@@ -392,7 +392,7 @@
         });
         let differing = differing.map(|member| member.identity.peer_address);
         if let Some(peer) = differing {
-            let buckets = self.book.buckets().to_vec();
+            let buckets = self.replica.buckets().to_vec();
             peers::compare_tables(
                 &self.channels,
                 peer,
@@ -417,19 +417,19 @@
         for doc in docs {
             let (service, version) = (doc.service.clone(), doc.version);
             self.fetching.remove(&service);
-            if self.book.adopt(doc) {
+            if self.replica.merge(doc) {
                 log::info!("table: applied version {version} of {service}.");
                 newer.push((service, version));
             }
         }
-        let datagrams = self.swim.set_table(self.book.fingerprint());
+        let datagrams = self.swim.set_table(self.replica.fingerprint());
         self.send_datagrams(datagrams);
         let changed = self.swim.take_changed();
         if !changed.is_empty() {
             self.update_placements(&changed, now_ms);
         }
         for (service, version) in newer {
-            if let Some(doc) = self.book.doc(&service).cloned() {
+            if let Some(doc) = self.replica.doc(&service).cloned() {
                 self.update_placement(&doc, now_ms);
             }
             let datagrams = self.swim.announce(&service, version);
@@ -463,7 +463,7 @@
         versions: &[ServiceVersion],
         context: &Context<Control>,
     ) {
-        let mut services = self.book.outdated(versions);
+        let mut services = self.replica.outdated(versions);
         services.retain(|service| self.fetching.insert(service.clone()));
         if !services.is_empty() {
             peers::fetch_docs(
@@ -485,7 +485,7 @@
         self.proxy.snapshot.store(Arc::new(Snapshot {
             me: VmView::from(self.swim.me()),
             serving,
-            docs: Arc::clone(self.book.docs()),
+            docs: Arc::clone(self.replica.docs()),
             members: Arc::clone(&self.members),
         }));
     }
@@ -494,7 +494,7 @@
     fn update_gauges(&self, now_ms: u64) {
         let gauges = &self.gauges;
         gauges.members.set(self.members.list.len() as i64);
-        gauges.services.set(self.book.docs().values().filter(|doc| !doc.removed).count() as i64);
+        gauges.services.set(self.replica.docs().values().filter(|doc| !doc.removed).count() as i64);
         gauges.serving.set(self.services.len() as i64);
         gauges.news_age_ms.set(i64::try_from(self.news_age_ms(now_ms)).unwrap_or(i64::MAX));
         let ejected = self.services.values().map(|service| service.health.ejected()).sum::<usize>();
--- a/crates/leverstream-node/src/control/handlers.rs
+++ b/crates/leverstream-node/src/control/handlers.rs
@@ -70,7 +70,7 @@
         let mut docs = Vec::new();
         for (doc, revision) in message.docs {
             stored.insert(doc.service.clone(), revision);
-            match self.book.doc(&doc.service) {
+            match self.replica.doc(&doc.service) {
                 Some(newer) if newer.version > doc.version => {
                     repairs
                         .push(Repair { doc: newer.as_ref().clone(), expected_revision: revision });
@@ -80,7 +80,7 @@
         }
         if message.is_complete {
             let missing =
-                self.book.docs().values().filter(|doc| !stored.contains_key(&doc.service));
+                self.replica.docs().values().filter(|doc| !stored.contains_key(&doc.service));
             repairs.extend(
                 missing.map(|doc| Repair { doc: doc.as_ref().clone(), expected_revision: 0 }),
             );
@@ -147,7 +147,7 @@
     type Result = Vec<ServiceVersion>;
 
     fn handle(&mut self, message: Compare, _: &mut Context<Control>) -> Vec<ServiceVersion> {
-        self.book.versions_differing(&message.buckets)
+        self.replica.versions_differing(&message.buckets)
     }
 }
 
@@ -155,7 +155,7 @@
     type Result = Vec<ServiceObject>;
 
     fn handle(&mut self, message: Fetch, _: &mut Context<Control>) -> Vec<ServiceObject> {
-        self.book.objects(&message.services)
+        self.replica.objects(&message.services)
     }
 }
 
@@ -207,7 +207,7 @@
 
     fn handle(&mut self, message: SubmitEdit, context: &mut Context<Control>) -> Self::Result {
         let service = message.0.changes.first().map(|change| change.cell.service.clone());
-        let local_doc = service.and_then(|service| self.book.doc(&service).cloned());
+        let local_doc = service.and_then(|service| self.replica.doc(&service).cloned());
         Box::pin(edit::submit(
             self.platform.clone(),
             context.address(),
@@ -226,7 +226,7 @@
             message.service.as_ref().is_none_or(|service| doc.service == *service)
         };
         let mut docs: Vec<Arc<ServiceDoc>> =
-            self.book.docs().values().filter(is_requested).cloned().collect();
+            self.replica.docs().values().filter(is_requested).cloned().collect();
         docs.sort_by(|a, b| a.service.cmp(&b.service));
         docs
     }
--- a/crates/leverstream-node/src/lib.rs
+++ b/crates/leverstream-node/src/lib.rs
@@ -3,7 +3,6 @@
 //! [`Node::open`] binds the listeners and starts the actor of the control thread. Traffic threads
 //! serve callers from the snapshots that the actor publishes.
 
-mod book;
 mod build_reports;
 mod control;
 mod control_handle;
@@ -17,10 +16,11 @@
 mod service;
 mod settings;
 mod store;
+mod table_replica;
 
-pub use book::Book;
 pub use node::{Node, NodeError};
 pub use reports::{
     BackendReport, EditReply, Failure, HealthReport, MemberReport, StatusReport, VersionReport,
 };
 pub use settings::{Settings, SettingsError, SettingsFault};
+pub use table_replica::TableReplica;
--- a/crates/leverstream-node/src/book.rs
+++ b/crates/leverstream-node/src/table_replica.rs
@@ -11,21 +11,21 @@
 
 /// The replica of the table in this process: for each service the highest version received.
 #[derive(Default)]
-pub struct Book {
+pub struct TableReplica {
     /// The documents by service.
     docs: Arc<HashMap<String, Arc<ServiceDoc>>>,
     /// The sum of the fingerprints of service and version, by bucket.
     buckets: Vec<u64>,
 }
 
-impl Book {
+impl TableReplica {
     /// Creates an empty replica.
-    pub fn open() -> Book {
-        Book { docs: Arc::default(), buckets: vec![0; BUCKET_COUNT] }
+    pub fn new() -> TableReplica {
+        TableReplica { docs: Arc::default(), buckets: vec![0; BUCKET_COUNT] }
     }
 
     /// Stores a document if it is newer than the present one; returns whether it was.
-    pub fn adopt(&mut self, doc: ServiceDoc) -> bool {
+    pub fn merge(&mut self, doc: ServiceDoc) -> bool {
         let current = self.version(&doc.service);
         if doc.version <= current {
             return false;
--- a/crates/leverstream-node/tests/node.rs
+++ b/crates/leverstream-node/tests/node.rs
@@ -1,6 +1,6 @@
 //! The checks of settings files and the local replica of the table.
 
-use leverstream_node::{Book, Settings};
+use leverstream_node::{Settings, TableReplica};
 use leverstream_table::ServiceDoc;
 use yare::parameterized;
 
@@ -71,17 +71,17 @@
 
 #[test]
 fn replicas_with_the_same_highest_versions_have_equal_fingerprints_in_any_order() {
-    let (mut one, mut two) = (Book::open(), Book::open());
+    let (mut one, mut two) = (TableReplica::new(), TableReplica::new());
     for (service, version) in [("a", 1), ("b", 5), ("a", 3), ("a", 2), ("b", 5)] {
-        one.adopt(doc(service, version));
+        one.merge(doc(service, version));
     }
     assert_eq!((one.version("a"), one.version("b")), (3, 5));
-    assert!(!one.adopt(doc("a", 3)) && !one.adopt(doc("b", 4)));
-    two.adopt(doc("b", 5));
+    assert!(!one.merge(doc("a", 3)) && !one.merge(doc("b", 4)));
+    two.merge(doc("b", 5));
     assert_ne!(one.fingerprint(), two.fingerprint());
     let versions = one.versions_differing(two.buckets());
     assert_eq!(two.outdated(&versions), ["a"]);
-    two.adopt(doc("a", 3));
+    two.merge(doc("a", 3));
     assert_eq!(one.fingerprint(), two.fingerprint());
     assert!(one.versions_differing(two.buckets()).is_empty());
 }
