--- a/crates/leverstream-node/src/lib.rs
+++ b/crates/leverstream-node/src/lib.rs
@@ -1,6 +1,6 @@
 //! A process of the fleet: settings, control thread and listeners.
 //!
-//! [`Node::open`] binds the listeners and starts the actor of the control thread. Traffic threads
+//! [`Node::start`] binds the listeners and starts the actor of the control thread. Traffic threads
 //! serve callers from the snapshots that the actor publishes.
 
 mod build_reports;
--- a/crates/leverstream-node/src/node.rs
+++ b/crates/leverstream-node/src/node.rs
@@ -83,7 +83,7 @@
 
 impl Node {
     /// Binds the listeners and starts all tasks on the current actix system.
-    pub async fn open(settings: Settings) -> Result<Node, NodeError> {
+    pub async fn start(settings: Settings) -> Result<Node, NodeError> {
         let clock = Clock::start();
         let mut rng = StdRng::from_os_rng();
         let callers = listen("callers.listen", settings.callers.listen)?;
--- a/crates/leverstreamd/src/main.rs
+++ b/crates/leverstreamd/src/main.rs
@@ -90,7 +90,7 @@
             Ok(traces) => traces,
             Err(code) => return code,
         };
-        let node = match Node::open(settings).await {
+        let node = match Node::start(settings).await {
             Ok(node) => node,
             Err(error) => {
                 log::error!("node: cannot start: {error}.");
