--- a/crates/leverctl/src/api.rs
+++ b/crates/leverctl/src/api.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use awc::ClientRequest;
-use leverstream_node::{EditReply, Failure};
+use leverstream_node::{EditReply, ErrorReply};
 use leverstream_table::{Change, Edit, ServiceDoc};
 use rand::Rng;
 use serde::de::DeserializeOwned;
@@ -97,7 +97,7 @@
     let malformed = |error: &dyn std::error::Error| CtlError::Malformed(error.to_string());
     let bytes = response.body().limit(ANSWER_LIMIT_BYTES).await.map_err(|e| malformed(&e))?;
     if !response.status().is_success() {
-        let failure: Failure = serde_json::from_slice(&bytes).map_err(|e| malformed(&e))?;
+        let failure: ErrorReply = serde_json::from_slice(&bytes).map_err(|e| malformed(&e))?;
         return Err(CtlError::Failed(failure));
     }
     serde_json::from_slice(&bytes).map_err(|e| malformed(&e))
--- a/crates/leverctl/src/error.rs
+++ b/crates/leverctl/src/error.rs
@@ -1,14 +1,14 @@
 use displaydoc::Display;
 use leverstream_caller::CallError;
 use leverstream_error::{Kind, Outcome};
-use leverstream_node::Failure;
+use leverstream_node::ErrorReply;
 use leverstream_table::{FileError, TableError};
 
 /// Why a command failed.
 #[derive(Debug, Display)]
 pub enum CtlError {
     /// {0}
-    Failed(Failure),
+    Failed(ErrorReply),
     /// {0}
     Call(CallError),
     /// the system could not be reached: {0}
--- a/crates/leverstream-node/src/control/handlers.rs
+++ b/crates/leverstream-node/src/control/handlers.rs
@@ -18,7 +18,7 @@
     ListMembers, MayStop, MergeDocs, MergeMembers, OfferVersions, ProbeResult, Repair,
     ServeService, StoreListing, SubmitEdit, VmList,
 };
-use crate::reports::{EditReply, Failure, HealthReport, StatusReport};
+use crate::reports::{EditReply, ErrorReply, HealthReport, StatusReport};
 
 impl Actor for Control {
     type Context = Context<Control>;
@@ -203,7 +203,7 @@
 }
 
 impl Handler<SubmitEdit> for Control {
-    type Result = ResponseFuture<Result<EditReply, Failure>>;
+    type Result = ResponseFuture<Result<EditReply, ErrorReply>>;
 
     fn handle(&mut self, message: SubmitEdit, context: &mut Context<Control>) -> Self::Result {
         let service = message.0.changes.first().map(|change| change.cell.service.clone());
--- a/crates/leverstream-node/src/edit.rs
+++ b/crates/leverstream-node/src/edit.rs
@@ -10,7 +10,7 @@
 
 use crate::control::Control;
 use crate::messages::MergeDocs;
-use crate::reports::{EditReply, Failure};
+use crate::reports::{EditReply, ErrorReply};
 use crate::store::{TABLE_KIND, doc_to_json, parse_doc};
 
 /// How long an edit is retried while it has certainly not landed in the store.
@@ -33,7 +33,7 @@
     clock: Clock,
     local_doc: Option<Arc<ServiceDoc>>,
     edit: Edit,
-) -> Result<EditReply, Failure> {
+) -> Result<EditReply, ErrorReply> {
     let service = edit.changes.first().map(|change| change.cell.service.clone());
     let service = service.unwrap_or_default();
     let mut deadline_ms = clock.now_ms() + EDIT_TIMEOUT_MS;
@@ -52,7 +52,7 @@
                 return Ok(EditReply { version, landed_before: true });
             }
             Ok(Attempt::Conflict) => {}
-            Err(AttemptError::Refused(failure)) => return Err(failure),
+            Err(AttemptError::Refused(reply)) => return Err(reply),
             Err(AttemptError::Platform(error)) => {
                 if error.may_have_landed() && !may_have_landed {
                     may_have_landed = true;
@@ -62,13 +62,13 @@
                 let is_unreachable =
                     matches!(error, StoreError::Away | StoreError::Refused) && !may_have_landed;
                 if is_past_deadline || is_unreachable {
-                    return Err(platform_failure(may_have_landed, &error));
+                    return Err(platform_error(may_have_landed, &error));
                 }
                 tokio::time::sleep(std::time::Duration::from_millis(RETRY_DELAY_MS)).await;
             }
         }
         if clock.now_ms() >= deadline_ms {
-            return Err(platform_failure(may_have_landed, &StoreError::Unanswered));
+            return Err(platform_error(may_have_landed, &StoreError::Unanswered));
         }
     }
 }
@@ -86,7 +86,7 @@
 /// Why one attempt failed.
 enum AttemptError {
     /// The edit is invalid or conflicts with the table.
-    Refused(Failure),
+    Refused(ErrorReply),
     /// The platform gave no conclusive answer.
     Platform(StoreError),
 }
@@ -109,7 +109,10 @@
     })?;
     let parse = |content: &Result<_, StoreError>| {
         let invalid = |error: &dyn std::fmt::Display| {
-            AttemptError::Refused(Failure::new(Kind::EditInvalid, &format!("{service}: {error}")))
+            AttemptError::Refused(ErrorReply::new(
+                Kind::EditInvalid,
+                &format!("{service}: {error}"),
+            ))
         };
         match content {
             Ok(spec) => parse_doc(spec).map_err(|error| invalid(&error)),
@@ -126,7 +129,7 @@
         (None, local) => local,
     };
     let refuse = |error: leverstream_table::TableError| {
-        AttemptError::Refused(Failure::new(error.kind(), &error.to_string()))
+        AttemptError::Refused(ErrorReply::new(error.kind(), &error.to_string()))
     };
     let doc = match apply(base, edit, *highest_seen_version, Clock::unix_ms()).map_err(refuse)? {
         Applied::Duplicate(version) => return Ok(Attempt::Duplicate(version)),
@@ -144,8 +147,8 @@
     }
 }
 
-/// The failure after the deadline has passed or the platform cannot be reached.
-fn platform_failure(may_have_landed: bool, error: &StoreError) -> Failure {
+/// The error reply after the deadline has passed or the platform cannot be reached.
+fn platform_error(may_have_landed: bool, error: &StoreError) -> ErrorReply {
     let kind = if may_have_landed { Kind::EditUnknown } else { Kind::PlatformAway };
-    Failure::new(kind, &error.to_string())
+    ErrorReply::new(kind, &error.to_string())
 }
--- a/crates/leverstream-node/src/lib.rs
+++ b/crates/leverstream-node/src/lib.rs
@@ -20,7 +20,7 @@
 
 pub use node::{Node, NodeError};
 pub use reports::{
-    BackendReport, EditReply, Failure, HealthReport, MemberReport, StatusReport, VersionReport,
+    BackendReport, EditReply, ErrorReply, HealthReport, MemberReport, StatusReport, VersionReport,
 };
 pub use settings::{Settings, SettingsError, SettingsFault};
 pub use table_replica::TableReplica;
--- a/crates/leverstream-node/src/messages.rs
+++ b/crates/leverstream-node/src/messages.rs
@@ -8,7 +8,7 @@
 use leverstream_proxy::ServiceKey;
 use leverstream_table::{Edit, ServiceDoc};
 
-use crate::reports::{EditReply, Failure, HealthReport, StatusReport};
+use crate::reports::{EditReply, ErrorReply, HealthReport, StatusReport};
 
 /// A datagram from another VM.
 #[derive(Message)]
@@ -138,7 +138,7 @@
 
 /// Submits an operator's edit.
 #[derive(Message)]
-#[rtype(result = "Result<EditReply, Failure>")]
+#[rtype(result = "Result<EditReply, ErrorReply>")]
 pub struct SubmitEdit(pub Edit);
 
 /// Asks for all documents or for one of them.
--- a/crates/leverstream-node/src/operators.rs
+++ b/crates/leverstream-node/src/operators.rs
@@ -16,7 +16,7 @@
 
 use crate::control::Control;
 use crate::messages::{GetHealth, GetStatus, ListDocs, SubmitEdit};
-use crate::reports::Failure;
+use crate::reports::ErrorReply;
 
 /// The maximum size of an edit.
 const MAX_EDIT_BYTES: usize = 1 << 20;
@@ -31,7 +31,7 @@
     pub registry: Arc<Registry>,
 }
 
-impl ResponseError for Failure {
+impl ResponseError for ErrorReply {
     fn status_code(&self) -> StatusCode {
         StatusCode::from_u16(self.kind().answer().status).unwrap_or(StatusCode::BAD_REQUEST)
     }
@@ -48,7 +48,7 @@
 pub fn configure(config: &mut ServiceConfig) {
     let json = web::JsonConfig::default()
         .limit(MAX_EDIT_BYTES)
-        .error_handler(|error, _| Failure::new(Kind::BadRequest, &error.to_string()).into());
+        .error_handler(|error, _| ErrorReply::new(Kind::BadRequest, &error.to_string()).into());
     config.app_data(json).route("/metrics", web::get().to(get_metrics)).service(
         web::scope("/v1")
             .wrap(actix_web::middleware::from_fn(check_key))
@@ -72,7 +72,7 @@
         .is_some_and(|state| bool::from(state.key.as_bytes().ct_eq(presented.as_bytes())));
     if !is_valid {
         log::warn!("operators: rejected a request without a valid key.");
-        return Err(Failure::new(Kind::Unauthorized, "show the operators' key").into());
+        return Err(ErrorReply::new(Kind::Unauthorized, "show the operators' key").into());
     }
     next.call(request).await
 }
@@ -85,7 +85,7 @@
 }
 
 /// Returns all documents of the table.
-async fn list_docs(state: Data<OperatorState>) -> Result<HttpResponse, Failure> {
+async fn list_docs(state: Data<OperatorState>) -> Result<HttpResponse, ErrorReply> {
     let docs = state.control.send(ListDocs { service: None }).await.map_err(stopping)?;
     Ok(HttpResponse::Ok().json(docs))
 }
@@ -94,7 +94,7 @@
 async fn get_doc(
     state: Data<OperatorState>,
     service: Path<String>,
-) -> Result<HttpResponse, Failure> {
+) -> Result<HttpResponse, ErrorReply> {
     let service = service.into_inner();
     let request = ListDocs { service: Some(service.clone()) };
     let docs: Vec<Arc<ServiceDoc>> = state.control.send(request).await.map_err(stopping)?;
@@ -106,13 +106,13 @@
 async fn submit_edit(
     state: Data<OperatorState>,
     edit: Json<Edit>,
-) -> Result<HttpResponse, Failure> {
+) -> Result<HttpResponse, ErrorReply> {
     let reply = state.control.send(SubmitEdit(edit.into_inner())).await.map_err(stopping)??;
     Ok(HttpResponse::Ok().json(reply))
 }
 
 /// Returns the state of the fleet.
-async fn get_status(state: Data<OperatorState>) -> Result<HttpResponse, Failure> {
+async fn get_status(state: Data<OperatorState>) -> Result<HttpResponse, ErrorReply> {
     let report = state.control.send(GetStatus).await.map_err(stopping)?;
     Ok(HttpResponse::Ok().json(report))
 }
@@ -121,20 +121,20 @@
 async fn get_health(
     state: Data<OperatorState>,
     service: Path<String>,
-) -> Result<HttpResponse, Failure> {
+) -> Result<HttpResponse, ErrorReply> {
     let service = service.into_inner();
     let request = GetHealth { service: service.clone() };
     let report = state.control.send(request).await.map_err(stopping)?;
     Ok(HttpResponse::Ok().json(report.ok_or_else(|| service_unknown(&service))?))
 }
 
-/// The failure for a service that is not in the table or not served by this VM.
-fn service_unknown(service: &str) -> Failure {
-    Failure::new(Kind::ServiceUnknown, &format!("`{service}` is not here"))
+/// The error reply for a service that is not in the table or not served by this VM.
+fn service_unknown(service: &str) -> ErrorReply {
+    ErrorReply::new(Kind::ServiceUnknown, &format!("`{service}` is not here"))
 }
 
-/// The failure when the control thread no longer runs, as at the end of a stop.
+/// The error reply when the control thread no longer runs, as at the end of a stop.
 #[allow(clippy::needless_pass_by_value, reason = "used as an argument of map_err")]
-fn stopping(_: actix::MailboxError) -> Failure {
-    Failure::new(Kind::Stopping, "the process is stopping")
+fn stopping(_: actix::MailboxError) -> ErrorReply {
+    ErrorReply::new(Kind::Stopping, "the process is stopping")
 }
--- a/crates/leverstream-node/src/reports.rs
+++ b/crates/leverstream-node/src/reports.rs
@@ -17,7 +17,7 @@
 
 /// The answer to an operator's request that failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Failure {
+pub struct ErrorReply {
     /// The name of the error's kind.
     pub error: String,
     /// Whether the request took effect.
@@ -121,10 +121,10 @@
     pub is_leaving: bool,
 }
 
-impl Failure {
-    /// Creates a failure of a kind.
-    pub fn new(kind: Kind, detail: &str) -> Failure {
-        Failure {
+impl ErrorReply {
+    /// Creates the answer for an error of a kind.
+    pub fn new(kind: Kind, detail: &str) -> ErrorReply {
+        ErrorReply {
             error: kind.to_string(),
             outcome: kind.answer().outcome.to_string(),
             detail: detail.to_owned(),
@@ -137,7 +137,7 @@
     }
 }
 
-impl std::fmt::Display for Failure {
+impl std::fmt::Display for ErrorReply {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}: {}", self.error, self.detail)
     }
