--- a/crates/leverstream-node/src/control.rs
+++ b/crates/leverstream-node/src/control.rs
@@ -274,8 +274,9 @@
         let moves_all = self.members.halls != halls;
         let is_moved = |doc: &&Arc<ServiceDoc>| {
             let placement = self.placements.get(&doc.service);
-            let moves =
-                |member: &Member| placement.is_none_or(|placement| placement.is_affected_by(member));
+            let moves = |member: &Member| {
+                placement.is_none_or(|placement| placement.is_affected_by(member))
+            };
             moves_all || changed.iter().any(moves)
         };
         let docs: Vec<Arc<ServiceDoc>> =
