--- a/crates/leverstream-gateway/src/admission.rs
+++ b/crates/leverstream-gateway/src/admission.rs
@@ -1,4 +1,4 @@
-//! Lets requests of workspaces in within their allotments, which all VMs share.
+//! Admits requests of workspaces within their allotments, which all VMs share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,73 +18,75 @@
 use crate::mesh::Mesh;
 use crate::meters::Meters;
 
-/// How often those that share the traffic tell each other what they let in, also if that is nothing.
-const BEAT_MS: u64 = 200;
+/// The interval at which entry VMs report to each other what they admitted, even if that is
+/// nothing.
+const REPORT_INTERVAL_MS: u64 = 200;
 
-/// After how long without a word a VM counts as unheard: two of those words may be lost.
-const UNHEARD_MS: u64 = 500;
+/// The age at which the last report of a VM no longer counts: two reports may be lost.
+const REPORT_MAX_AGE_MS: u64 = 500;
 
-/// How many beats there are between two in which all is told again, against lost datagrams.
-const BEATS_A_REPEAT: u64 = 5;
+/// Intervals between two reports that repeat everything, in case datagrams are lost.
+const INTERVALS_PER_REPEAT: u64 = 5;
 
-/// How long what is pressing gathers before it is told: in this time a workspace that sends 900 requests a second
-/// through six VMs can go 15 over, of the 20 that the users allow besides a tenth.
-const GATHER_MS: u64 = 20;
+/// How long urgent reports are batched. In this time a workspace that sends 900 requests a second
+/// through six VMs can exceed its allotment by 15 requests; users accept 20 besides a tenth.
+const URGENT_DELAY_MS: u64 = 20;
 
-/// How long what a VM may have let in before it fell silent is kept free for it, in milliseconds: callers are told of
-/// other VMs by then, and a VM cut off from the store as well trusts no key any more.
-const GONE_MS: u64 = 30_000;
+/// How long the allotment that an unresponsive VM may have used stays reserved for it, in
+/// milliseconds. By then callers use other VMs, and a VM that is also cut off from the store no
+/// longer trusts any key.
+const PEER_RETENTION_MS: u64 = 30_000;
 
-/// How long a request waits for word of the others if this VM has none.
-const HOLD_MS: u64 = 60;
+/// How long a request waits for reports of other VMs if this VM has none.
+const PEER_WAIT_MS: u64 = 60;
 
-/// How long a request waits until it is decided how a VM that has just started begins: hearing the others takes 60 ms at the
-/// most, and two calls to the store some ten.
-const BEGIN_HOLD_MS: u64 = 150;
+/// How long a request waits until a VM that has just started has decided how to start: reports of
+/// others arrive within 60 ms, and two calls to the store take about ten.
+const START_WAIT_MS: u64 = 150;
 
-/// How often it looks meanwhile.
-const LOOK_MS: u64 = 4;
+/// The polling interval of waiting requests.
+const POLL_INTERVAL_MS: u64 = 4;
 
-/// How many workspaces one datagram tells of; each takes up to 20 bytes.
-const WORKSPACES_A_DATAGRAM: usize = 60;
+/// Workspaces in one datagram; each takes up to 20 bytes.
+const WORKSPACES_PER_DATAGRAM: usize = 60;
 
-/// The allotments as this VM knows them, and whom it hears.
+/// The allotments as this VM knows them, and the reports of other VMs.
 pub(crate) struct Admission {
     /// The allotments.
     allotments: RefCell<Allotments>,
-    /// When each VM last told what it let in, and whether it had run for a window by then.
-    heard: RefCell<HashMap<u64, (u64, bool)>>,
-    /// Whether it is decided how this VM begins.
-    has_begun: Cell<bool>,
-    /// Told when a workspace's request has come.
-    asked: Notify,
-    /// Whether the configuration in force bounds any workspace.
+    /// When each VM last sent a report, and whether it had run for a whole window by then.
+    last_reports: RefCell<HashMap<u64, (u64, bool)>>,
+    /// Whether this VM has decided how to start.
+    has_decided_start: Cell<bool>,
+    /// Notified when a request of a workspace arrives.
+    request_arrived: Notify,
+    /// Whether the configuration in force gives any workspace an allotment.
     has_bounds: Cell<bool>,
-    /// The workspaces of which others should be asked what they know.
-    asks: RefCell<Vec<WorkspaceId>>,
-    /// The VMs that wait for what this one knows of some workspaces, or of all; only they are answered, as all that callers
-    /// are sent to are asked.
-    askers: RefCell<Vec<(SocketAddr, Asked)>>,
-    /// Told when others should hear of something at once.
-    pressing: Notify,
+    /// The workspaces on which to request reports from other VMs.
+    workspaces_to_request: RefCell<Vec<WorkspaceId>>,
+    /// The VMs that requested reports, and on which workspaces. Only they get an answer, as a VM
+    /// sends its request to all entry VMs.
+    report_requests: RefCell<Vec<(SocketAddr, RequestedReports)>>,
+    /// Notified when a report or a request for reports must be sent soon.
+    report_urgent: Notify,
 }
 
 impl Admission {
-    /// Starts with nothing known.
+    /// Starts with no usage known.
     pub fn open(slack: f64) -> Admission {
         Admission {
             allotments: RefCell::new(Allotments::open(slack)),
-            heard: RefCell::default(),
-            has_begun: Cell::new(false),
-            asked: Notify::new(),
+            last_reports: RefCell::default(),
+            has_decided_start: Cell::new(false),
+            request_arrived: Notify::new(),
             has_bounds: Cell::new(false),
-            asks: RefCell::default(),
-            askers: RefCell::default(),
-            pressing: Notify::new(),
+            workspaces_to_request: RefCell::default(),
+            report_requests: RefCell::default(),
+            report_urgent: Notify::new(),
         }
     }
 
-    /// Notes the workspaces of the configuration in force.
+    /// Updates whether the configuration in force limits any workspace.
     pub fn set_workspaces(&self, workspaces: Option<&Workspaces>) {
         let is_bounded = |workspaces: &Workspaces| {
             workspaces.iter().any(|workspace| workspace.allotment.is_some())
@@ -92,32 +94,35 @@
         self.has_bounds.set(workspaces.is_some_and(is_bounded));
     }
 
-    /// Tells whether the configuration in force bounds any workspace.
+    /// Tells whether the configuration in force gives any workspace an allotment.
     pub fn has_bounds(&self) -> bool {
         self.has_bounds.get()
     }
 
-    /// Waits until a workspace's request has come.
-    pub async fn until_asked(&self) {
-        self.asked.notified().await;
+    /// Waits until a request of a workspace arrives.
+    pub async fn until_request(&self) {
+        self.request_arrived.notified().await;
     }
 
-    /// Tells whether this VM hears another that has run for a window.
-    pub fn hears_elder(&self, now_ms: u64) -> bool {
-        self.heard.borrow().values().any(|(at_ms, is_elder)| *is_elder && is_fresh(*at_ms, now_ms))
+    /// Tells whether this VM has a recent report from a VM that has run for a whole window.
+    pub fn has_elder_report(&self, now_ms: u64) -> bool {
+        self.last_reports
+            .borrow()
+            .values()
+            .any(|(at_ms, is_elder)| *is_elder && is_recent(*at_ms, now_ms))
     }
 
-    /// Begins with nothing but the rate.
-    pub fn begin_empty(&self) {
+    /// Starts every bucket empty, so that only the rate admits requests.
+    pub fn start_empty(&self) {
         self.allotments.borrow_mut().start_empty();
     }
 
-    /// Notes that it is decided how this VM begins.
-    pub fn begin(&self) {
-        self.has_begun.set(true);
+    /// Records that this VM has decided how to start.
+    pub fn mark_start_decided(&self) {
+        self.has_decided_start.set(true);
     }
 
-    /// Lets a request of a workspace in if there is room for it.
+    /// Admits a request of a workspace if its allotment allows it.
     pub async fn spend(
         &self,
         id: WorkspaceId,
@@ -125,191 +130,202 @@
         mesh: &Mesh,
         clock: Clock,
     ) -> Result<Granted, Denied> {
-        let began_ms = clock.now_ms();
-        if !self.hearing(mesh, began_ms).hears_most {
-            let mut asks = self.asks.borrow_mut();
-            if !asks.contains(&id) {
-                asks.push(id);
+        let started_ms = clock.now_ms();
+        if !self.peer_visibility(mesh, started_ms).hears_most {
+            let mut workspaces = self.workspaces_to_request.borrow_mut();
+            if !workspaces.contains(&id) {
+                workspaces.push(id);
             }
-            self.pressing.notify_one();
+            self.report_urgent.notify_one();
         }
-        self.asked.notify_one();
-        while !self.hearing(mesh, clock.now_ms()).hears_most && clock.now_ms() < began_ms + HOLD_MS
+        self.request_arrived.notify_one();
+        while !self.peer_visibility(mesh, clock.now_ms()).hears_most
+            && clock.now_ms() < started_ms + PEER_WAIT_MS
         {
-            tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+            tokio::time::sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
         }
         while mesh.takes_callers()
-            && !self.has_begun.get()
-            && clock.now_ms() < began_ms + BEGIN_HOLD_MS
+            && !self.has_decided_start.get()
+            && clock.now_ms() < started_ms + START_WAIT_MS
         {
-            tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+            tokio::time::sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
         }
         let now_ms = clock.now_ms();
-        let hearing = self.hearing(mesh, now_ms);
-        let result = self.allotments.borrow_mut().spend(id, allotment, hearing, now_ms);
-        if result.is_ok_and(|spent| spent.is_urgent) {
-            self.pressing.notify_one();
+        let visibility = self.peer_visibility(mesh, now_ms);
+        let result = self.allotments.borrow_mut().spend(id, allotment, visibility, now_ms);
+        if result.is_ok_and(|granted| granted.is_urgent) {
+            self.report_urgent.notify_one();
         }
         result
     }
 
-    /// Takes in what another VM tells.
-    pub fn take(
+    /// Applies a message from another VM.
+    pub fn receive(
         &self,
         from: SocketAddr,
-        told: &peer::Allotments,
+        message: &peer::Allotments,
         workspaces: Option<&Workspaces>,
-        between: EntryMembership,
+        membership: EntryMembership,
         now_ms: u64,
     ) {
-        self.heard.borrow_mut().insert(told.reporter, (now_ms, told.is_elder));
+        self.last_reports.borrow_mut().insert(message.reporter, (now_ms, message.is_elder));
         let mut allotments = self.allotments.borrow_mut();
-        for tally in &told.workspaces {
+        for tally in &message.workspaces {
             let id = WorkspaceId(tally.id);
             let workspace = workspaces.and_then(|workspaces| workspaces.by_id(id));
             let Some(allotment) = workspace.and_then(|workspace| workspace.allotment) else {
                 continue;
             };
-            let told_of = UsageReport { id, total: tally.total, room: tally.room.into() };
-            allotments.apply_report(told.reporter, told_of, allotment, between, now_ms);
+            let report = UsageReport { id, total: tally.total, room: tally.room.into() };
+            allotments.apply_report(message.reporter, report, allotment, membership, now_ms);
         }
-        if !told.asks {
+        if !message.asks {
             return;
         }
         let ids: Vec<WorkspaceId> =
-            told.workspaces.iter().map(|tally| WorkspaceId(tally.id)).collect();
-        // One that shares the traffic and asks has just begun to, or heard nobody for a while.
-        let wants_all = between == EntryMembership::Both || ids.is_empty();
-        let asked = if wants_all { Asked::All } else { Asked::Some(ids) };
-        self.askers.borrow_mut().push((from, asked));
-        self.pressing.notify_one();
+            message.workspaces.iter().map(|tally| WorkspaceId(tally.id)).collect();
+        // An entry VM that requests reports has just joined the entry set, or had no reports for a
+        // while.
+        let wants_all = membership == EntryMembership::Both || ids.is_empty();
+        let requested = if wants_all { RequestedReports::All } else { RequestedReports::Some(ids) };
+        self.report_requests.borrow_mut().push((from, requested));
+        self.report_urgent.notify_one();
     }
 
-    /// How much this VM hears of the others.
-    fn hearing(&self, mesh: &Mesh, now_ms: u64) -> PeerVisibility {
-        let heard = self.heard.borrow();
-        let is_heard = |id: u64| heard.get(&id).is_some_and(|(at_ms, _)| is_fresh(*at_ms, now_ms));
-        let placed: Vec<u64> =
-            mesh.sharing.entry().iter().map(|member| member.identity.id).collect();
-        let is_gone = |id: &u64| !placed.contains(id) && !is_heard(*id) && mesh.is_dead(*id);
-        let dead = heard.keys().filter(|id| is_gone(id)).count();
-        PeerVisibility::of(mesh.id(), &placed, is_heard, mesh.member_count(), dead)
+    /// How many of the other VMs have reported recently.
+    fn peer_visibility(&self, mesh: &Mesh, now_ms: u64) -> PeerVisibility {
+        let last_reports = self.last_reports.borrow();
+        let has_report =
+            |id: u64| last_reports.get(&id).is_some_and(|(at_ms, _)| is_recent(*at_ms, now_ms));
+        let entry_vms: Vec<u64> =
+            mesh.entry_set.members().iter().map(|member| member.identity.id).collect();
+        let is_dead_peer =
+            |id: &u64| !entry_vms.contains(id) && !has_report(*id) && mesh.is_dead(*id);
+        let dead = last_reports.keys().filter(|id| is_dead_peer(id)).count();
+        PeerVisibility::of(mesh.id(), &entry_vms, has_report, mesh.member_count(), dead)
     }
 
-    /// What others are to be told by now, with what they are asked of.
+    /// The reports that are due, and those on the workspaces that this VM requests.
     ///
-    /// Those that share the traffic hear each other also where there is nothing to tell. The others, which get a request now
-    /// and then, tell what they let in and hear answers: where each of 300 such VMs told 24 and heard them for 3 s after a
-    /// request, that was 80 % of all bytes between VMs, and with answers alone 3 %.
-    fn take_due(&self, asked: &[WorkspaceId], is_repeat: bool, now_ms: u64) -> Vec<UsageReport> {
-        let since_ms = now_ms.saturating_sub(BEAT_MS * BEATS_A_REPEAT);
+    /// Entry VMs report to each other even if there is nothing new. The other VMs get a request now
+    /// and then; they report what they admitted and get only the answers they request. When each of
+    /// 300 such VMs reported to 24 and received their reports for 3 s after a request, that was
+    /// 80 % of all bytes between VMs; with answers alone it is 3 %.
+    fn take_due_reports(
+        &self,
+        requested: &[WorkspaceId],
+        is_repeat: bool,
+        now_ms: u64,
+    ) -> Vec<UsageReport> {
+        let since_ms = now_ms.saturating_sub(REPORT_INTERVAL_MS * INTERVALS_PER_REPEAT);
         let mut allotments = self.allotments.borrow_mut();
         let mut due = allotments.take_due_reports(is_repeat, since_ms);
-        let is_named = |id: &WorkspaceId| due.iter().any(|told| told.id == *id);
-        let unnamed: Vec<WorkspaceId> = asked.iter().copied().filter(|id| !is_named(id)).collect();
-        due.extend(allotments.reports_on(&unnamed));
+        let is_included = |id: &WorkspaceId| due.iter().any(|report| report.id == *id);
+        let missing: Vec<WorkspaceId> =
+            requested.iter().copied().filter(|id| !is_included(id)).collect();
+        due.extend(allotments.reports_on(&missing));
         due
     }
 }
 
-/// What a VM wants to be told.
+/// The reports that a VM requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Asked {
-    /// All that is known.
+enum RequestedReports {
+    /// All reports.
     All,
-    /// What is known of some workspaces.
+    /// Reports on some workspaces.
     Some(Vec<WorkspaceId>),
 }
 
-/// What telling others of allotments needs of the VM.
-pub(crate) struct Teller {
+/// Sends reports of allotment usage to the other VMs.
+pub(crate) struct UsageReporter {
     /// The clock.
     pub clock: Clock,
     /// The allotments.
     pub admission: Rc<Admission>,
     /// The other VMs.
     pub mesh: Rc<Mesh>,
-    /// The counts.
+    /// The metrics.
     pub meters: Rc<Meters>,
 }
 
-impl Teller {
-    /// Tells others what this VM lets in, for as long as the process runs.
+impl UsageReporter {
+    /// Sends reports for as long as the process runs.
     pub async fn run(self) {
-        let mut beats = 0;
+        let mut report_count = 0;
         loop {
-            let beat = tokio::time::sleep(Duration::from_millis(BEAT_MS));
-            let is_beat = tokio::select! {
-                () = beat => true,
-                () = self.admission.pressing.notified() => false,
+            let interval = tokio::time::sleep(Duration::from_millis(REPORT_INTERVAL_MS));
+            let is_periodic = tokio::select! {
+                () = interval => true,
+                () = self.admission.report_urgent.notified() => false,
             };
-            let asked = std::mem::take(&mut *self.admission.asks.borrow_mut());
-            let askers = std::mem::take(&mut *self.admission.askers.borrow_mut());
-            self.answer(&askers);
-            if !is_beat && asked.is_empty() {
-                tokio::time::sleep(Duration::from_millis(GATHER_MS)).await;
+            let requested = std::mem::take(&mut *self.admission.workspaces_to_request.borrow_mut());
+            let report_requests = std::mem::take(&mut *self.admission.report_requests.borrow_mut());
+            self.answer_requests(&report_requests);
+            if !is_periodic && requested.is_empty() {
+                tokio::time::sleep(Duration::from_millis(URGENT_DELAY_MS)).await;
             }
             let now_ms = self.clock.now_ms();
             if !self.admission.has_bounds.get() {
                 continue;
             }
-            beats += u64::from(is_beat);
-            let is_repeat = is_beat && beats.is_multiple_of(BEATS_A_REPEAT);
+            report_count += u64::from(is_periodic);
+            let is_repeat = is_periodic && report_count.is_multiple_of(INTERVALS_PER_REPEAT);
             if is_repeat {
                 self.forget(now_ms);
             }
-            let due = self.admission.take_due(&asked, is_repeat, now_ms);
-            let is_placed = self.mesh.takes_callers();
-            if due.is_empty() && !is_placed {
+            let due = self.admission.take_due_reports(&requested, is_repeat, now_ms);
+            let is_entry_vm = self.mesh.takes_callers();
+            if due.is_empty() && !is_entry_vm {
                 continue;
             }
-            // Whoever callers are not sent to hears the others only when it asks.
-            let asks = !asked.is_empty() || (!is_placed && !is_repeat);
-            self.tell(&due, asks, &self.mesh.sharers());
+            // A VM outside the entry set gets reports only if it requests them.
+            let asks = !requested.is_empty() || (!is_entry_vm && !is_repeat);
+            self.send_reports(&due, asks, &self.mesh.entry_peer_addresses());
         }
     }
 
-    /// Tells those who asked what is known.
-    fn answer(&self, askers: &[(SocketAddr, Asked)]) {
+    /// Answers the VMs that requested reports.
+    fn answer_requests(&self, report_requests: &[(SocketAddr, RequestedReports)]) {
         let allotments = self.admission.allotments.borrow();
-        for (from, asked) in askers {
-            let told = match asked {
-                Asked::All => allotments.all_reports(),
-                Asked::Some(ids) => allotments.reports_on(ids),
+        for (from, requested) in report_requests {
+            let reports = match requested {
+                RequestedReports::All => allotments.all_reports(),
+                RequestedReports::Some(ids) => allotments.reports_on(ids),
             };
-            self.tell(&told, false, &[*from]);
+            self.send_reports(&reports, false, &[*from]);
         }
     }
 
-    /// Tells some VMs of workspaces, also that there is nothing to tell.
-    fn tell(&self, due: &[UsageReport], asks: bool, to: &[SocketAddr]) {
-        let tally = |told: &UsageReport| WorkspaceTally {
-            id: told.id.0,
-            total: told.total,
-            room: told.room as i32,
+    /// Sends reports to some VMs, even if there are none.
+    fn send_reports(&self, due: &[UsageReport], asks: bool, to: &[SocketAddr]) {
+        let tally = |report: &UsageReport| WorkspaceTally {
+            id: report.id.0,
+            total: report.total,
+            room: report.room as i32,
         };
         let tallies: Vec<WorkspaceTally> = due.iter().map(tally).collect();
-        let mut parts = tallies.chunks(WORKSPACES_A_DATAGRAM);
-        let first = parts.next().unwrap_or_default();
-        for part in std::iter::once(first).chain(parts) {
+        let mut chunks = tallies.chunks(WORKSPACES_PER_DATAGRAM);
+        let first = chunks.next().unwrap_or_default();
+        for chunk in std::iter::once(first).chain(chunks) {
             let reporter = self.mesh.id();
             let is_elder = self.clock.now_ms() >= STARTUP_WINDOW_MS;
-            let body = peer::Allotments { reporter, workspaces: part.to_vec(), asks, is_elder };
+            let body = peer::Allotments { reporter, workspaces: chunk.to_vec(), asks, is_elder };
             let packet = Packet { body: Some(Body::Allotments(body)), ..Packet::default() };
             self.mesh.send(&self.meters, &packet, to);
         }
     }
 
-    /// Forgets VMs and workspaces that have long been silent.
+    /// Forgets VMs and workspaces that have been idle for long.
     fn forget(&self, now_ms: u64) {
-        let mut heard = self.admission.heard.borrow_mut();
-        heard.retain(|_, (at_ms, _)| now_ms.saturating_sub(*at_ms) < GONE_MS);
-        let is_heard = |id| heard.contains_key(&id);
-        self.admission.allotments.borrow_mut().forget(is_heard, now_ms);
+        let mut last_reports = self.admission.last_reports.borrow_mut();
+        last_reports.retain(|_, (at_ms, _)| now_ms.saturating_sub(*at_ms) < PEER_RETENTION_MS);
+        let has_report = |id| last_reports.contains_key(&id);
+        self.admission.allotments.borrow_mut().forget(has_report, now_ms);
     }
 }
 
-/// Tells whether what a VM told at a time still counts as heard.
-fn is_fresh(at_ms: u64, now_ms: u64) -> bool {
-    now_ms.saturating_sub(at_ms) < UNHEARD_MS
+/// Tells whether a report received at `at_ms` still counts.
+fn is_recent(at_ms: u64, now_ms: u64) -> bool {
+    now_ms.saturating_sub(at_ms) < REPORT_MAX_AGE_MS
 }
--- a/crates/leverstream-gateway/src/attempt.rs
+++ b/crates/leverstream-gateway/src/attempt.rs
@@ -82,7 +82,7 @@
         Ok(conn) => conn,
         Err(error) => {
             if error == Unopened::Refused && inner.fleet.borrow().is_in_service(slot.key) {
-                inner.suspicions.note_refused(&of, now_ms);
+                inner.suspect_tracker.note_refused_connection(&of, now_ms);
             }
             sent.fail(Outcome::Bad, "connect");
             return Tried::NotSent(Kind::ConnectFailed);
@@ -123,8 +123,8 @@
         Ok(Ok(answer)) => answer,
         Ok(Err(error)) => {
             if error.is_broken() && sent.has_ended(address).await {
-                inner.suspicions.note_end(request, &of, inner.now_ms());
-                inner.suspicions.note_refused(&of, inner.now_ms());
+                inner.suspect_tracker.note_end(request, &of, inner.now_ms());
+                inner.suspect_tracker.note_refused_connection(&of, inner.now_ms());
             }
             sent.fail(Outcome::Bad, &error.to_string());
             return Tried::MayHaveRun(kind_of(error));
@@ -168,7 +168,7 @@
             let Incarnation { instance, born_ms } = of;
             let reason = "its address answers for another";
             info!(backend = instance, born_ms, reason, "backend gone");
-            evidence::tell_ended(inner, of);
+            evidence::announce_end(inner, of);
         }
         return Tried::NotRun(Kind::ConnectFailed);
     }
@@ -190,7 +190,7 @@
     } else {
         let time_ms = inner.now_ms().saturating_sub(slot.since_ms) as f64;
         slot.end(Outcome::Good { time_ms, bytes: answer.body.len() });
-        inner.suspicions.note_sound(request, inner.now_ms());
+        inner.suspect_tracker.note_healthy_answer(request, inner.now_ms());
     }
     Tried::Answered(answer)
 }
@@ -234,7 +234,7 @@
     fn drop(&mut self) {
         if !self.is_over.get() {
             let Sent { inner, request, of, .. } = *self.sent;
-            inner.suspicions.note_left(request, of, self.sent_ms, inner.now_ms());
+            inner.suspect_tracker.note_abandoned(request, of, self.sent_ms, inner.now_ms());
         }
     }
 }
@@ -278,7 +278,7 @@
             let Incarnation { instance, born_ms } = of;
             let status = head.status;
             info!(id, backend = instance, born_ms, status, source = "answer", "backend leaves");
-            words::tell(inner, of);
+            words::announce_leaving(inner, of);
             inner.idle.borrow_mut().forget(of);
             inner.wake_all();
         }
@@ -308,7 +308,7 @@
             let id = request.id.as_deref().unwrap_or("-");
             let Incarnation { instance, born_ms } = of;
             info!(id, backend = instance, born_ms, per_s, source = "answer", "backend limit");
-            words::tell_limit(inner, word.to_update(of, now_ms));
+            words::announce_limit(inner, word.to_update(of, now_ms));
             inner.wake_all();
         }
     }
--- a/crates/leverstream-gateway/src/directory.rs
+++ b/crates/leverstream-gateway/src/directory.rs
@@ -10,10 +10,10 @@
 /// started names nobody: callers who hold an older answer go on with it, and were the whole fleet to start
 /// anew, each VM would first name others that know as little as itself.
 pub(crate) fn addresses(inner: &Inner, hall: &str) -> Vec<SocketAddr> {
-    if !inner.mesh.knows_where(inner.now_ms()) {
+    if !inner.mesh.is_directory_ready(inner.now_ms()) {
         return Vec::new();
     }
-    let entry = inner.mesh.sharing.entry();
+    let entry = inner.mesh.entry_set.members();
     let alive: Vec<&Member> = entry.iter().filter(|member| member.takes_callers()).collect();
     let near = alive.iter().filter(|member| member.identity.hall == hall);
     let mut addresses: Vec<SocketAddr> =
--- a/crates/leverstream-gateway/src/emptied.rs
+++ b/crates/leverstream-gateway/src/emptied.rs
@@ -119,6 +119,6 @@
     info!(?halls, revision, source, "data halls to be emptied");
     inner.wake_all();
     if source == "store" {
-        inner.mesh.tell_standing(inner);
+        inner.mesh.send_standing(inner);
     }
 }
--- a/crates/leverstream-gateway/src/follow.rs
+++ b/crates/leverstream-gateway/src/follow.rs
@@ -16,7 +16,7 @@
 use tracing::{info, warn};
 
 use crate::gateway::Inner;
-use crate::{Settings, outlast};
+use crate::{Settings, refused_store};
 
 /// How many refused records are remembered at the most, against logging one again.
 const REFUSED_LIMIT: usize = 1_024;
@@ -74,7 +74,7 @@
         for item in listing.items {
             take_catalog(&inner, item);
         }
-        inner.leases.read_at(asked_ms.get());
+        inner.leases.record_read(asked_ms.get());
         let mut revision = listing.revision;
         let mut is_broken = false;
         while !is_broken && inner.mesh.watches() {
@@ -134,7 +134,7 @@
         inner.mesh.until_watches(true).await;
     } else {
         // Requests are served once the backend servers are known, so what they end under is read before.
-        outlast::read(&store, &inner).await;
+        refused_store::read(&store, &inner).await;
     }
     loop {
         let listing = link.until_done(&inner, || store.list_backends()).await;
@@ -226,7 +226,7 @@
     fn publish(&self, inner: &Inner, revision: u64) {
         if !self.is_waiting() {
             inner.fleet.borrow_mut().advance_revision(revision);
-            inner.mesh.tell_standing(inner);
+            inner.mesh.send_standing(inner);
         }
     }
 
@@ -257,7 +257,7 @@
         set(inner, item, listing.revision);
     }
     inner.has_fleet.set(true);
-    inner.mesh.choose(inner);
+    inner.mesh.update_roles(inner);
     let known: Vec<String> = inner.fleet.borrow().instances().map(str::to_owned).collect();
     let missing: HashSet<String> =
         known.into_iter().filter(|instance| !listed.contains(instance)).collect();
@@ -345,7 +345,7 @@
     match item.content {
         Ok(catalog) => {
             if adopt(inner, catalog) {
-                inner.mesh.tell_standing(inner);
+                inner.mesh.send_standing(inner);
             }
         }
         Err(error) => {
--- a/crates/leverstream-gateway/src/forward.rs
+++ b/crates/leverstream-gateway/src/forward.rs
@@ -204,13 +204,13 @@
     /// Refuses a request under which all but the last backend server of its service may have ended: with that one the
     /// whole service would be gone, and it can be tried when others are back.
     fn check_last(&self) -> Result<(), Kind> {
-        if self.inner.suspicions.verdict(self.request) != Verdict::LastTry {
+        if self.inner.suspect_tracker.verdict(self.request) != Verdict::LastTry {
             return Ok(());
         }
         let fleet = self.inner.fleet.borrow();
         let keys = fleet.keys_of_service(self.service).iter();
         let has_ended =
-            |key: &BackendKey| self.inner.suspicions.has_ended(&fleet.incarnation(*key));
+            |key: &BackendKey| self.inner.suspect_tracker.has_ended(&fleet.incarnation(*key));
         let is_last = keys.filter(|key| !has_ended(key)).count() <= 1;
         if is_last { Err(Kind::NoSlot) } else { Ok(()) }
     }
@@ -226,7 +226,7 @@
 
     /// Refuses a request under which backend servers end. Others may have told of it while it waited.
     fn check_suspect(&self) -> Result<(), Kind> {
-        self.inner.suspicions.check(self.request, self.inner.now_ms())
+        self.inner.suspect_tracker.check(self.request, self.inner.now_ms())
     }
 
     /// Takes the end of one send in.
@@ -248,7 +248,7 @@
         record.ran += u32::from(ran);
         // Two backend servers have ended under it: a third should not before its caller asks again.
         let may_end_another =
-            ran && self.inner.suspicions.verdict(self.request) >= Verdict::LastTry;
+            ran && self.inner.suspect_tracker.verdict(self.request) >= Verdict::LastTry;
         let is_over = may_end_another || (ran && !self.route.is_repeatable);
         if is_over { Settled::Over } else { Settled::MayRepeat }
     }
@@ -339,12 +339,12 @@
             return None;
         }
         // One that may end a backend server goes to one at a time.
-        if self.inner.suspicions.verdict(self.request) != Verdict::Free {
+        if self.inner.suspect_tracker.verdict(self.request) != Verdict::Free {
             return None;
         }
         let gain = hedge_gain(&self.inner.fleet.borrow(), &self.pending(&flights), now_ms);
-        let sharers = self.inner.mesh.sharing.count();
-        let used_part = self.inner.repeats.used_part(self.service, sharers, now_ms);
+        let sharers = self.inner.mesh.entry_set.count();
+        let used_part = self.inner.repeats.used_share(self.service, sharers, now_ms);
         if !is_hedge_worthwhile(gain, used_part) {
             return None;
         }
@@ -389,11 +389,11 @@
         let Inner { repeats, mesh, meters, .. } = &**self.inner;
         loop {
             let now_ms = self.inner.now_ms();
-            let room = repeats.room(self.service, now_ms);
+            let room = repeats.headroom(self.service, now_ms);
             if room.has_one() {
                 return true;
             }
-            repeats.ask(self.service, mesh, meters, now_ms);
+            repeats.request_loans(self.service, mesh, meters, now_ms);
             if now_ms >= self.deadline_ms || !repeats.is_loan_awaited(self.service, now_ms) {
                 self.note_denied(room);
                 return false;
@@ -421,7 +421,7 @@
         } else {
             self.note_denied(room);
         }
-        inner.repeats.ask(self.service, &inner.mesh, &inner.meters, now_ms);
+        inner.repeats.request_loans(self.service, &inner.mesh, &inner.meters, now_ms);
         may
     }
 
@@ -432,7 +432,7 @@
         let id = self.request.id.as_deref().unwrap_or("-");
         let Headroom { requests, spent, own, lent } = room;
         info!(id, service = self.service, requests, spent, own, lent, "repeat denied");
-        inner.repeats.ask(self.service, &inner.mesh, &inner.meters, inner.now_ms());
+        inner.repeats.request_loans(self.service, &inner.mesh, &inner.meters, inner.now_ms());
     }
 
     /// What an answer that tells of a failure is passed on as.
--- a/crates/leverstream-gateway/src/gateway.rs
+++ b/crates/leverstream-gateway/src/gateway.rs
@@ -11,19 +11,19 @@
 use leverstream_workspace::KeyHasher;
 use tracing::{info, warn};
 
-use crate::admission::{Admission, Teller};
+use crate::admission::{Admission, UsageReporter};
 use crate::follow::RefusedRecords;
 use crate::idle::IdlePool;
-use crate::leases::{Keeper, Leases};
-use crate::limits::{Limits, Permits};
+use crate::leases::{LeaseRenewer, Leases};
+use crate::limits::{PermitState, Permits};
 use crate::mesh::Mesh;
 use crate::meters::Meters;
 use crate::news::{Fetching, Packed};
 use crate::repeats::Repeats;
-use crate::starts::Starts;
-use crate::suspects::Suspicions;
+use crate::starts::StartDecider;
+use crate::suspects::SuspectTracker;
 use crate::waiting::Waiting;
-use crate::{Settings, emptied, evidence, follow, listeners, mesh, outlast};
+use crate::{Settings, emptied, evidence, follow, listeners, mesh, refused_store};
 
 /// How often a planned stop looks whether it may end, in milliseconds.
 const STOP_POLL_MS: u64 = 20;
@@ -70,11 +70,11 @@
     /// Makes digests of keys.
     pub hasher: KeyHasher,
     /// Requests under which backend servers end.
-    pub suspicions: Rc<Suspicions>,
+    pub suspect_tracker: Rc<SuspectTracker>,
     /// Backend servers that leave by their own word.
-    pub words: Cell<NoticeSync>,
+    pub notice_sync: Cell<NoticeSync>,
     /// Permits for requests to backend servers that name a limit.
-    pub limits: Limits,
+    pub limits: PermitState,
     /// Whether news are being fetched from another VM.
     pub fetching: Fetching,
     /// The configuration as other VMs are sent it.
@@ -134,9 +134,9 @@
             admission: Rc::new(Admission::open(settings.allotments.slack)),
             repeats: Repeats::open(&settings),
             hasher: KeyHasher::derive(&settings.peers.key),
-            suspicions: Rc::new(Suspicions::open(&settings.peers.key)),
-            words: Cell::default(),
-            limits: Limits::default(),
+            suspect_tracker: Rc::new(SuspectTracker::open(&settings.peers.key)),
+            notice_sync: Cell::default(),
+            limits: PermitState::default(),
             fetching: Fetching::default(),
             packed: Packed::default(),
             refused: RefusedRecords::default(),
@@ -155,14 +155,14 @@
         actix_rt::spawn(follow::catalogs(store.clone(), Rc::clone(&inner)));
         actix_rt::spawn(follow::backends(store.clone(), Rc::clone(&inner)));
         actix_rt::spawn(emptied::follow(store.clone(), Rc::clone(&inner)));
-        actix_rt::spawn(outlast::write(store.clone(), Rc::clone(&inner)));
+        actix_rt::spawn(refused_store::write(store.clone(), Rc::clone(&inner)));
         gateway.keep_leases(store.clone());
         gateway.tell_allotments();
         gateway.begin_allotments(store);
         gateway.tell_suspects();
         actix_rt::spawn(mesh::receive(Rc::clone(&inner)));
         actix_rt::spawn(mesh::tick(Rc::clone(&inner)));
-        actix_rt::spawn(evidence::tell(Rc::clone(&inner)));
+        actix_rt::spawn(evidence::report_changes(Rc::clone(&inner)));
         let Settings { vm, hall, region, .. } = &inner.settings;
         info!(vm, hall, region, callers = %listen.callers, "start");
         if !clock.counts_suspension() {
@@ -177,7 +177,8 @@
     fn keep_leases(&self, store: Store) {
         let inner = Rc::clone(&self.inner);
         let (leases, mesh) = (Rc::clone(&inner.leases), Rc::clone(&inner.mesh));
-        let keeper = Keeper { clock: inner.clock, leases, mesh, meters: Rc::clone(&inner.meters) };
+        let keeper =
+            LeaseRenewer { clock: inner.clock, leases, mesh, meters: Rc::clone(&inner.meters) };
         actix_rt::spawn(keeper.run(move || follow::read_catalog(store.clone(), Rc::clone(&inner))));
     }
 
@@ -186,13 +187,13 @@
         let inner = &self.inner;
         let (admission, mesh) = (Rc::clone(&inner.admission), Rc::clone(&inner.mesh));
         let meters = Rc::clone(&inner.meters);
-        actix_rt::spawn(Teller { clock: inner.clock, admission, mesh, meters }.run());
+        actix_rt::spawn(UsageReporter { clock: inner.clock, admission, mesh, meters }.run());
     }
 
     /// Decides how this VM begins with allotments.
     fn begin_allotments(&self, store: Store) {
         let inner = &self.inner;
-        let starts = Starts {
+        let starts = StartDecider {
             vm: inner.settings.vm.clone(),
             is_first_start: inner.settings.peers.is_first_start,
             clock: inner.clock,
@@ -206,17 +207,17 @@
     /// Tells other VMs under which requests backend servers end.
     fn tell_suspects(&self) {
         let inner = &self.inner;
-        let (suspicions, mesh) = (Rc::clone(&inner.suspicions), Rc::clone(&inner.mesh));
+        let (suspect_tracker, mesh) = (Rc::clone(&inner.suspect_tracker), Rc::clone(&inner.mesh));
         let (meters, clock) = (Rc::clone(&inner.meters), inner.clock);
         actix_rt::spawn(async move {
-            suspicions.run(|| clock.now_ms(), &mesh, &meters).await;
+            suspect_tracker.run(|| clock.now_ms(), &mesh, &meters).await;
         });
     }
 
     /// Takes in settings that have changed while it runs; listeners stay where they are.
     pub fn reload(&self, settings: &Settings) {
         let has_changed = *settings != self.inner.settings;
-        self.inner.mesh.hint(settings.peers.seeds.clone());
+        self.inner.mesh.set_seeds(settings.peers.seeds.clone());
         info!(has_changed, seeds = ?settings.peers.seeds, "reload");
     }
 
--- a/crates/leverstream-gateway/src/leases.rs
+++ b/crates/leverstream-gateway/src/leases.rs
@@ -1,4 +1,5 @@
-//! Keeps what this VM knows of keys young enough to be trusted: from the store, or from a VM that asked it.
+//! Renews the lease on the known keys, so that they are recent enough to trust: by reading the
+//! store, or by asking a VM that has read it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,115 +18,120 @@
 use crate::mesh::Mesh;
 use crate::meters::Meters;
 
-/// At which part of the age that is trusted a VM that watches the store reads the configuration again: one such read
-/// may fail, and those who ask next still have half the time left.
-const READ_PART: f64 = 0.22;
+/// The fraction of the lease time at which a VM that watches the store reads the configuration
+/// again. One such read may fail, and VMs that ask afterwards still have half the time left.
+const REFRESH_FRACTION: f64 = 0.22;
 
-/// At which part a VM that gets requests with keys asks one that watches the store.
-const ASK_PART: f64 = 0.31;
+/// The fraction at which a VM that serves requests with keys asks one that watches the store.
+const ASK_FRACTION: f64 = 0.31;
 
-/// At which part it asks more VMs at once, in case that one does not know better.
-const ASK_MANY_PART: f64 = 0.45;
+/// The fraction at which it asks several VMs at once, in case the first has no newer information.
+const ASK_MANY_FRACTION: f64 = 0.45;
 
-/// At which part it reads the store itself, as nobody could tell it.
-const READ_SELF_PART: f64 = 0.6;
+/// The fraction at which it reads the store itself, as no other VM could answer.
+const FALLBACK_READ_FRACTION: f64 = 0.6;
 
-/// The time between two questions or reads, in milliseconds.
-const PAUSE_MS: u64 = 150;
+/// The interval between two questions or reads, in milliseconds.
+const RETRY_INTERVAL_MS: u64 = 150;
 
-/// The same for reads of a VM that reads as nobody could tell it: the store may be away for all.
-const READ_SELF_PAUSE_MS: u64 = 600;
+/// The interval between fallback reads, in milliseconds: the store may be unavailable for all VMs.
+const FALLBACK_READ_INTERVAL_MS: u64 = 600;
 
-/// How long after a request with a key a VM keeps its lease, in milliseconds; later it asks when one comes.
-const USED_MS: u64 = 5_000;
+/// How long a VM renews its lease after the last request with a key, in milliseconds; later it asks
+/// when the next one arrives.
+const ACTIVE_MS: u64 = 5_000;
 
-/// How often it is looked what is due, in milliseconds.
-const LOOK_MS: u64 = 100;
+/// The polling interval, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 100;
 
-/// How long a read may take: the store answers within 4 ms when well.
-const READ_LIMIT_MS: u64 = 800;
+/// The timeout of a read: a healthy store answers within 4 ms.
+const READ_TIMEOUT_MS: u64 = 800;
 
-/// How many members are asked besides the hall's watchers when those do not help.
-const ASKED_BESIDES: usize = 2;
+/// Members asked in addition to the hall's watchers if those do not help.
+const EXTRA_MEMBERS_ASKED: usize = 2;
 
-/// How long a question may be answered, in milliseconds.
-const ANSWER_MS: u64 = 1_000;
+/// How long an answer to a question is accepted, in milliseconds.
+const ANSWER_TIMEOUT_MS: u64 = 1_000;
 
-/// The longest that a request waits for a lease: a VM of the same hall answers within a few milliseconds.
-const HOLD_MS: u64 = 250;
+/// The longest time a request waits for a lease: a VM of the same hall answers within a few
+/// milliseconds.
+const REQUEST_WAIT_MS: u64 = 250;
 
-/// How long this VM may trust what it knows of keys, and what it has asked to know better.
+/// How long this VM may trust the keys it knows, and its pending questions.
 pub(crate) struct Leases {
-    /// The lease, where removed keys must cease to work within a time.
+    /// The lease; none if the settings name no time within which removed keys must stop working.
     lease: Option<RefCell<Lease>>,
     /// Whether the configuration in force has workspaces.
     has_workspaces: Cell<bool>,
-    /// When a request with a key last came.
-    used_ms: Cell<Option<u64>>,
-    /// Since when a request waits for the lease.
-    wanted_ms: Cell<Option<u64>>,
-    /// The questions under way: their numbers and when they were asked.
-    asked: RefCell<HashMap<u64, u64>>,
+    /// When the last request with a key arrived.
+    last_used_ms: Cell<Option<u64>>,
+    /// When the first request that waits for the lease arrived.
+    waiting_since_ms: Cell<Option<u64>>,
+    /// Pending questions: their numbers and when they were sent.
+    pending: RefCell<HashMap<u64, u64>>,
     /// The number of the last question.
     last_number: Cell<u64>,
-    /// Told when a request waits for the lease.
-    wanted: Notify,
-    /// Told when the lease was renewed.
+    /// Notified when a request waits for the lease.
+    lease_wanted: Notify,
+    /// Notified when the lease is renewed.
     renewed: Notify,
 }
 
 impl Leases {
-    /// Starts without a lease; none is needed if keys may go on working for any time.
+    /// Starts without a valid lease; none is needed if removed keys may keep working for any time.
     pub fn open(revoke_ms: Option<u64>) -> Leases {
         Leases {
             lease: revoke_ms.map(|revoke_ms| RefCell::new(Lease::open(revoke_ms))),
             has_workspaces: Cell::new(false),
-            used_ms: Cell::new(None),
-            wanted_ms: Cell::new(None),
-            asked: RefCell::default(),
+            last_used_ms: Cell::new(None),
+            waiting_since_ms: Cell::new(None),
+            pending: RefCell::default(),
             last_number: Cell::new(0),
-            wanted: Notify::new(),
+            lease_wanted: Notify::new(),
             renewed: Notify::new(),
         }
     }
 
-    /// Notes whether the configuration in force has workspaces.
+    /// Updates whether the configuration in force has workspaces.
     pub fn set_has_workspaces(&self, has_workspaces: bool) {
         self.has_workspaces.set(has_workspaces);
     }
 
-    /// Notes that the store told the configuration when asked at `asked_ms`.
-    pub fn read_at(&self, asked_ms: u64) {
+    /// Renews the lease after the store answered a read that was sent at `asked_ms`.
+    pub fn record_read(&self, asked_ms: u64) {
         self.renew(asked_ms, 0);
     }
 
-    /// How old what is known of keys is, for the log.
+    /// The age of the known keys, for the log.
     pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
         self.lease.as_ref()?.borrow().age_ms(now_ms)
     }
 
-    /// Tells whether a request with a key may be sent on by now.
+    /// Tells whether the lease is valid now, so that a request with a key may proceed.
     pub fn holds(&self, now_ms: u64) -> bool {
         self.lease.as_ref().is_none_or(|lease| lease.borrow().holds(now_ms))
     }
 
-    /// Tells whether a request with a key may be let in, waiting for an answer if one may soon come.
+    /// Tells whether a request with a key may be admitted; waits for an answer if one may arrive
+    /// soon.
     pub async fn until_held(&self, clock: Clock) -> bool {
-        let began_ms = clock.now_ms();
-        self.used_ms.set(Some(began_ms));
+        let started_ms = clock.now_ms();
+        self.last_used_ms.set(Some(started_ms));
         while !self.holds(clock.now_ms()) {
-            let waited_ms = clock.now_ms().saturating_sub(began_ms);
-            let Some(left_ms) = HOLD_MS.checked_sub(waited_ms).filter(|left_ms| *left_ms > 0)
+            let waited_ms = clock.now_ms().saturating_sub(started_ms);
+            let Some(remaining_ms) =
+                REQUEST_WAIT_MS.checked_sub(waited_ms).filter(|remaining_ms| *remaining_ms > 0)
             else {
                 return false;
             };
-            if self.wanted_ms.get().is_none() {
-                self.wanted_ms.set(Some(began_ms));
-                self.wanted.notify_one();
+            if self.waiting_since_ms.get().is_none() {
+                self.waiting_since_ms.set(Some(started_ms));
+                self.lease_wanted.notify_one();
             }
-            // Renewed or not, it looks again.
+            // The loop checks the lease again after a renewal as well as after the timeout.
             let _ =
-                tokio::time::timeout(Duration::from_millis(left_ms), self.renewed.notified()).await;
+                tokio::time::timeout(Duration::from_millis(remaining_ms), self.renewed.notified())
+                    .await;
         }
         true
     }
@@ -142,84 +148,87 @@
         Some(LeaseAnswer { number: question.number, catalog_version, age_ms })
     }
 
-    /// Takes in the answer to a question of this VM that has a configuration of its own.
+    /// Applies the answer to a question of this VM, which has a configuration of its own.
     ///
-    /// An answer by one with a newer configuration says nothing of the one in force here.
-    pub fn take(&self, answer: &LeaseAnswer, own_version: u64) {
-        let Some(asked_ms) = self.asked.borrow_mut().remove(&answer.number) else { return };
+    /// An answer from a VM with a newer configuration does not confirm the older one in force here.
+    pub fn record_answer(&self, answer: &LeaseAnswer, own_version: u64) {
+        let Some(asked_ms) = self.pending.borrow_mut().remove(&answer.number) else { return };
         if answer.catalog_version <= own_version && own_version > 0 {
             self.renew(asked_ms, answer.age_ms.into());
         }
     }
 
-    /// Renews the lease and wakes those who wait for it.
+    /// Renews the lease and wakes the requests that wait for it.
     fn renew(&self, asked_ms: u64, age_ms: u64) {
         let Some(lease) = &self.lease else { return };
         if lease.borrow_mut().renew(asked_ms, age_ms) {
-            self.wanted_ms.set(None);
+            self.waiting_since_ms.set(None);
             self.renewed.notify_waiters();
         }
     }
 
-    /// Makes a question that goes out now.
+    /// Creates a question that is sent now.
     fn question(&self, now_ms: u64) -> LeaseQuestion {
         let number = self.last_number.get() + 1;
         self.last_number.set(number);
-        let mut asked = self.asked.borrow_mut();
-        asked.retain(|_, asked_ms| now_ms.saturating_sub(*asked_ms) < ANSWER_MS);
-        asked.insert(number, now_ms);
+        let mut pending = self.pending.borrow_mut();
+        pending.retain(|_, asked_ms| now_ms.saturating_sub(*asked_ms) < ANSWER_TIMEOUT_MS);
+        pending.insert(number, now_ms);
         LeaseQuestion { number }
     }
 
-    /// What should be done by now to keep the lease.
+    /// The actions that are due to renew the lease.
     fn due(&self, is_watcher: bool, now_ms: u64) -> Due {
         let Some(lease) = self.lease.as_ref().filter(|_| self.has_workspaces.get()) else {
             return Due::default();
         };
         let lease = lease.borrow();
         let holds_ms = lease.holds_ms() as f64;
-        let part = lease.age_ms(now_ms).map_or(f64::MAX, |age_ms| age_ms as f64 / holds_ms);
-        let is_used = self.used_ms.get().is_some_and(|at_ms| now_ms < at_ms + USED_MS);
-        // One that has not been needed for a while is old for no other reason, and asks first.
-        let waits_ms = self.wanted_ms.get().map(|at_ms| now_ms.saturating_sub(at_ms));
-        let was_asked = waits_ms.is_none_or(|waits_ms| waits_ms >= PAUSE_MS);
+        let age_fraction = lease.age_ms(now_ms).map_or(f64::MAX, |age_ms| age_ms as f64 / holds_ms);
+        let is_active = self.last_used_ms.get().is_some_and(|at_ms| now_ms < at_ms + ACTIVE_MS);
+        // A lease that was not used for a while is old for that reason alone, so the VM asks before
+        // it reads.
+        let waits_ms = self.waiting_since_ms.get().map(|at_ms| now_ms.saturating_sub(at_ms));
+        let has_had_time_to_ask = waits_ms.is_none_or(|waits_ms| waits_ms >= RETRY_INTERVAL_MS);
         Due {
-            reads: is_watcher && part >= READ_PART,
-            reads_itself: is_used && part >= READ_SELF_PART && was_asked,
-            asks: is_used && part >= ASK_PART,
-            asks_many: is_used && part >= ASK_MANY_PART,
+            reads_as_watcher: is_watcher && age_fraction >= REFRESH_FRACTION,
+            reads_as_fallback: is_active
+                && age_fraction >= FALLBACK_READ_FRACTION
+                && has_had_time_to_ask,
+            asks: is_active && age_fraction >= ASK_FRACTION,
+            asks_many: is_active && age_fraction >= ASK_MANY_FRACTION,
         }
     }
 }
 
-/// What should be done to keep a lease.
+/// The actions that are due to renew a lease.
 #[derive(Clone, Copy, Debug, Default)]
 struct Due {
-    /// Reading the store, as one of those that watch it.
-    reads: bool,
-    /// Reading it as nobody could tell this VM.
-    reads_itself: bool,
-    /// Asking a VM that watches the store.
+    /// Read the store, as one of the VMs that watch it.
+    reads_as_watcher: bool,
+    /// Read the store, as no other VM could answer.
+    reads_as_fallback: bool,
+    /// Ask one VM that watches the store.
     asks: bool,
-    /// Asking all of the hall's and some others.
+    /// Ask all watchers of the hall and some other VMs.
     asks_many: bool,
 }
 
-/// What keeping a lease needs of the VM.
-pub(crate) struct Keeper {
+/// Renews the lease of this VM.
+pub(crate) struct LeaseRenewer {
     /// The clock.
     pub clock: Clock,
     /// The lease.
     pub leases: Rc<Leases>,
     /// The other VMs.
     pub mesh: Rc<Mesh>,
-    /// The counts.
+    /// The metrics.
     pub meters: Rc<Meters>,
 }
 
-impl Keeper {
-    /// Keeps the lease for as long as the process runs; `read` reads the configuration from the store and puts it in
-    /// force, and tells whether that went well.
+impl LeaseRenewer {
+    /// Renews the lease for as long as the process runs. `read` reads the configuration from the
+    /// store, applies it, and returns whether that succeeded.
     pub async fn run<F>(self, read: impl Fn() -> F + 'static)
     where
         F: Future<Output = bool> + 'static,
@@ -227,44 +236,53 @@
         let is_reading = Rc::new(Cell::new(false));
         let (mut read_due_ms, mut ask_due_ms) = (0, 0);
         loop {
-            // Woken or not, it looks what is due.
-            let look = tokio::time::sleep(Duration::from_millis(LOOK_MS));
+            // The loop checks what is due after the interval, or sooner if a request needs the
+            // lease.
+            let interval = tokio::time::sleep(Duration::from_millis(POLL_INTERVAL_MS));
             tokio::select! {
-                () = look => {}
-                () = self.leases.wanted.notified() => {}
+                () = interval => {}
+                () = self.leases.lease_wanted.notified() => {}
             }
             let now_ms = self.clock.now_ms();
             let due = self.leases.due(self.mesh.watches(), now_ms);
             if (due.asks || due.asks_many) && now_ms >= ask_due_ms {
-                ask_due_ms = now_ms + PAUSE_MS;
+                ask_due_ms = now_ms + RETRY_INTERVAL_MS;
                 self.ask(due.asks_many, now_ms);
             }
-            if (due.reads || due.reads_itself) && now_ms >= read_due_ms && !is_reading.get() {
-                read_due_ms = now_ms + if due.reads { PAUSE_MS } else { READ_SELF_PAUSE_MS };
+            if (due.reads_as_watcher || due.reads_as_fallback)
+                && now_ms >= read_due_ms
+                && !is_reading.get()
+            {
+                read_due_ms = now_ms
+                    + if due.reads_as_watcher {
+                        RETRY_INTERVAL_MS
+                    } else {
+                        FALLBACK_READ_INTERVAL_MS
+                    };
                 self.spawn_read(&is_reading, read());
             }
         }
     }
 
-    /// Reads the store beside what else is due.
+    /// Reads the store without blocking the other actions.
     fn spawn_read(&self, is_reading: &Rc<Cell<bool>>, read: impl Future<Output = bool> + 'static) {
         is_reading.set(true);
         let (is_reading, clock) = (Rc::clone(is_reading), self.clock);
         let leases = Rc::clone(&self.leases);
         actix_rt::spawn(async move {
             let asked_ms = clock.now_ms();
-            let limit = Duration::from_millis(READ_LIMIT_MS);
+            let limit = Duration::from_millis(READ_TIMEOUT_MS);
             if tokio::time::timeout(limit, read).await == Ok(true) {
-                leases.read_at(asked_ms);
+                leases.record_read(asked_ms);
             } else {
                 let age_ms = leases.age_ms(clock.now_ms());
-                info!(age_ms, within_ms = READ_LIMIT_MS, "keys could not be read from the store");
+                info!(age_ms, within_ms = READ_TIMEOUT_MS, "keys could not be read from the store");
             }
             is_reading.set(false);
         });
     }
 
-    /// Asks others how old their knowledge is.
+    /// Asks other VMs how old their keys are.
     fn ask(&self, asks_many: bool, now_ms: u64) {
         let mut rng = rand::rng();
         let watchers = self.mesh.hall_watchers();
@@ -274,7 +292,7 @@
         };
         if asks_many || to.is_empty() {
             let others = self.mesh.others();
-            to.extend(others.choose_multiple(&mut rng, ASKED_BESIDES));
+            to.extend(others.choose_multiple(&mut rng, EXTRA_MEMBERS_ASKED));
         }
         for address in to {
             let body = Some(Body::LeaseQuestion(self.leases.question(now_ms)));
--- a/crates/leverstream-gateway/src/lib.rs
+++ b/crates/leverstream-gateway/src/lib.rs
@@ -4,7 +4,7 @@
 //! come from the platform's store (`follow`, `emptied`) or from VMs that watch it (`news`); VMs find each other
 //! by datagrams (`mesh`) and share what they see of backend servers (`evidence`) and how many requests of workspaces
 //! they let in (`admission`), lend each other what they may repeat (`repeats`), and know requests under which backend
-//! servers end (`suspects`), which the store holds for them (`outlast`). Together they keep to the limits that
+//! servers end (`suspects`), which the store holds for them (`refused_store`). Together they keep to the limits that
 //! backend servers name (`limits`). A request goes through `serve`, `authorize`, `slot` and `attempt`.
 
 mod admission;
@@ -25,7 +25,7 @@
 mod mesh;
 mod meters;
 mod news;
-mod outlast;
+mod refused_store;
 mod repeats;
 mod reply;
 mod serve;
--- a/crates/leverstream-gateway/src/limits.rs
+++ b/crates/leverstream-gateway/src/limits.rs
@@ -1,4 +1,5 @@
-//! Permits for requests to backend servers that name a limit: asked of their arbiters, given as one of them.
+//! Permits for requests to backend servers that announce a rate limit: requested from their
+//! arbiters, and granted as one of them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,58 +22,58 @@
 use crate::meters::Meters;
 use crate::words;
 
-/// What one VM holds to ask for permits and to give them.
+/// The state that one VM needs to request and grant permits.
 #[derive(Default)]
-pub(crate) struct Limits {
-    /// What it has consented to.
+pub(crate) struct PermitState {
+    /// The permits that this VM has granted as an arbiter.
     arbiter: RefCell<Arbiter>,
-    /// Which arbiters have not answered of late.
-    silences: RefCell<UnresponsiveArbiters<SocketAddr>>,
-    /// Who waits for the answer to which question.
-    waiting: RefCell<HashMap<u64, oneshot::Sender<Verdict>>>,
+    /// The arbiters that have not answered recently.
+    unresponsive: RefCell<UnresponsiveArbiters<SocketAddr>>,
+    /// Requests that wait for an arbiter's answer, by question number.
+    pending: RefCell<HashMap<u64, oneshot::Sender<Verdict>>>,
     /// The number of the last question.
-    last: Cell<u64>,
+    last_number: Cell<u64>,
 }
 
-/// What a request may rest on that goes to a backend server.
+/// The permission under which a request is sent to a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Permit {
-    /// It names no limit.
+    /// The backend server announces no limit.
     Free,
-    /// One may be sent until then.
+    /// A permit that expires at this time.
     Until(u64),
 }
 
-/// A question that is to be answered.
-struct Asked {
-    /// Who was asked.
-    of: SocketAddr,
-    /// The answer, once it has come.
+/// A question whose answer is pending.
+struct PendingAnswer {
+    /// The arbiter that was asked.
+    arbiter: SocketAddr,
+    /// Receives the answer.
     answer: oneshot::Receiver<Verdict>,
 }
 
-/// Why nothing may be sent now.
+/// The arbiters refuse a permit for now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Denied;
 
-/// What permits need of the VM.
+/// What requesting and granting permits needs from the VM.
 pub(crate) struct Permits<'a> {
-    /// What it holds of them.
-    pub limits: &'a Limits,
+    /// The permit state.
+    pub limits: &'a PermitState,
     /// The clock.
     pub clock: Clock,
     /// The backend servers.
     pub fleet: &'a RefCell<Fleet>,
     /// The other VMs.
     pub mesh: &'a Mesh,
-    /// The counts.
+    /// The metrics.
     pub meters: &'a Meters,
-    /// How many VMs there are, as far as this one knows.
+    /// The number of VMs that this one knows.
     pub vms: usize,
 }
 
 impl Permit {
-    /// Tells whether a request may still be sent on it.
+    /// Tells whether a request may still be sent under this permit.
     pub fn allows(self, is_limited: bool, now_ms: u64) -> bool {
         match self {
             _ if !is_limited => true,
@@ -83,7 +84,7 @@
 }
 
 impl Permits<'_> {
-    /// Asks for a permit to send one request to a backend server, if that names a limit.
+    /// Requests a permit for one request to a backend server, if the server announces a limit.
     pub async fn take(&self, key: BackendKey, id: &str) -> Result<Permit, Denied> {
         if self.fleet.borrow().limit(key).is_none() {
             return Ok(Permit::Free);
@@ -91,18 +92,18 @@
         let of = self.fleet.borrow().incarnation(key);
         let arbiters = self.mesh.arbiters(&of.instance);
         let needed = consents_needed(self.vms);
-        let began_ms = self.clock.now_ms();
-        let mut round =
-            PermitRequest::open(&arbiters, needed, &self.limits.silences.borrow(), began_ms);
-        let mut asked = None;
+        let started_ms = self.clock.now_ms();
+        let mut permit_request =
+            PermitRequest::open(&arbiters, needed, &self.limits.unresponsive.borrow(), started_ms);
+        let mut pending_answer = None;
         loop {
             let now_ms = self.clock.now_ms();
-            // An arbiter may have told that there is no limit any more.
+            // An arbiter may have reported that the limit no longer applies.
             let Some(per_s) = self.fleet.borrow().limit(key) else { return Ok(Permit::Free) };
-            let step = round.step(&mut self.limits.silences.borrow_mut(), now_ms);
+            let step = permit_request.step(&mut self.limits.unresponsive.borrow_mut(), now_ms);
             match step {
                 Step::Granted(until_ms) => {
-                    let took_ms = now_ms - began_ms;
+                    let took_ms = now_ms - started_ms;
                     info!(id, backend = of.instance, per_s, took_ms, "permit");
                     self.meters.note_permit(self.fleet.borrow().service(key), true);
                     return Ok(Permit::Until(until_ms));
@@ -116,79 +117,90 @@
                     return Err(Denied);
                 }
                 Step::Ask(to) if to == self.mesh.address() => {
-                    round.record_verdict(to, self.consent(&of, per_s, self.mesh.id()), now_ms);
+                    permit_request.record_verdict(
+                        to,
+                        self.decide(&of, per_s, self.mesh.id()),
+                        now_ms,
+                    );
                 }
-                Step::Ask(to) => asked = self.ask(to, &of),
+                Step::Ask(to) => pending_answer = self.ask(to, &of),
                 Step::Wait(until_ms) => {
-                    if let Some((from, verdict)) = self.listen(asked.take(), until_ms).await {
-                        round.record_verdict(from, verdict, self.clock.now_ms());
+                    if let Some((from, verdict)) =
+                        self.wait_for_verdict(pending_answer.take(), until_ms).await
+                    {
+                        permit_request.record_verdict(from, verdict, self.clock.now_ms());
                     }
                 }
             }
         }
     }
 
-    /// Waits for the answer to a question, until then.
-    async fn listen(&self, asked: Option<Asked>, until_ms: u64) -> Option<(SocketAddr, Verdict)> {
+    /// Waits for the answer to a question until a deadline.
+    async fn wait_for_verdict(
+        &self,
+        pending_answer: Option<PendingAnswer>,
+        until_ms: u64,
+    ) -> Option<(SocketAddr, Verdict)> {
         let limit = Duration::from_millis(until_ms.saturating_sub(self.clock.now_ms()));
-        let Some(Asked { of, answer }) = asked else {
+        let Some(PendingAnswer { arbiter, answer }) = pending_answer else {
             tokio::time::sleep(limit).await;
             return None;
         };
         let verdict = tokio::time::timeout(limit, answer).await.ok()?.ok()?;
-        Some((of, verdict))
+        Some((arbiter, verdict))
     }
 
-    /// Sends a question; none if the limit is gone meanwhile.
-    fn ask(&self, to: SocketAddr, of: &Incarnation) -> Option<Asked> {
-        let word = self.fleet.borrow().limit_notice(of)?;
-        let number = self.limits.last.get().wrapping_add(1);
-        self.limits.last.set(number);
+    /// Sends a question to an arbiter; none if the limit has been withdrawn.
+    fn ask(&self, to: SocketAddr, of: &Incarnation) -> Option<PendingAnswer> {
+        let notice = self.fleet.borrow().limit_notice(of)?;
+        let number = self.limits.last_number.get().wrapping_add(1);
+        self.limits.last_number.set(number);
         let (sender, answer) = oneshot::channel();
-        let mut waiting = self.limits.waiting.borrow_mut();
-        waiting.retain(|_, sender| !sender.is_closed());
-        waiting.insert(number, sender);
-        let limit = Some(words::encode_limit(&word.to_update(of, self.clock.now_ms())));
+        let mut pending = self.limits.pending.borrow_mut();
+        pending.retain(|_, sender| !sender.is_closed());
+        pending.insert(number, sender);
+        let limit = Some(words::encode_limit(&notice.to_update(of, self.clock.now_ms())));
         let question = PermitQuestion { number, asker: self.mesh.id(), limit };
         self.send(to, Body::PermitQuestion(question));
-        Some(Asked { of: to, answer })
+        Some(PendingAnswer { arbiter: to, answer })
     }
 
-    /// What this VM says as an arbiter.
-    fn consent(&self, of: &Incarnation, per_s: f64, asker: u64) -> Verdict {
-        if !self.mesh.sees_most(self.vms) {
+    /// This VM's own verdict as an arbiter.
+    fn decide(&self, of: &Incarnation, per_s: f64, asker: u64) -> Verdict {
+        if !self.mesh.sees_majority(self.vms) {
             return Verdict::Unable;
         }
         let role = self.mesh.role(&of.instance);
         self.limits.arbiter.borrow_mut().ask(of, per_s, role, asker, self.clock.now_ms())
     }
 
-    /// Answers another VM's question. Who asks tells what it knows of the limit; who knows better says so.
+    /// Answers another VM's question. The question carries the asker's view of the limit; the
+    /// answer corrects it if this VM has newer information.
     pub fn answer(&self, from: SocketAddr, question: &PermitQuestion) {
         let now_ms = self.clock.now_ms();
-        let Some(told) = question.limit.as_ref().and_then(words::decode_limit) else { return };
-        let LimitUpdate { of, .. } = &told;
-        let asked = told.to_notice(now_ms);
-        self.fleet.borrow_mut().note_limit(of, asked, now_ms);
-        let known = self.fleet.borrow().limit_notice(of).unwrap_or(asked);
+        let Some(update) = question.limit.as_ref().and_then(words::decode_limit) else { return };
+        let LimitUpdate { of, .. } = &update;
+        let asker_notice = update.to_notice(now_ms);
+        self.fleet.borrow_mut().note_limit(of, asker_notice, now_ms);
+        let known = self.fleet.borrow().limit_notice(of).unwrap_or(asker_notice);
         let verdict = match known.per_s {
-            Some(per_s) => self.consent(of, per_s, question.asker),
+            Some(per_s) => self.decide(of, per_s, question.asker),
             None => Verdict::Granted,
         };
-        let limit = (known.sent_ms > asked.sent_ms && known.per_s != asked.per_s)
+        let limit = (known.sent_ms > asker_notice.sent_ms && known.per_s != asker_notice.per_s)
             .then(|| words::encode_limit(&known.to_update(of, now_ms)));
         let mut answer = encode(question.number, verdict);
         answer.limit = limit;
         self.send(from, Body::PermitAnswer(answer));
     }
 
-    /// Takes in an arbiter's answer.
-    pub fn hear(&self, answer: &PermitAnswer) {
+    /// Handles an arbiter's answer.
+    pub fn record_answer(&self, answer: &PermitAnswer) {
         let now_ms = self.clock.now_ms();
-        if let Some(told) = answer.limit.as_ref().and_then(words::decode_limit) {
-            let LimitUpdate { of, per_s, .. } = &told;
-            let word: LimitNotice = told.to_notice(now_ms);
-            if self.fleet.borrow_mut().note_limit(of, word, now_ms) {
+        if let Some(update) = answer.limit.as_ref().and_then(words::decode_limit) {
+            let LimitUpdate { of, per_s, .. } = &update;
+            let notice: LimitNotice = update.to_notice(now_ms);
+            if self.fleet.borrow_mut().note_limit(of, notice, now_ms) {
                 info!(
                     backend = of.instance,
                     born_ms = of.born_ms,
@@ -198,20 +210,20 @@
                 );
             }
         }
-        // One that was waited for no longer is of no use.
-        if let Some(sender) = self.limits.waiting.borrow_mut().remove(&answer.number) {
+        // An answer to a request that has stopped waiting is dropped.
+        if let Some(sender) = self.limits.pending.borrow_mut().remove(&answer.number) {
             let _ = sender.send(decode(answer));
         }
     }
 
-    /// Sends another VM something.
+    /// Sends a message to another VM.
     fn send(&self, to: SocketAddr, body: Body) {
         let packet = Packet { body: Some(body), ..Packet::default() };
         self.mesh.send(self.meters, &packet, &[to]);
     }
 }
 
-/// What a datagram tells of a verdict.
+/// Encodes a verdict for a datagram.
 fn encode(number: u64, verdict: Verdict) -> PermitAnswer {
     let mut answer = PermitAnswer { number, ..PermitAnswer::default() };
     match verdict {
@@ -226,7 +238,7 @@
     answer
 }
 
-/// What a datagram has told of a verdict.
+/// Decodes a verdict from a datagram.
 fn decode(answer: &PermitAnswer) -> Verdict {
     match answer.verdict() {
         PermitVerdict::Granted => Verdict::Granted,
--- a/crates/leverstream-gateway/src/mesh.rs
+++ b/crates/leverstream-gateway/src/mesh.rs
@@ -1,4 +1,4 @@
-//! The other VMs: who is there, and what they are told.
+//! The other VMs: membership, roles, and the datagrams sent to them.
 
 mod inbox;
 
@@ -23,62 +23,64 @@
 use crate::duty::Duty;
 use crate::gateway::Inner;
 use crate::meters::{FarCause, Meters};
-use crate::sharing::Sharing;
+use crate::sharing::EntrySet;
 use crate::{Settings, emptied, news};
 
 pub(crate) use inbox::{receive, tick};
 
-/// The time between two pings of one VM.
-const PING_MS: u64 = 400;
+/// The interval between the pings of one VM.
+const PING_INTERVAL_MS: u64 = 400;
 
-/// One ping in so many goes to another data hall: bytes between halls are paid for, and pings were a third
-/// of them. A whole hall that is gone is still found within seconds.
+/// One ping in so many goes to another data hall: traffic between halls is billed, and pings were a
+/// third of it. The loss of a whole hall is still detected within seconds.
 const FAR_PING_ONE_IN: u32 = 4;
 
-/// How long an unanswered VM may take to refute that it is dead.
-const SUSPICION_MS: u64 = 2_000;
+/// How long a VM that does not answer may take to refute the suspicion that it is dead.
+const SUSPICION_TIMEOUT_MS: u64 = 2_000;
 
-/// How often what is due is looked for.
+/// The interval between checks for due actions.
 const TICK_MS: u64 = 100;
 
-/// How long after its start a VM tells callers where to go; callers ask another VM meanwhile or go on with the answer
-/// they hold.
+/// How long after its start a VM begins to answer callers that ask where to connect; until then
+/// they ask another VM or use the answer they hold.
 ///
-/// Where a whole fleet starts, a VM's first ping may come before others listen. Its second goes out up to a tick after
-/// it is due and is answered at once by those who know the rest; by the next tick it is chosen anew who takes callers.
-/// On a busy machine ticks come a few milliseconds late each, hence another one.
-const WELCOMED_MS: u64 = PING_MS + 3 * TICK_MS;
-
-/// How long after its start a VM takes part in choosing who watches the store: members are known
-/// within a second, and what changes meanwhile is heard from them or read from the history.
+/// When a whole fleet starts, a VM's first ping may be sent before the others listen. The second is
+/// sent up to one tick after it is due, and VMs that know the others answer it at once; by the next
+/// tick the entry set is updated. On a busy machine each tick is a few milliseconds late, hence one
+/// more tick.
+const DIRECTORY_READY_MS: u64 = PING_INTERVAL_MS + 3 * TICK_MS;
+
+/// How long after its start a VM takes part in choosing the VMs that watch the store. It knows the
+/// members within a second, and gets changes in the meantime from them or from the store's history.
 const SETTLE_MS: u64 = 1_200;
 
-/// How many VMs are told at once when this one learns something from the store; more hear of it
-/// from those. In a larger fleet they are VMs of the own data hall, whom chance chooses each time, and one of each other.
-const TOLD_AT_ONCE: usize = 160;
+/// The number of VMs that receive a change at once when this VM reads it from the store; the others
+/// get it from them. In a larger fleet they are a random sample of this hall and one VM of every
+/// other hall.
+const MAX_CHANGE_RECEIVERS: usize = 160;
 
-/// The other VMs and the way to them.
+/// The membership of the fleet and the socket to reach it.
 pub(crate) struct Mesh {
-    /// The members.
+    /// The membership protocol.
     swim: RefCell<Swim>,
-    /// Seals datagrams.
+    /// Seals and unseals datagrams.
     key: FleetKey,
-    /// Where they go out and come in.
+    /// Sends and receives datagrams.
     socket: UdpSocket,
-    /// Who takes callers.
-    pub sharing: Sharing,
-    /// Who watches the store.
+    /// The VMs that take callers.
+    pub entry_set: EntrySet,
+    /// Which VMs watch the store.
     duty: Duty,
-    /// Told when there is something to tell of backend servers.
-    news: Notify,
-    /// Where the VMs of other data halls listen.
+    /// Notified when the state of backend servers has changed.
+    backend_changed: Notify,
+    /// The addresses of the VMs of other data halls.
     far: RefCell<HashSet<SocketAddr>>,
-    /// Whether members have changed since it was last chosen who takes callers.
-    has_changed: Cell<bool>,
+    /// Whether members have changed since the roles were last updated.
+    has_member_changes: Cell<bool>,
 }
 
 impl Mesh {
-    /// Binds the socket; nobody is known yet.
+    /// Binds the socket; no other VM is known yet.
     pub async fn open(settings: &Settings, now_ms: u64) -> std::io::Result<Mesh> {
         let socket = UdpSocket::bind(settings.listen.peers).await?;
         let mut rng = StdRng::from_os_rng();
@@ -91,9 +93,9 @@
             capacity_per_s: settings.machine.capacity_per_s(),
         };
         let swim_settings = SwimSettings {
-            period_ms: PING_MS,
-            ack_ms: PING_MS / 3,
-            suspicion_ms: SUSPICION_MS,
+            period_ms: PING_INTERVAL_MS,
+            ack_ms: PING_INTERVAL_MS / 3,
+            suspicion_ms: SUSPICION_TIMEOUT_MS,
             far_one_in: FAR_PING_ONE_IN,
             ..SwimSettings::default()
         };
@@ -103,29 +105,30 @@
             swim: RefCell::new(swim),
             key: FleetKey::derive(&settings.peers.key),
             socket,
-            sharing: Sharing::open(id),
+            entry_set: EntrySet::open(id),
             duty: Duty::default(),
-            news: Notify::new(),
+            backend_changed: Notify::new(),
             far: RefCell::default(),
-            has_changed: Cell::new(false),
+            has_member_changes: Cell::new(false),
         })
     }
 
-    /// This process.
+    /// The identifier of this process.
     pub fn id(&self) -> u64 {
         self.swim.borrow().me().identity.id
     }
 
-    /// Where this process listens for others.
+    /// The address at which this process receives datagrams.
     pub fn address(&self) -> SocketAddr {
         self.swim.borrow().me().identity.peer_address
     }
 
-    /// The VMs that decide what is sent to a limited backend server, its arbiters first and then those that stand in.
+    /// The addresses of the VMs that grant permits for a backend server with a limit: its arbiters
+    /// first, then the stand-ins.
     pub fn arbiters(&self, instance: &str) -> Vec<SocketAddr> {
         let swim = self.swim.borrow();
         let mut arbiters: Vec<SocketAddr> = Vec::new();
-        // A process and the one that took its place count once.
+        // A process and the one that replaced it count once.
         for member in entry_set(instance, swim.members(), 2 * (ARBITERS + STAND_INS)) {
             if !arbiters.contains(&member.identity.peer_address) {
                 arbiters.push(member.identity.peer_address);
@@ -135,26 +138,26 @@
         arbiters
     }
 
-    /// What this VM is for a limited backend server.
+    /// The role of this VM for a backend server with a limit.
     pub fn role(&self, instance: &str) -> Role {
         let arbiters = self.arbiters(instance);
         let is_arbiter = arbiters.iter().take(ARBITERS).any(|address| *address == self.address());
         if is_arbiter { Role::Arbiter } else { Role::StandIn }
     }
 
-    /// Tells whether this VM sees most of so many VMs, itself included.
-    pub fn sees_most(&self, vms: usize) -> bool {
+    /// Tells whether this VM sees a majority of so many VMs, itself included.
+    pub fn sees_majority(&self, vms: usize) -> bool {
         let swim = self.swim.borrow();
         let addresses = swim.members().map(|member| member.identity.peer_address);
         addresses.collect::<HashSet<_>>().len() * 2 > vms
     }
 
-    /// Where the other VMs that share the traffic listen.
-    pub fn audience(&self) -> PeersByHall {
-        PeersByHall::of(&self.swim.borrow().me().identity, self.sharing.entry().iter())
+    /// The other entry VMs, by data hall.
+    pub fn entry_peers(&self) -> PeersByHall {
+        PeersByHall::of(&self.swim.borrow().me().identity, self.entry_set.members().iter())
     }
 
-    /// Where all other VMs listen.
+    /// The addresses of all other VMs.
     pub fn others(&self) -> Vec<SocketAddr> {
         let swim = self.swim.borrow();
         let me = swim.me().identity.id;
@@ -162,43 +165,47 @@
         others.map(|member| member.identity.peer_address).collect()
     }
 
-    /// Where those of them listen that one VM tells of something at once; of larger fleets the rest hear it from those.
-    pub fn told_at_once(&self) -> Vec<SocketAddr> {
+    /// The addresses of the VMs that receive a change at once; in larger fleets the others get it
+    /// from them.
+    pub fn change_receivers(&self) -> Vec<SocketAddr> {
         let swim = self.swim.borrow();
         let all = PeersByHall::of(&swim.me().identity, swim.members());
-        all.sample(TOLD_AT_ONCE, &mut rand::rng())
+        all.sample(MAX_CHANGE_RECEIVERS, &mut rand::rng())
     }
 
-    /// Where the other VMs that share the traffic listen.
-    pub fn sharers(&self) -> Vec<SocketAddr> {
-        self.audience().all()
+    /// The addresses of the other entry VMs.
+    pub fn entry_peer_addresses(&self) -> Vec<SocketAddr> {
+        self.entry_peers().all()
     }
 
-    /// The same, and where some of the rest do.
-    pub fn sharers_and(&self, others: usize) -> Vec<SocketAddr> {
-        let mut to = self.sharers();
+    /// The addresses of the other entry VMs, and of some of the remaining VMs.
+    pub fn entry_and_other_addresses(&self, others: usize) -> Vec<SocketAddr> {
+        let mut to = self.entry_peer_addresses();
         let rest: Vec<SocketAddr> =
             self.others().into_iter().filter(|other| !to.contains(other)).take(others).collect();
         to.extend(rest);
         to
     }
 
-    /// Where some other VMs listen, taken by turns: those of this hall, if it has others.
-    pub fn by_turns(&self, first: usize, count: usize) -> Vec<SocketAddr> {
+    /// The addresses of some other VMs in rotation, starting at an index; only VMs of this hall, if
+    /// there are others in it.
+    pub fn rotated_peers(&self, first: usize, count: usize) -> Vec<SocketAddr> {
         let swim = self.swim.borrow();
         let me = &swim.me().identity;
         let is_other = |other: &&Identity| other.id != me.id;
         let others = || swim.members().map(|member| &member.identity).filter(is_other);
         let near = others().filter(|other| other.hall == me.hall).count();
-        let is_asked = |other: &&Identity| near == 0 || other.hall == me.hall;
-        let asked = || others().filter(is_asked).map(|other| other.peer_address);
-        let size = if near == 0 { others().count() } else { near };
-        (first..first + count.min(size)).filter_map(|turn| asked().nth(turn % size)).collect()
+        let is_candidate = |other: &&Identity| near == 0 || other.hall == me.hall;
+        let candidates = || others().filter(is_candidate).map(|other| other.peer_address);
+        let candidate_count = if near == 0 { others().count() } else { near };
+        (first..first + count.min(candidate_count))
+            .filter_map(|index| candidates().nth(index % candidate_count))
+            .collect()
     }
 
-    /// Tells whether this VM has run long enough to tell callers where to go.
-    pub fn knows_where(&self, now_ms: u64) -> bool {
-        now_ms >= WELCOMED_MS
+    /// Tells whether this VM has run long enough to answer callers that ask where to connect.
+    pub fn is_directory_ready(&self, now_ms: u64) -> bool {
+        now_ms >= DIRECTORY_READY_MS
     }
 
     /// Tells whether this VM should watch the store.
@@ -206,38 +213,39 @@
         self.duty.watches(self.swim.borrow().is_isolated())
     }
 
-    /// Waits until this VM should watch the store, or no longer should.
+    /// Waits until this VM should, or no longer should, watch the store.
     pub async fn until_watches(&self, should: bool) {
         self.duty.until_watches(should, || self.swim.borrow().is_isolated()).await;
     }
 
-    /// Where the other VMs of this hall that watch the store are reached.
+    /// The addresses of the other VMs of this hall that watch the store.
     pub fn hall_watchers(&self) -> Vec<SocketAddr> {
         self.duty.hall_watchers()
     }
 
-    /// Tells whether callers are sent to this VM.
+    /// Tells whether this VM is in the entry set.
     pub fn takes_callers(&self) -> bool {
-        self.sharing.is_placed()
+        self.entry_set.is_entry_vm()
     }
 
-    /// Whether callers are sent to this VM and to another that tells it something.
-    fn between(&self, teller: u64) -> EntryMembership {
-        let is_placed = |id| self.sharing.entry().iter().any(|member| member.identity.id == id);
-        match (self.takes_callers(), is_placed(teller)) {
+    /// Which of this VM and a reporting VM are in the entry set.
+    fn entry_membership(&self, reporter: u64) -> EntryMembership {
+        let is_in_entry_set =
+            |id| self.entry_set.members().iter().any(|member| member.identity.id == id);
+        match (self.takes_callers(), is_in_entry_set(reporter)) {
             (true, true) => EntryMembership::Both,
             (true, false) => EntryMembership::ReceiverOnly,
             (false, _) => EntryMembership::ReceiverOutside,
         }
     }
 
-    /// Tells whether a VM is held for dead, rather than for stopped or away from where callers are sent.
+    /// Tells whether a VM is considered dead, as opposed to stopped or outside the entry set.
     pub fn is_dead(&self, id: u64) -> bool {
         let swim = self.swim.borrow();
         swim.member(id).is_some_and(|member| member.state == MemberState::Dead)
     }
 
-    /// How many VMs there are, this one included.
+    /// The number of VMs, this one included.
     pub fn member_count(&self) -> usize {
         self.swim.borrow().members().count()
     }
@@ -247,50 +255,50 @@
         self.duty.has_lost_store()
     }
 
-    /// Tells whether some VM was without the store a short while ago.
+    /// Tells whether any VM was without the store within the given time.
     pub fn had_store_trouble(&self, within_ms: u64, now_ms: u64) -> bool {
         self.duty.had_trouble(within_ms, now_ms)
     }
 
-    /// Notes whether this VM can reach the store; the others hear it at once.
+    /// Updates whether this VM can reach the store; the others are notified at once.
     pub fn set_lost_store(&self, inner: &Inner, is_lost: bool) {
         if self.duty.note_own(is_lost, inner.now_ms()) {
-            self.tell_standing(inner);
-            self.choose(inner);
+            self.send_standing(inner);
+            self.update_roles(inner);
         }
     }
 
-    /// Names addresses where other VMs may be.
-    pub fn hint(&self, seeds: Vec<SocketAddr>) {
+    /// Sets the addresses at which other VMs may be found.
+    pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         self.swim.borrow_mut().set_seeds(seeds);
     }
 
-    /// Says that there is something to tell of backend servers.
-    pub fn has_news(&self) {
-        self.news.notify_one();
+    /// Signals that the state of backend servers has changed.
+    pub fn note_backend_change(&self) {
+        self.backend_changed.notify_one();
     }
 
-    /// Waits until there is something to tell of backend servers.
-    pub async fn news(&self) {
-        self.news.notified().await;
+    /// Waits until the state of backend servers has changed.
+    pub async fn until_backend_change(&self) {
+        self.backend_changed.notified().await;
     }
 
-    /// Tells others which configuration is in force here.
+    /// Announces the version of the configuration in force here.
     pub fn set_version(&self, inner: &Inner) {
         let version = inner.catalog().map_or(0, |catalog| catalog.version);
         let out = self.swim.borrow_mut().set_table(version);
         self.send_all(inner, out);
-        self.choose(inner);
+        self.update_roles(inner);
     }
 
-    /// Tells others how new what this VM knows is.
-    pub fn tell_standing(&self, inner: &Inner) {
-        self.tell_changed(inner, &[]);
+    /// Sends this VM's standing to others: how recent its information is.
+    pub fn send_standing(&self, inner: &Inner) {
+        self.send_member_changes(inner, &[]);
     }
 
-    /// Tells others what has changed about members, with how new what this VM knows is.
-    fn tell_changed(&self, inner: &Inner, changed: &[Member]) {
-        let to = self.told_at_once();
+    /// Sends changes of members to others, with this VM's standing.
+    fn send_member_changes(&self, inner: &Inner, changed: &[Member]) {
+        let to = self.change_receivers();
         let from = Some(self.swim.borrow().me().to_update());
         let updates = changed.iter().map(Member::to_update).collect();
         let standing = Some(news::standing(inner));
@@ -299,18 +307,18 @@
         self.send(&inner.meters, &packet, &to);
     }
 
-    /// Tells others that this VM leaves.
+    /// Announces that this VM leaves.
     pub fn leave(&self, inner: &Inner) {
         let out = self.swim.borrow_mut().leave(inner.now_ms());
         self.send_all(inner, out);
-        self.choose(inner);
+        self.update_roles(inner);
     }
 
     /// Sends a packet to some VMs.
     pub fn send(&self, meters: &Meters, packet: &Packet, to: &[SocketAddr]) {
         let datagram = self.key.seal(packet);
         if datagram.len() > PACKET_LIMIT_BYTES {
-            warn!(bytes = datagram.len(), "a datagram is too large");
+            warn!(bytes = datagram.len(), "datagram exceeds the packet size limit");
         }
         let cause = match packet.body {
             Some(Body::Evidence(_)) => FarCause::Evidence,
@@ -324,17 +332,17 @@
         let far = to.iter().filter(|address| self.is_far(**address)).count();
         meters.count_far(cause, datagram.len() * far);
         for address in to {
-            // One that cannot be sent is lost like any other; what it says is told again.
+            // A datagram that cannot be sent counts as lost; its content is sent again later.
             let _ = self.socket.try_send_to(&datagram, *address);
         }
     }
 
-    /// Tells whether a VM stands in another data hall, as far as known.
+    /// Tells whether a VM is known to be in another data hall.
     pub fn is_far(&self, address: SocketAddr) -> bool {
         self.far.borrow().contains(&address)
     }
 
-    /// Sends packets of the members' protocol.
+    /// Sends packets of the membership protocol.
     fn send_all(&self, inner: &Inner, out: Vec<Outgoing>) {
         if out.is_empty() {
             return;
@@ -347,33 +355,37 @@
         }
     }
 
-    /// Chooses anew who takes callers and who watches the store.
-    pub fn choose(&self, inner: &Inner) {
-        self.has_changed.set(false);
+    /// Updates the entry set and the VMs that watch the store.
+    pub fn update_roles(&self, inner: &Inner) {
+        self.has_member_changes.set(false);
         let swim = self.swim.borrow();
         let members: Vec<&Member> = swim.members().collect();
         let me = &swim.me().identity;
         let vms_a_hall = inner.settings.entry.vms_a_hall;
         let chosen = choose_entry_vms(members.iter().copied(), vms_a_hall, inner.slots());
         let state = |member: &Member| (member.identity.caller_address, member.takes_callers());
-        let before: Vec<_> = self.sharing.entry().iter().map(state).collect();
+        let before: Vec<_> = self.entry_set.members().iter().map(state).collect();
         let after: Vec<_> = chosen.iter().copied().map(state).collect();
         if before != after {
             info!(members = members.len(), entry = ?after, "entry set");
         }
-        self.sharing.place(chosen.into_iter().cloned().collect());
-        inner.repeats.place(swim.vm_count(), self.sharing.is_placed());
+        self.entry_set.replace(chosen.into_iter().cloned().collect());
+        inner.repeats.set_fleet(swim.vm_count(), self.entry_set.is_entry_vm());
         self.duty.choose(&me.hall, &members, me.id);
         let far = members.iter().filter(|member| member.identity.hall != me.hall);
         *self.far.borrow_mut() = far.map(|member| member.identity.peer_address).collect();
     }
 }
 
-/// The datagrams in which a list is told, each with whether it asks for the receiver's: only the first does, and an empty list
-/// makes one just to ask.
-pub(crate) fn parts<T>(list: &[T], asks: bool, size: usize) -> impl Iterator<Item = (&[T], bool)> {
-    let question = (list.is_empty() && asks).then_some((list, true));
-    let told = list.chunks(size).enumerate();
-    let told = told.map(move |(number, part)| (part, asks && number == 0));
-    question.into_iter().chain(told)
+/// Splits a list into datagrams, each with whether it requests the receiver's list. Only the first
+/// does; an empty list makes one datagram if it requests one, and none otherwise.
+pub(crate) fn datagram_chunks<T>(
+    list: &[T],
+    asks: bool,
+    size: usize,
+) -> impl Iterator<Item = (&[T], bool)> {
+    let request = (list.is_empty() && asks).then_some((list, true));
+    let chunks = list.chunks(size).enumerate();
+    let chunks = chunks.map(move |(number, chunk)| (chunk, asks && number == 0));
+    request.into_iter().chain(chunks)
 }
--- a/crates/leverstream-gateway/src/mesh/inbox.rs
+++ b/crates/leverstream-gateway/src/mesh/inbox.rs
@@ -1,4 +1,4 @@
-//! What comes in from the other VMs, and what is due.
+//! Handles datagrams from the other VMs, and periodic actions.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,41 +13,42 @@
 use crate::gateway::Inner;
 use crate::{emptied, evidence, news, words};
 
-/// From how many milliseconds on a tick that comes late is logged: a busy VM is late by less.
-const GAP_MS: u64 = 500;
+/// A tick that is late by at least this much, in milliseconds, is logged: on a busy VM ticks are
+/// late by less.
+const MIN_LOGGED_GAP_MS: u64 = 500;
 
-/// Takes in datagrams for as long as the process runs.
+/// Receives datagrams for as long as the process runs.
 pub(crate) async fn receive(inner: Rc<Inner>) {
     let mut buffer = vec![0; PACKET_LIMIT_BYTES + 1];
     loop {
         let (count, from) = match inner.mesh.socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(error) => {
-                debug!(%error, "a datagram could not be received");
+                debug!(%error, "failed to receive a datagram");
                 continue;
             }
         };
         match inner.mesh.key.unseal(&buffer[..count]) {
-            Ok(packet) => take(&inner, from, &packet),
+            Ok(packet) => handle_packet(&inner, from, &packet),
             Err(error) => debug!(%from, ?error, "datagram refused"),
         }
     }
 }
 
-/// Does what is due for as long as the process runs.
+/// Runs due actions for as long as the process runs.
 pub(crate) async fn tick(inner: Rc<Inner>) {
-    let mut last = Reading::take(&inner, inner.now_ms());
+    let mut last = ClockReading::read(&inner, inner.now_ms());
     loop {
         tokio::time::sleep(Duration::from_millis(TICK_MS)).await;
         let now_ms = inner.now_ms();
-        let reading = Reading::take(&inner, now_ms);
+        let reading = ClockReading::read(&inner, now_ms);
         reading.log_gap(last);
         last = reading;
         let out = inner.mesh.swim.borrow_mut().tick(now_ms);
         inner.mesh.send_all(&inner, out);
-        take_changes(&inner, Found::Here);
-        if inner.mesh.has_changed.get() {
-            inner.mesh.choose(&inner);
+        handle_member_changes(&inner, ChangeSource::Local);
+        if inner.mesh.has_member_changes.get() {
+            inner.mesh.update_roles(&inner);
         }
         if now_ms >= SETTLE_MS {
             inner.mesh.duty.settle();
@@ -55,52 +56,52 @@
     }
 }
 
-/// What the clocks said at a tick.
+/// The clock values at a tick.
 #[derive(Clone, Copy)]
-struct Reading {
-    /// The time.
+struct ClockReading {
+    /// The present time.
     now_ms: u64,
     /// How much of it the machine was suspended.
     asleep_ms: u64,
 }
 
-impl Reading {
+impl ClockReading {
     /// Reads the clocks.
-    fn take(inner: &Inner, now_ms: u64) -> Reading {
-        Reading { now_ms, asleep_ms: inner.clock.suspended_ms() }
+    fn read(inner: &Inner, now_ms: u64) -> ClockReading {
+        ClockReading { now_ms, asleep_ms: inner.clock.suspended_ms() }
     }
 
-    /// Logs that the VM stood still or was suspended since the last tick.
-    fn log_gap(self, last: Reading) {
+    /// Logs if the VM stalled or was suspended since the last tick.
+    fn log_gap(self, last: ClockReading) {
         let gap_ms = (self.now_ms - last.now_ms).saturating_sub(TICK_MS);
-        if gap_ms >= GAP_MS {
+        if gap_ms >= MIN_LOGGED_GAP_MS {
             let asleep_ms = self.asleep_ms.saturating_sub(last.asleep_ms);
             info!(gap_ms, asleep_ms, "stood still");
         }
     }
 }
 
-/// Takes a datagram in.
-fn take(inner: &Rc<Inner>, from: SocketAddr, packet: &Packet) {
+/// Handles a datagram.
+fn handle_packet(inner: &Rc<Inner>, from: SocketAddr, packet: &Packet) {
     let now_ms = inner.now_ms();
     match &packet.body {
-        Some(Body::Evidence(told)) => {
-            evidence::pass_on(inner, from, told);
-            if evidence::take(inner, told, now_ms) {
+        Some(Body::Evidence(report)) => {
+            evidence::relay(inner, from, report);
+            if evidence::apply(inner, report, now_ms) {
                 inner.wake_all();
             }
-            words::compare(inner, from, told.words, now_ms);
+            words::compare(inner, from, report.words, now_ms);
             return;
         }
-        Some(Body::Words(said)) => {
-            words::hear(inner, from, said, now_ms);
+        Some(Body::Words(message)) => {
+            words::receive(inner, from, message, now_ms);
             return;
         }
-        Some(Body::Allotments(told)) => {
+        Some(Body::Allotments(report)) => {
             let catalog = inner.catalog();
             let workspaces = catalog.as_ref().and_then(|catalog| catalog.workspaces.as_ref());
-            let between = inner.mesh.between(told.reporter);
-            inner.admission.take(from, told, workspaces, between, now_ms);
+            let membership = inner.mesh.entry_membership(report.reporter);
+            inner.admission.receive(from, report, workspaces, membership, now_ms);
             return;
         }
         Some(Body::LoanQuestion(question)) => {
@@ -114,8 +115,8 @@
             inner.repeats.borrow(from, loan, now_ms);
             return;
         }
-        Some(Body::Suspects(said)) => {
-            inner.suspicions.hear(from, said, &inner.mesh, &inner.meters, now_ms);
+        Some(Body::Suspects(message)) => {
+            inner.suspect_tracker.receive(from, message, &inner.mesh, &inner.meters, now_ms);
             return;
         }
         Some(Body::PermitQuestion(question)) => {
@@ -123,7 +124,7 @@
             return;
         }
         Some(Body::PermitAnswer(answer)) => {
-            inner.permits().hear(answer);
+            inner.permits().record_answer(answer);
             return;
         }
         Some(Body::LeaseQuestion(question)) => {
@@ -137,49 +138,50 @@
         }
         Some(Body::LeaseAnswer(answer)) => {
             let version = inner.catalog().map_or(0, |catalog| catalog.version);
-            inner.leases.take(answer, version);
+            inner.leases.record_answer(answer, version);
             return;
         }
         _ => {}
     }
     let out = inner.mesh.swim.borrow_mut().receive(from, packet, now_ms);
     inner.mesh.send_all(inner, out);
-    if let Some(told) = &packet.emptied {
-        emptied::hear(inner, told);
+    if let Some(emptied) = &packet.emptied {
+        emptied::hear(inner, emptied);
     }
     if let (Some(sender), Some(standing)) = (&packet.from, packet.standing) {
-        take_standing(inner, from, sender, standing);
+        apply_standing(inner, from, sender, standing);
     }
-    take_changes(inner, Found::Told);
+    handle_member_changes(inner, ChangeSource::Remote);
 }
 
-/// Takes in how new what another VM knows is.
-fn take_standing(inner: &Rc<Inner>, from: SocketAddr, sender: &MemberUpdate, standing: Standing) {
+/// Applies the standing of another VM.
+fn apply_standing(inner: &Rc<Inner>, from: SocketAddr, sender: &MemberUpdate, standing: Standing) {
     let now_ms = inner.now_ms();
-    inner.repeats.hear_vms(standing.vms, now_ms);
-    inner.suspicions.compare(from, standing.suspects, &inner.mesh, &inner.meters, now_ms);
+    inner.repeats.record_report(standing.vms, now_ms);
+    inner.suspect_tracker.compare(from, standing.suspects, &inner.mesh, &inner.meters, now_ms);
     words::compare(inner, from, standing.words, now_ms);
     if inner.mesh.duty.note(sender.id, standing.store_lost, now_ms) {
-        inner.mesh.choose(inner);
+        inner.mesh.update_roles(inner);
     }
     news::hear(inner, from, standing, sender.hall == inner.settings.hall);
 }
 
-/// Who found out that members have changed.
+/// Where a change of members was detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Found {
-    /// This VM.
-    Here,
-    /// Another, which tells the others itself.
-    Told,
+enum ChangeSource {
+    /// On this VM.
+    Local,
+    /// On another VM, which notifies the others itself.
+    Remote,
 }
 
-/// Has it chosen anew who takes callers if members have changed, by the next tick: where a whole fleet starts,
-/// each datagram tells of some.
+/// Schedules an update of the roles for the next tick if members have changed; one update covers
+/// many changes, as every datagram carries some while a whole fleet starts.
 ///
-/// That one of those who take callers no longer answers all VMs hear at once, from the one that finds out: each of them
-/// tells callers where to go. Where each who heard told all others again, a VM of 300 sent 2.9 MB in a second.
-fn take_changes(inner: &Inner, found: Found) {
+/// If an entry VM no longer answers, the roles are updated at once, and the VM that detected it
+/// notifies all others, as each of them tells callers where to connect. When every VM that was
+/// notified also notified all others, one VM of 300 sent 2.9 MB in a second.
+fn handle_member_changes(inner: &Inner, source: ChangeSource) {
     let changed = inner.mesh.swim.borrow_mut().take_changed();
     if changed.is_empty() {
         return;
@@ -187,18 +189,18 @@
     for member in &changed {
         debug!(vm = %member.identity.caller_address, state = ?member.state, "member");
     }
-    let took_callers = |member: &Member| {
-        let entry = inner.mesh.sharing.entry();
-        let held = entry.iter().find(|held| held.identity.id == member.identity.id);
-        held.is_some_and(Member::takes_callers)
+    let was_entry_vm = |member: &Member| {
+        let entry = inner.mesh.entry_set.members();
+        let known = entry.iter().find(|known| known.identity.id == member.identity.id);
+        known.is_some_and(Member::takes_callers)
     };
-    let lost = |member: &Member| !member.takes_callers() && took_callers(member);
-    let lost: Vec<Member> = changed.into_iter().filter(lost).collect();
-    inner.mesh.has_changed.set(true);
-    if !lost.is_empty() {
-        inner.mesh.choose(inner);
-        if found == Found::Here {
-            inner.mesh.tell_changed(inner, &lost);
+    let left_entry_set = |member: &Member| !member.takes_callers() && was_entry_vm(member);
+    let left_entry_set: Vec<Member> = changed.into_iter().filter(left_entry_set).collect();
+    inner.mesh.has_member_changes.set(true);
+    if !left_entry_set.is_empty() {
+        inner.mesh.update_roles(inner);
+        if source == ChangeSource::Local {
+            inner.mesh.send_member_changes(inner, &left_entry_set);
         }
     }
 }
--- a/crates/leverstream-gateway/src/news.rs
+++ b/crates/leverstream-gateway/src/news.rs
@@ -89,7 +89,7 @@
         backends_revision: inner.fleet.borrow().revision(),
         store_lost: inner.mesh.has_lost_store(),
         vms: inner.repeats.known_vms(),
-        suspects: inner.suspicions.fingerprint(),
+        suspects: inner.suspect_tracker.fingerprint(),
         words: inner.fleet.borrow().notices_fingerprint(),
     }
 }
@@ -207,7 +207,7 @@
     let revision = delta.revision;
     let applied = inner.fleet.borrow_mut().apply(delta, inner.now_ms());
     inner.has_fleet.set(true);
-    inner.mesh.choose(inner);
+    inner.mesh.update_roles(inner);
     if applied.has_news() {
         let (set, removed) = (applied.set, applied.removed.len());
         info!(%from, revision, set, removed, "backends from another VM");
--- a/crates/leverstream-gateway/src/repeats.rs
+++ b/crates/leverstream-gateway/src/repeats.rs
@@ -1,4 +1,5 @@
-//! What may be repeated: this VM's part for each service, and what other VMs lend it.
+//! Retry budgets: this VM's share of the fleet's allowance for each service, and loans from other
+//! VMs.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -13,38 +14,39 @@
 use crate::mesh::Mesh;
 use crate::meters::Meters;
 
-/// How many repeats are asked for at once: at a service with some twenty requests a second one loan is used up before the
-/// second question.
-const WANTED: f32 = 2.0;
+/// Repeats requested in one loan. At a service with about twenty requests per second, one loan is
+/// used up before the next loan request.
+const REPEATS_PER_LOAN: f32 = 2.0;
 
-/// The part of its part of the slack that a VM uses itself while callers are not sent to it. It keeps the rest for those
-/// that they are sent to: its few requests are mostly strays, and it knows least of the backend servers. With all
-/// of it hedges rose by a third on a quiet day and nobody was served better.
-const STRAY_PART: f64 = 0.15;
+/// The fraction of its slack share that a VM outside the entry set uses itself; the rest it keeps
+/// to lend to entry VMs. Such a VM gets few, mostly misdirected requests and knows least about the
+/// backend servers. Using the whole share raised hedges by a third on a quiet day and benefited no
+/// caller.
+const OUTSIDE_ENTRY_SET_FRACTION: f64 = 0.15;
 
-/// What this VM may repeat.
+/// The retry budgets of this VM.
 pub(crate) struct Repeats {
-    /// What all VMs together may repeat for each service.
+    /// What the fleet as a whole may repeat for each service.
     allowance: RetryAllowance,
-    /// This VM's part of the slack.
+    /// This VM's share of the fleet's slack.
     slack: RefCell<SlackShare>,
-    /// Whether callers are sent to this VM.
-    is_placed: Cell<bool>,
-    /// Its part for each service.
+    /// Whether this VM is in the entry set.
+    is_entry_vm: Cell<bool>,
+    /// The state of each service, by its name.
     services: RefCell<HashMap<String, ServiceRepeats>>,
 }
 
-/// What this VM may repeat for one service.
+/// The retry budget of this VM for one service.
 #[derive(Debug, Default)]
 struct ServiceRepeats {
-    /// Its part.
+    /// The budget and what it has spent.
     budget: FleetBudget,
-    /// Its questions to others.
-    asking: LoanRequests<SocketAddr>,
+    /// Loan requests sent to other VMs.
+    loan_requests: LoanRequests<SocketAddr>,
 }
 
 impl Repeats {
-    /// Opens the parts of a process that has just started.
+    /// Creates the budgets of a process that has just started.
     pub fn open(settings: &Settings) -> Repeats {
         let me = settings.listen.peers;
         let expects_others = settings.peers.seeds.iter().any(|seed| *seed != me);
@@ -52,94 +54,98 @@
         Repeats {
             allowance: settings.allowance(),
             slack: RefCell::new(slack),
-            is_placed: Cell::new(false),
+            is_entry_vm: Cell::new(false),
             services: RefCell::default(),
         }
     }
 
-    /// Takes over how many VMs this one knows of, and whether callers are sent to it.
-    pub fn place(&self, vms: usize, is_placed: bool) {
+    /// Updates the number of known VMs and whether this VM is in the entry set.
+    pub fn set_fleet(&self, vms: usize, is_entry_vm: bool) {
         self.slack.borrow_mut().set_known_vms(vms as u32);
-        self.is_placed.set(is_placed);
+        self.is_entry_vm.set(is_entry_vm);
     }
 
-    /// How many VMs this one knows of, for the others.
+    /// The number of VMs that this one knows, as reported to the others.
     pub fn known_vms(&self) -> u32 {
         self.slack.borrow().known_vms()
     }
 
-    /// How many VMs there are, as far as this one knows or was told.
+    /// The fleet size, from the VMs that this one knows and the numbers that others report.
     pub fn fleet_size(&self, now_ms: u64) -> usize {
         self.slack.borrow().fleet_size(now_ms) as usize
     }
 
-    /// Takes in how many VMs another one knows of.
-    pub fn hear_vms(&self, count: u32, now_ms: u64) {
+    /// Records how many VMs another one knows.
+    pub fn record_report(&self, count: u32, now_ms: u64) {
         self.slack.borrow_mut().record_report(count, now_ms);
     }
 
     /// Counts a request for a service.
     pub fn request(&self, service: &str, now_ms: u64) {
-        self.with(service, now_ms, |state, part| state.budget.request(part, now_ms));
+        self.with(service, now_ms, |state, allowance| state.budget.request(allowance, now_ms));
     }
 
-    /// What may be repeated for a service.
-    pub fn room(&self, service: &str, now_ms: u64) -> Headroom {
-        self.with(service, now_ms, |state, part| state.budget.headroom(part, now_ms))
+    /// The repeats that are left for a service.
+    pub fn headroom(&self, service: &str, now_ms: u64) -> Headroom {
+        self.with(service, now_ms, |state, allowance| state.budget.headroom(allowance, now_ms))
     }
 
-    /// Takes one repeat, if there is room; returns whether there was, and the room before.
+    /// Takes one repeat if there is headroom; returns whether it did, and the headroom before.
     pub fn take(&self, service: &str, now_ms: u64) -> (bool, Headroom) {
-        self.with(service, now_ms, |state, part| {
-            let room = state.budget.headroom(part, now_ms);
-            (state.budget.take(part, now_ms), room)
+        self.with(service, now_ms, |state, allowance| {
+            let headroom = state.budget.headroom(allowance, now_ms);
+            (state.budget.take(allowance, now_ms), headroom)
         })
     }
 
-    /// The part of what may be repeated for a service that one more repeat would use up.
+    /// The share of the repeat allowance of a service that one more repeat would use up.
     ///
-    /// As long as those lend who are asked, the whole slack counts, shared by the VMs that callers are sent to: a VM with
-    /// few requests has so little of its own that each hedge would seem to use it up.
-    pub fn used_part(&self, service: &str, sharers: usize, now_ms: u64) -> f64 {
-        self.with(service, now_ms, |state, part| {
-            let others = if state.asking.expects_loans() {
-                self.allowance.slack / sharers as f64
+    /// While lenders answer loan requests, the whole slack counts, divided among the entry VMs. A
+    /// VM with few requests has so little of its own that otherwise every hedge would appear to
+    /// exhaust it.
+    pub fn used_share(&self, service: &str, entry_vms: usize, now_ms: u64) -> f64 {
+        self.with(service, now_ms, |state, allowance| {
+            let lendable = if state.loan_requests.expects_loans() {
+                self.allowance.slack / entry_vms as f64
             } else {
                 0.0
             };
-            state.budget.headroom(part, now_ms).used_share(others)
+            state.budget.headroom(allowance, now_ms).used_share(lendable)
         })
     }
 
-    /// Asks other VMs for what they can spare, if little is left.
-    pub fn ask(&self, service: &str, mesh: &Mesh, meters: &Meters, now_ms: u64) {
-        // Others have as much of the slack as this VM, however much of that it uses itself.
-        let asked_at_once = self.part(now_ms).lenders_to_ask(f64::from(WANTED));
-        self.with(service, now_ms, |state, part| {
-            if !state.asking.is_due(state.budget.headroom(part, now_ms), now_ms) {
+    /// Requests loans from other VMs if little is left.
+    pub fn request_loans(&self, service: &str, mesh: &Mesh, meters: &Meters, now_ms: u64) {
+        // Every VM holds the same share of the slack, whatever fraction of its own share this VM
+        // uses.
+        let lender_count = self.allowance(now_ms).lenders_to_ask(f64::from(REPEATS_PER_LOAN));
+        self.with(service, now_ms, |state, allowance| {
+            if !state.loan_requests.is_due(state.budget.headroom(allowance, now_ms), now_ms) {
                 return;
             }
-            let turn = rand::random_range(0..usize::from(u16::MAX));
-            for to in mesh.by_turns(turn, asked_at_once) {
+            let first = rand::random_range(0..usize::from(u16::MAX));
+            for to in mesh.rotated_peers(first, lender_count) {
                 let number = rand::random();
-                state.asking.record(number, to, now_ms);
-                let asked = LoanQuestion { number, service: service.to_owned(), wanted: WANTED };
-                let packet = Packet { body: Some(Body::LoanQuestion(asked)), ..Packet::default() };
+                state.loan_requests.record(number, to, now_ms);
+                let question =
+                    LoanQuestion { number, service: service.to_owned(), wanted: REPEATS_PER_LOAN };
+                let packet =
+                    Packet { body: Some(Body::LoanQuestion(question)), ..Packet::default() };
                 mesh.send(meters, &packet, &[to]);
             }
         });
     }
 
-    /// Tells whether what others lend for a service may come any moment.
+    /// Tells whether a loan for a service may still arrive.
     pub fn is_loan_awaited(&self, service: &str, now_ms: u64) -> bool {
-        self.with(service, now_ms, |state, _| state.asking.is_loan_awaited(now_ms))
+        self.with(service, now_ms, |state, _| state.loan_requests.is_loan_awaited(now_ms))
     }
 
-    /// What another VM is lent in answer to its question, if there is something to spare.
+    /// Answers a loan request; none if there is nothing to spare.
     pub fn lend(&self, to: SocketAddr, question: &LoanQuestion, now_ms: u64) -> Option<Loan> {
         let LoanQuestion { number, service, wanted } = question;
         let repeats = self.with(service, now_ms, |state, _| {
-            state.budget.lend(f64::from(*wanted), self.part(now_ms), now_ms)
+            state.budget.lend(f64::from(*wanted), self.allowance(now_ms), now_ms)
         });
         if repeats <= 0.0 {
             return None;
@@ -149,40 +155,41 @@
         Some(Loan { number: *number, service, repeats: repeats as f32 })
     }
 
-    /// Takes in what another VM lends.
+    /// Adds a loan from another VM to the budget.
     pub fn borrow(&self, from: SocketAddr, loan: &Loan, now_ms: u64) {
         let Loan { number, service, repeats } = loan;
         self.with(service, now_ms, |state, _| {
-            let Some(asked_ms) = state.asking.accept(*number, from, now_ms) else {
-                debug!(%from, service, repeats, "a loan that was not asked for, or came late");
+            let Some(asked_ms) = state.loan_requests.accept(*number, from, now_ms) else {
+                debug!(%from, service, repeats, "ignored a loan that was not requested or arrived late");
                 return;
             };
             info!(%from, service, repeats, "repeats borrowed");
-            // No more than was asked for, whatever the datagram says.
-            let repeats = if repeats.is_finite() { repeats.clamp(0.0, WANTED) } else { 0.0 };
+            // A datagram never adds more than was requested.
+            let repeats =
+                if repeats.is_finite() { repeats.clamp(0.0, REPEATS_PER_LOAN) } else { 0.0 };
             state.budget.borrow(f64::from(repeats), asked_ms);
         });
     }
 
-    /// This VM's part of what all VMs may repeat.
-    fn part(&self, now_ms: u64) -> RetryAllowance {
+    /// This VM's share of the fleet's allowance.
+    fn allowance(&self, now_ms: u64) -> RetryAllowance {
         let slack = self.slack.borrow().share(self.allowance.window_ms, now_ms);
         self.allowance.with_slack_share(slack)
     }
 
-    /// Does something with what this VM itself may repeat for a service.
+    /// Runs an operation on the state of a service with the allowance that this VM may use itself.
     fn with<T>(
         &self,
         service: &str,
         now_ms: u64,
-        work: impl FnOnce(&mut ServiceRepeats, RetryAllowance) -> T,
+        operation: impl FnOnce(&mut ServiceRepeats, RetryAllowance) -> T,
     ) -> T {
-        let own_use = if self.is_placed.get() { 1.0 } else { STRAY_PART };
-        let part = self.part(now_ms).with_slack_share(own_use);
+        let own_fraction = if self.is_entry_vm.get() { 1.0 } else { OUTSIDE_ENTRY_SET_FRACTION };
+        let allowance = self.allowance(now_ms).with_slack_share(own_fraction);
         let mut services = self.services.borrow_mut();
         match services.get_mut(service) {
-            Some(state) => work(state, part),
-            None => work(services.entry(service.to_owned()).or_default(), part),
+            Some(state) => operation(state, allowance),
+            None => operation(services.entry(service.to_owned()).or_default(), allowance),
         }
     }
 }
--- a/crates/leverstream-gateway/src/serve.rs
+++ b/crates/leverstream-gateway/src/serve.rs
@@ -180,7 +180,7 @@
         let keys_age_ms = inner.leases.age_ms(inner.now_ms());
         let (count, waited_ms) = (sends.count.get(), sends.waited_ms.get());
         let backend = &*sends.backend.borrow();
-        let sharers = inner.mesh.sharing.count();
+        let sharers = inner.mesh.entry_set.count();
         let backends_revision = inner.fleet.borrow().revision();
         let pick = sends.pick.get();
         let (load, slots) = pick.map_or((0, 0), |pick| (pick.choice.load, pick.choice.slots));
--- a/crates/leverstream-gateway/src/sharing.rs
+++ b/crates/leverstream-gateway/src/sharing.rs
@@ -1,40 +1,40 @@
-//! Who takes callers.
+//! The entry set: the VMs that take callers.
 
 use std::cell::{Ref, RefCell};
 
 use leverstream_member::Member;
 
-/// The VMs that share the traffic, as one of all VMs knows them.
-pub(crate) struct Sharing {
-    /// This process.
+/// The entry set as this VM knows it.
+pub(crate) struct EntrySet {
+    /// The identifier of this process.
     me: u64,
-    /// The VMs that take callers.
-    entry: RefCell<Vec<Member>>,
+    /// The members of the entry set.
+    members: RefCell<Vec<Member>>,
 }
 
-impl Sharing {
-    /// Nobody takes callers yet, as far as a process knows that has just started.
-    pub fn open(me: u64) -> Sharing {
-        Sharing { me, entry: RefCell::default() }
+impl EntrySet {
+    /// Starts with an empty entry set.
+    pub fn open(me: u64) -> EntrySet {
+        EntrySet { me, members: RefCell::default() }
     }
 
-    /// The VMs that take callers.
-    pub fn entry(&self) -> Ref<'_, Vec<Member>> {
-        self.entry.borrow()
+    /// The members of the entry set.
+    pub fn members(&self) -> Ref<'_, Vec<Member>> {
+        self.members.borrow()
     }
 
-    /// How many VMs share the traffic, this one included.
+    /// The number of entry VMs, at least one.
     pub fn count(&self) -> usize {
-        self.entry.borrow().len().max(1)
+        self.members.borrow().len().max(1)
     }
 
-    /// Takes over who takes callers from now on.
-    pub fn place(&self, chosen: Vec<Member>) {
-        *self.entry.borrow_mut() = chosen;
+    /// Replaces the members of the entry set.
+    pub fn replace(&self, members: Vec<Member>) {
+        *self.members.borrow_mut() = members;
     }
 
-    /// Tells whether this VM takes callers.
-    pub fn is_placed(&self) -> bool {
-        self.entry.borrow().iter().any(|member| member.identity.id == self.me)
+    /// Tells whether this VM is in the entry set.
+    pub fn is_entry_vm(&self) -> bool {
+        self.members.borrow().iter().any(|member| member.identity.id == self.me)
     }
 }
--- a/crates/leverstream-gateway/src/slot.rs
+++ b/crates/leverstream-gateway/src/slot.rs
@@ -127,7 +127,7 @@
     let mut fleet = inner.fleet.borrow_mut();
     let demand = &inner.services.borrow()[want.service].demand;
     let requests_fail = demand.is_failing(want.is_repeatable, now_ms);
-    let sharers = inner.mesh.sharing.count() as f64;
+    let sharers = inner.mesh.entry_set.count() as f64;
     let bytes = want.bytes as f64 + fleet.route(want.route).answer_bytes();
     let wanted = PickRequest {
         service: want.service,
@@ -143,7 +143,7 @@
     };
     let pick = choose(&fleet, &wanted, now_ms, &mut rand::rng())?;
     fleet.begin_request(pick.key, want.route, now_ms);
-    inner.mesh.has_news();
+    inner.mesh.note_backend_change();
     Some(Slot {
         inner: Rc::clone(inner),
         service: want.service.to_owned(),
@@ -169,7 +169,7 @@
         let mut fleet = self.inner.fleet.borrow_mut();
         fleet.end_request(self.key, since_ms, route, self.outcome.get(), now_ms);
         drop(fleet);
-        self.inner.mesh.has_news();
+        self.inner.mesh.note_backend_change();
         if let Some(state) = self.inner.services.borrow_mut().get_mut(&self.service) {
             state.waiting.wake(1);
         }
--- a/crates/leverstream-gateway/src/words.rs
+++ b/crates/leverstream-gateway/src/words.rs
@@ -1,4 +1,5 @@
-//! Datagrams about what backend servers say of themselves: that they leave, which limits they name.
+//! Datagrams with the notices of backend servers: incarnations that leave, and limits that they
+//! announce.
 
 use std::net::SocketAddr;
 
@@ -9,100 +10,102 @@
 use tracing::info;
 
 use crate::gateway::Inner;
-use crate::mesh::parts;
+use crate::mesh::datagram_chunks;
 
-/// How many VMs that do not share the traffic are told at once: all of a fleet of today's 44. What is told must not grow with
-/// the fleet; of a larger one the rest are hardly asked by callers, and hear it by comparison.
-const OTHERS_TOLD: usize = 48;
+/// VMs outside the entry set that are notified at once: all of today's fleet of 44. The number must
+/// not grow with the fleet. In a larger fleet the others get hardly any requests, and receive the
+/// notices when fingerprints are compared.
+const OTHERS_NOTIFIED: usize = 48;
 
-/// How many starts one datagram tells of; each takes up to 45 bytes.
-const STARTS_A_DATAGRAM: usize = 25;
+/// Incarnations in one datagram; each takes up to 45 bytes.
+const INCARNATIONS_PER_DATAGRAM: usize = 25;
 
-/// Tells others of a start that leaves.
-pub(crate) fn tell(inner: &Inner, of: &Incarnation) {
-    let told = Notices { starts: vec![of.clone()], ..Notices::default() };
-    say(inner, &told, &inner.mesh.sharers_and(OTHERS_TOLD));
+/// Notifies other VMs that an incarnation of a backend server leaves.
+pub(crate) fn announce_leaving(inner: &Inner, of: &Incarnation) {
+    let notices = Notices { starts: vec![of.clone()], ..Notices::default() };
+    send_notices(inner, &notices, &inner.mesh.entry_and_other_addresses(OTHERS_NOTIFIED));
 }
 
-/// Tells others of a limit, or that one is named no more.
-pub(crate) fn tell_limit(inner: &Inner, limit: LimitUpdate) {
-    let told = Notices { limits: vec![limit], ..Notices::default() };
-    say(inner, &told, &inner.mesh.sharers_and(OTHERS_TOLD));
+/// Notifies other VMs of a limit, or that a limit no longer applies.
+pub(crate) fn announce_limit(inner: &Inner, limit: LimitUpdate) {
+    let notices = Notices { limits: vec![limit], ..Notices::default() };
+    send_notices(inner, &notices, &inner.mesh.entry_and_other_addresses(OTHERS_NOTIFIED));
 }
 
-/// Takes in how another VM's knowledge compares.
+/// Compares another VM's fingerprint of the notices with this VM's, and sends what the comparison
+/// calls for.
 pub(crate) fn compare(inner: &Inner, from: SocketAddr, theirs: u64, now_ms: u64) {
-    let mut words = inner.words.get();
-    let is_sharer = inner.mesh.takes_callers();
-    let told = words.compare(theirs, &inner.fleet.borrow(), is_sharer, now_ms);
-    inner.words.set(words);
-    if let Some(told) = told {
-        say(inner, &told, &[from]);
+    let mut notice_sync = inner.notice_sync.get();
+    let is_entry_vm = inner.mesh.takes_callers();
+    let notices = notice_sync.compare(theirs, &inner.fleet.borrow(), is_entry_vm, now_ms);
+    inner.notice_sync.set(notice_sync);
+    if let Some(notices) = notices {
+        send_notices(inner, &notices, &[from]);
     }
 }
 
-/// Takes in what another VM tells, and answers its question.
-pub(crate) fn hear(inner: &Inner, from: SocketAddr, said: &peer::Words, now_ms: u64) {
-    let heard = NoticeSync::apply(decode(said), &mut inner.fleet.borrow_mut(), now_ms);
-    for Incarnation { instance, born_ms } in &heard.newly_leaving {
+/// Applies the notices of another VM, and answers if it requests this VM's.
+pub(crate) fn receive(inner: &Inner, from: SocketAddr, message: &peer::Words, now_ms: u64) {
+    let applied = NoticeSync::apply(decode(message), &mut inner.fleet.borrow_mut(), now_ms);
+    for Incarnation { instance, born_ms } in &applied.newly_leaving {
         info!(backend = instance, born_ms, source = %from, "backend leaves");
     }
-    for LimitUpdate { of: Incarnation { instance, born_ms }, per_s, age_ms } in &heard.limits {
+    for LimitUpdate { of: Incarnation { instance, born_ms }, per_s, age_ms } in &applied.limits {
         info!(backend = instance, born_ms, per_s, age_ms, source = %from, "backend limit");
     }
-    if !heard.newly_leaving.is_empty() || !heard.limits.is_empty() {
+    if !applied.newly_leaving.is_empty() || !applied.limits.is_empty() {
         inner.wake_all();
     }
-    if let Some(told) = heard.answer {
-        say(inner, &told, &[from]);
+    if let Some(notices) = applied.answer {
+        send_notices(inner, &notices, &[from]);
     }
 }
 
-/// Tells some VMs what starts say of themselves, in as many datagrams as it takes.
-fn say(inner: &Inner, told: &Notices, to: &[SocketAddr]) {
-    let send = |said| {
-        let body = Some(Body::Words(said));
+/// Sends notices to some VMs, in as many datagrams as needed.
+fn send_notices(inner: &Inner, notices: &Notices, to: &[SocketAddr]) {
+    let send = |message| {
+        let body = Some(Body::Words(message));
         inner.mesh.send(&inner.meters, &Packet { body, ..Packet::default() }, to);
     };
-    for (part, asks) in parts(&told.starts, told.asks, STARTS_A_DATAGRAM) {
-        let starts = part.iter().map(encode_start).collect();
+    for (chunk, asks) in datagram_chunks(&notices.starts, notices.asks, INCARNATIONS_PER_DATAGRAM) {
+        let starts = chunk.iter().map(encode_incarnation).collect();
         send(peer::Words { starts, asks, limits: Vec::new() });
     }
-    for part in told.limits.chunks(STARTS_A_DATAGRAM) {
-        let limits = part.iter().map(encode_limit).collect();
+    for chunk in notices.limits.chunks(INCARNATIONS_PER_DATAGRAM) {
+        let limits = chunk.iter().map(encode_limit).collect();
         send(peer::Words { limits, ..peer::Words::default() });
     }
 }
 
-/// What a datagram tells of a start.
-fn encode_start(of: &Incarnation) -> BackendStart {
+/// Encodes an incarnation for a datagram.
+fn encode_incarnation(of: &Incarnation) -> BackendStart {
     BackendStart { backend: of.instance.clone(), born_ms: of.born_ms }
 }
 
-/// What a datagram tells of a limit.
-pub(crate) fn encode_limit(told: &LimitUpdate) -> BackendLimit {
-    let age_ms = u32::try_from(told.age_ms).unwrap_or(u32::MAX);
-    BackendLimit { of: Some(encode_start(&told.of)), per_s: told.per_s, age_ms }
+/// Encodes a limit for a datagram.
+pub(crate) fn encode_limit(update: &LimitUpdate) -> BackendLimit {
+    let age_ms = u32::try_from(update.age_ms).unwrap_or(u32::MAX);
+    BackendLimit { of: Some(encode_incarnation(&update.of)), per_s: update.per_s, age_ms }
 }
 
-/// What a datagram has told of a start.
-fn decode_start(start: &BackendStart) -> Incarnation {
+/// Decodes an incarnation from a datagram.
+fn decode_incarnation(start: &BackendStart) -> Incarnation {
     Incarnation { instance: start.backend.clone(), born_ms: start.born_ms }
 }
 
-/// What a datagram has told of a limit; none if it cannot be one.
-pub(crate) fn decode_limit(said: &BackendLimit) -> Option<LimitUpdate> {
+/// Decodes a limit from a datagram; none if it is invalid.
+pub(crate) fn decode_limit(message: &BackendLimit) -> Option<LimitUpdate> {
     let is_limit = |per_s: f64| per_s.is_finite() && per_s >= 0.0;
-    let of = decode_start(said.of.as_ref()?);
-    let told = LimitUpdate { of, per_s: said.per_s, age_ms: said.age_ms.into() };
-    said.per_s.is_none_or(is_limit).then_some(told)
+    let of = decode_incarnation(message.of.as_ref()?);
+    let update = LimitUpdate { of, per_s: message.per_s, age_ms: message.age_ms.into() };
+    message.per_s.is_none_or(is_limit).then_some(update)
 }
 
-/// What a datagram has told.
-fn decode(said: &peer::Words) -> Notices {
+/// Decodes the notices of a datagram.
+fn decode(message: &peer::Words) -> Notices {
     Notices {
-        starts: said.starts.iter().map(decode_start).collect(),
-        limits: said.limits.iter().filter_map(decode_limit).collect(),
-        asks: said.asks,
+        starts: message.starts.iter().map(decode_incarnation).collect(),
+        limits: message.limits.iter().filter_map(decode_limit).collect(),
+        asks: message.asks,
     }
 }
