--- a/crates/leverstream-gateway/src/attempt.rs
+++ b/crates/leverstream-gateway/src/attempt.rs
@@ -89,7 +89,7 @@
         Ok(conn) => conn,
         Err(error) => {
             if error == ConnectError::Refused && inner.fleet.borrow().is_in_service(slot.key) {
-                inner.suspicions.note_refused(&incarnation, now_ms);
+                inner.suspect_tracker.note_refused_connection(&incarnation, now_ms);
             }
             attempt.fail(Outcome::Bad, "connect");
             return AttemptResult::NotSent(Kind::ConnectFailed);
@@ -132,8 +132,8 @@
         Ok(Ok(answer)) => answer,
         Ok(Err(error)) => {
             if error.is_broken() && attempt.has_ended(address).await {
-                inner.suspicions.note_end(request, &incarnation, inner.now_ms());
-                inner.suspicions.note_refused(&incarnation, inner.now_ms());
+                inner.suspect_tracker.note_end(request, &incarnation, inner.now_ms());
+                inner.suspect_tracker.note_refused_connection(&incarnation, inner.now_ms());
             }
             attempt.fail(Outcome::Bad, &error.to_string());
             return AttemptResult::MayHaveRun(error_kind(error));
@@ -177,7 +177,7 @@
             let Incarnation { instance, born_ms } = incarnation;
             let reason = "its address answers for another";
             info!(backend = instance, born_ms, reason, "backend gone");
-            evidence::tell_ended(inner, incarnation);
+            evidence::announce_end(inner, incarnation);
         }
         return AttemptResult::NotRun(Kind::ConnectFailed);
     }
@@ -199,7 +199,7 @@
     } else {
         let time_ms = inner.now_ms().saturating_sub(slot.since_ms) as f64;
         slot.end(Outcome::Good { time_ms, bytes: answer.body.len() });
-        inner.suspicions.note_sound(request, inner.now_ms());
+        inner.suspect_tracker.note_healthy_answer(request, inner.now_ms());
     }
     AttemptResult::Answered(answer)
 }
@@ -252,7 +252,7 @@
     fn drop(&mut self) {
         if !self.is_finished.get() {
             let Attempt { inner, request, incarnation, .. } = *self.attempt;
-            inner.suspicions.note_left(request, incarnation, self.sent_ms, inner.now_ms());
+            inner.suspect_tracker.note_abandoned(request, incarnation, self.sent_ms, inner.now_ms());
         }
     }
 }
@@ -297,7 +297,7 @@
             let Incarnation { instance, born_ms } = incarnation;
             let status = head.status;
             info!(id, backend = instance, born_ms, status, source = "answer", "backend leaves");
-            words::tell(inner, incarnation);
+            words::announce_leaving(inner, incarnation);
             inner.idle.borrow_mut().close_all(incarnation);
             inner.wake_all();
         }
@@ -329,7 +329,7 @@
             let id = request.id.as_deref().unwrap_or("-");
             let Incarnation { instance, born_ms } = incarnation;
             info!(id, backend = instance, born_ms, per_s, source = "answer", "backend limit");
-            words::tell_limit(inner, limit_notice.to_update(incarnation, now_ms));
+            words::announce_limit(inner, limit_notice.to_update(incarnation, now_ms));
             inner.wake_all();
         }
     }
--- a/crates/leverstream-gateway/src/forward.rs
+++ b/crates/leverstream-gateway/src/forward.rs
@@ -214,13 +214,13 @@
     /// the last one ended too, the whole service would be down; the caller can retry when others
     /// are back.
     fn check_last_backend(&self) -> Result<(), Kind> {
-        if self.inner.suspicions.verdict(self.request) != Verdict::LastTry {
+        if self.inner.suspect_tracker.verdict(self.request) != Verdict::LastTry {
             return Ok(());
         }
         let fleet = self.inner.fleet.borrow();
         let keys = fleet.keys_of_service(self.service).iter();
         let has_ended =
-            |key: &BackendKey| self.inner.suspicions.has_ended(&fleet.incarnation(*key));
+            |key: &BackendKey| self.inner.suspect_tracker.has_ended(&fleet.incarnation(*key));
         let is_last = keys.filter(|key| !has_ended(key)).count() <= 1;
         if is_last { Err(Kind::NoSlot) } else { Ok(()) }
     }
@@ -237,7 +237,7 @@
     /// Refuses a request under which backend servers end. Other VMs may have reported it while it
     /// waited.
     fn check_suspect(&self) -> Result<(), Kind> {
-        self.inner.suspicions.check(self.request, self.inner.now_ms())
+        self.inner.suspect_tracker.check(self.request, self.inner.now_ms())
     }
 
     /// Records the result of one send and decides what follows.
@@ -262,7 +262,7 @@
         // Two backend servers have ended under the request: it must not reach a third before its
         // caller repeats it.
         let may_end_another =
-            ran && self.inner.suspicions.verdict(self.request) >= Verdict::LastTry;
+            ran && self.inner.suspect_tracker.verdict(self.request) >= Verdict::LastTry;
         let is_final = may_end_another || (ran && !self.route.is_repeatable);
         if is_final { NextStep::Final } else { NextStep::MayRepeat }
     }
@@ -355,12 +355,12 @@
             return None;
         }
         // A request that may end a backend server is in flight at one backend server at a time.
-        if self.inner.suspicions.verdict(self.request) != Verdict::Free {
+        if self.inner.suspect_tracker.verdict(self.request) != Verdict::Free {
             return None;
         }
         let gain = hedge_gain(&self.inner.fleet.borrow(), &self.pending(&flights), now_ms);
-        let sharers = self.inner.mesh.sharing.count();
-        let used_share = self.inner.repeats.used_part(self.service, sharers, now_ms);
+        let sharers = self.inner.mesh.entry_set.count();
+        let used_share = self.inner.repeats.used_share(self.service, sharers, now_ms);
         if !is_hedge_worthwhile(gain, used_share) {
             return None;
         }
@@ -407,11 +407,11 @@
         let Inner { repeats, mesh, meters, .. } = &**self.inner;
         loop {
             let now_ms = self.inner.now_ms();
-            let headroom = repeats.room(self.service, now_ms);
+            let headroom = repeats.headroom(self.service, now_ms);
             if headroom.has_one() {
                 return true;
             }
-            repeats.ask(self.service, mesh, meters, now_ms);
+            repeats.request_loans(self.service, mesh, meters, now_ms);
             if now_ms >= self.deadline_ms || !repeats.is_loan_awaited(self.service, now_ms) {
                 self.note_denied(headroom);
                 return false;
@@ -441,7 +441,7 @@
         } else {
             self.note_denied(headroom);
         }
-        inner.repeats.ask(self.service, &inner.mesh, &inner.meters, now_ms);
+        inner.repeats.request_loans(self.service, &inner.mesh, &inner.meters, now_ms);
         is_granted
     }
 
@@ -452,7 +452,7 @@
         let id = self.request.id.as_deref().unwrap_or("-");
         let Headroom { requests, spent, own, lent } = headroom;
         info!(id, service = self.service, requests, spent, own, lent, "repeat denied");
-        inner.repeats.ask(self.service, &inner.mesh, &inner.meters, inner.now_ms());
+        inner.repeats.request_loans(self.service, &inner.mesh, &inner.meters, inner.now_ms());
     }
 
     /// Returns what the caller receives for an answer with a server error.
--- a/crates/leverstream-gateway/src/slot.rs
+++ b/crates/leverstream-gateway/src/slot.rs
@@ -137,7 +137,7 @@
     let mut fleet = inner.fleet.borrow_mut();
     let demand = &inner.services.borrow()[request.service].demand;
     let requests_fail = demand.is_failing(request.is_repeatable, now_ms);
-    let sharers = inner.mesh.sharing.count() as f64;
+    let sharers = inner.mesh.entry_set.count() as f64;
     let bytes = request.bytes as f64 + fleet.route(request.route).answer_bytes();
     let pick_request = PickRequest {
         service: request.service,
@@ -153,7 +153,7 @@
     };
     let pick = choose(&fleet, &pick_request, now_ms, &mut rand::rng())?;
     fleet.begin_request(pick.key, request.route, now_ms);
-    inner.mesh.has_news();
+    inner.mesh.note_backend_change();
     Some(Slot {
         inner: Rc::clone(inner),
         service: request.service.to_owned(),
@@ -179,7 +179,7 @@
         let mut fleet = self.inner.fleet.borrow_mut();
         fleet.end_request(self.key, since_ms, route, self.outcome.get(), now_ms);
         drop(fleet);
-        self.inner.mesh.has_news();
+        self.inner.mesh.note_backend_change();
         if let Some(state) = self.inner.services.borrow_mut().get_mut(&self.service) {
             state.waiting.wake(1);
         }
