--- a/crates/leverstream-gateway/src/attempt.rs
+++ b/crates/leverstream-gateway/src/attempt.rs
@@ -252,7 +252,12 @@
     fn drop(&mut self) {
         if !self.is_finished.get() {
             let Attempt { inner, request, incarnation, .. } = *self.attempt;
-            inner.suspect_tracker.note_abandoned(request, incarnation, self.sent_ms, inner.now_ms());
+            inner.suspect_tracker.note_abandoned(
+                request,
+                incarnation,
+                self.sent_ms,
+                inner.now_ms(),
+            );
         }
     }
 }
