--- a/crates/leverstream-proxy/src/acquire.rs
+++ b/crates/leverstream-proxy/src/acquire.rs
@@ -10,31 +10,31 @@
 use crate::flight::{Flight, Wake};
 use crate::{Proxy, ServiceView, Serving};
 
-/// How often a pick is made anew after losing its slot to another thread.
+/// How many times a pick is made before giving up when other threads take the chosen slots.
 const PICK_TRIES: u32 = 4;
 
-/// What a request needs to know to wait for a slot.
+/// The parameters of a request that needs a slot.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Wanted<'a> {
-    /// What pickers are told.
+    /// What the picker takes into account.
     pub request: Request<'a>,
-    /// Whether it gives way to others when the queue is full.
+    /// Whether a request of higher priority may displace this one when the queue is full.
     pub gives_way: bool,
-    /// When it must have been answered.
+    /// The deadline of the request.
     pub deadline_ms: u64,
 }
 
-/// A slot at a backend server.
+/// A slot taken at a backend server.
 pub(crate) struct Slot {
     /// The service as it was when the slot was taken.
     pub view: Arc<ServiceView>,
-    /// The backend server's index in the view.
+    /// The index of the backend server in the view.
     pub index: usize,
-    /// The slot.
+    /// The request that holds the slot.
     pub flight: Flight,
 }
 
-/// Takes a slot at a fit backend server, waiting in the queue while none is free.
+/// Takes a slot at an eligible backend server, waiting in the queue while none is free.
 pub(crate) async fn acquire(
     proxy: &Proxy,
     service: &str,
@@ -48,7 +48,7 @@
         if !serving.backends.iter().any(|backend| backend.weight > 0.0 || backend.is_trial) {
             return Err(Kind::NoBackend);
         }
-        // Whoever waits already goes first.
+        // Requests that already wait in the queue go first.
         if (has_waited || serving.live.queued() == 0)
             && let Some((index, flight)) = try_pick(proxy, serving, wanted.request)
         {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Takes a slot if one is free now.
+/// Takes a slot without waiting, if one is free.
 fn try_pick(proxy: &Proxy, serving: &Serving, request: Request<'_>) -> Option<(usize, Flight)> {
     let _span = tracing::trace_span!("pick").entered();
     let now_ms = proxy.now_ms();
@@ -85,7 +85,7 @@
     None
 }
 
-/// A backend server as pickers see it.
+/// Describes a backend server to the picker.
 fn candidate(backend: &crate::BackendView) -> Candidate {
     let own = backend.live.in_flight();
     Candidate {
@@ -98,7 +98,7 @@
     }
 }
 
-/// Waits in the service's queue until it is time to try again.
+/// Waits in the queue of the service until a slot may be free.
 async fn wait(
     proxy: &Proxy,
     view: &ServiceView,
@@ -133,11 +133,11 @@
     }
 }
 
-/// Takes a place out of the queue, also when the caller goes away while it waits.
+/// Removes a request from the queue when dropped, also when its caller disconnects meanwhile.
 struct Leave<'a> {
-    /// The service.
+    /// The service with the queue.
     serving: &'a Serving,
-    /// The place.
+    /// The position in the queue.
     place: leverstream_route::QueuePosition,
 }
 
--- a/crates/leverstream-proxy/src/admit.rs
+++ b/crates/leverstream-proxy/src/admit.rs
@@ -6,14 +6,14 @@
 
 use crate::ServiceLive;
 
-/// A request counted against its row's limits for one VM until it is dropped.
+/// Counts a request against the in-flight limit that its row sets for each VM, until dropped.
 pub(crate) struct Admitted {
-    /// The service.
+    /// The state of the service.
     live: Arc<ServiceLive>,
 }
 
 impl Admitted {
-    /// Takes a request on if the row's limits allow it.
+    /// Admits a request if the rate and in-flight limits of the row allow it.
     pub fn take(row: &ServiceRow, live: &Arc<ServiceLive>, now_ms: u64) -> Result<Admitted, Kind> {
         if !live.take_rate(row.rate_per_s, now_ms) {
             return Err(Kind::RateLimited);
--- a/crates/leverstream-proxy/src/answer.rs
+++ b/crates/leverstream-proxy/src/answer.rs
@@ -11,11 +11,11 @@
 use crate::headers;
 use crate::metrics::InFlight;
 
-/// An answer on its way to the caller.
+/// An answer to send to the caller.
 pub(crate) struct Answer {
-    /// The status.
+    /// The status code.
     pub status: StatusCode,
-    /// The headers that go on.
+    /// The headers, before hop-by-hop ones are removed.
     pub headers: HeaderMap,
     /// The body.
     pub body: AnswerBody,
@@ -23,34 +23,34 @@
 
 /// The body of an answer.
 pub(crate) enum AnswerBody {
-    /// All of it.
+    /// The whole body.
     Whole(Bytes),
-    /// Its start, with the rest still arriving.
+    /// The start of a body whose rest is still arriving.
     Streaming {
-        /// What has arrived.
+        /// The part that has arrived.
         start: Bytes,
-        /// What is still to come.
+        /// Reads the rest.
         tail: Box<Tail>,
-        /// The whole length, if it is known.
+        /// The length of the whole body in bytes, if known.
         length: Option<u64>,
     },
 }
 
-/// What an answer of leverstream's own says, besides its headers.
+/// The JSON body of an answer that leverstream itself gives.
 #[derive(Debug, Serialize)]
 struct ErrorBody {
-    /// The kind's name.
+    /// The name of the error kind.
     error: String,
-    /// What became of the request.
+    /// Whether the request ran.
     outcome: String,
     /// What the caller may do next.
     next: String,
-    /// When to come back.
+    /// After how long to retry.
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_after_ms: Option<u32>,
 }
 
-/// Writes an answer of leverstream's own.
+/// Builds the error response for a kind.
 pub(crate) fn refuse(kind: Kind) -> HttpResponse {
     let answer = kind.answer();
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -70,7 +70,7 @@
 }
 
 impl Answer {
-    /// Writes the answer to the caller; it counts as under way until all of it has gone out.
+    /// Builds the caller's response; the request counts as in flight until all of it is sent.
     pub fn respond(self, counted: InFlight) -> HttpResponse {
         let mut response = HttpResponse::build(self.status);
         for (name, value) in &headers::forwarded(&self.headers) {
@@ -88,7 +88,7 @@
     }
 }
 
-/// The parts of a body as they arrive; an error ends the caller's connection without a clean end.
+/// Streams a body as it arrives; an error closes the caller's connection without a clean end.
 fn parts(
     start: Bytes,
     tail: Box<Tail>,
--- a/crates/leverstream-proxy/src/ask.rs
+++ b/crates/leverstream-proxy/src/ask.rs
@@ -13,41 +13,41 @@
 use crate::answer::refuse;
 use crate::{Proxy, ServiceView, VmView};
 
-/// A stem made by another VM.
+/// A cached ticket stem that another VM issued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldStem {
-    /// The stem.
+    /// The ticket stem.
     pub stem: Stem,
-    /// How long it holds from when it was fetched.
+    /// How long it is valid after it was fetched.
     pub holds_ms: u64,
     /// When it was fetched, on the local clock.
     pub fetched_ms: u64,
 }
 
-/// Asks the control thread to fetch stems of other VMs.
+/// Asks the control thread to fetch the ticket stems of other VMs.
 pub struct StemRequest {
-    /// The VMs.
+    /// The VMs whose stems are missing.
     pub vms: Vec<VmView>,
-    /// Told when the fetches have ended, well or not.
+    /// Signals that all fetches have ended, successfully or not.
     pub done: oneshot::Sender<()>,
 }
 
-/// Asks the control thread to serve a service here although this VM is not of its set.
+/// Asks the control thread to serve a service on this VM although it is not in the entry set.
 pub struct ServeRequest {
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// Told when it is served, or cannot be.
+    /// Signals that the service is served, or cannot be.
     pub done: oneshot::Sender<()>,
 }
 
-/// What a caller may say when it asks.
+/// The query parameters of a caller that asks where to connect.
 #[derive(Debug, Deserialize)]
 pub(crate) struct AskQuery {
-    /// The hall that the caller is nearest to.
+    /// The data hall nearest to the caller.
     hall: Option<String>,
 }
 
-/// Answers where to connect for a service.
+/// Answers where callers of a service connect.
 pub(crate) async fn ask(
     proxy: Data<Proxy>,
     service: Path<String>,
@@ -75,7 +75,7 @@
     })
 }
 
-/// The answer for a service that the scripts still serve.
+/// The answer for a service that is still routed by scripts: their addresses without tickets.
 fn scripts(proxy: &Proxy, view: &ServiceView) -> AskAnswer {
     let entry = |address: SocketAddr| Entry {
         address,
@@ -91,9 +91,9 @@
     }
 }
 
-/// The service's VMs that take callers and have given a stem, nearest first.
+/// The entry VMs that accept callers and whose ticket stem is known, nearest hall first.
 ///
-/// Within a hall chance decides the order, which spreads the callers.
+/// The order within a hall is random, which spreads the callers.
 async fn entries(proxy: &Proxy, view: &ServiceView, hall: Option<&str>) -> Vec<Entry> {
     let me = proxy.snapshot.load().me.clone();
     let mut vms: Vec<VmView> = view.entry.iter().filter(|vm| vm.takes_callers).cloned().collect();
@@ -104,7 +104,7 @@
     vms.iter().filter_map(|vm| entry(proxy, vm, me.id)).collect()
 }
 
-/// Has the control thread fetch the stems that are not at hand.
+/// Has the control thread fetch the stems that are missing or older than half their cache time.
 async fn fetch_missing(proxy: &Proxy, vms: &[VmView], me: u64) {
     let now_ms = proxy.now_ms();
     let missing: Vec<VmView> = {
@@ -124,7 +124,7 @@
     }
 }
 
-/// An entry of the answer with a ticket of its own, if the VM's stem is at hand.
+/// The answer's entry for a VM, with a new ticket, if the stem of the VM is known.
 fn entry(proxy: &Proxy, vm: &VmView, me: u64) -> Option<Entry> {
     let now_ms = proxy.now_ms();
     let (stem, holds_ms) = if vm.id == me {
--- a/crates/leverstream-proxy/src/attempt.rs
+++ b/crates/leverstream-proxy/src/attempt.rs
@@ -18,50 +18,50 @@
 use crate::message::{BUFFERED_BYTES, Message};
 use crate::{Proxy, pool};
 
-/// How much of an answer is read before it goes on to the caller.
+/// How much of an answer is read before it is passed on to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reading {
-    /// Up to the buffer's size; the rest goes on as it arrives.
+    /// Up to [`BUFFERED_BYTES`]; the rest is streamed as it arrives.
     Start,
-    /// All of it, up to a limit in bytes.
+    /// The whole answer, up to a limit in bytes.
     Whole(usize),
 }
 
-/// What an attempt at a backend server came to.
+/// The result of an attempt at a backend server.
 pub(crate) struct Tried {
-    /// Where it was made.
+    /// The backend server that was tried.
     pub backend: BackendKey,
-    /// The answer, or why there is none.
+    /// The answer, or the failure.
     pub result: Result<Answer, Kind>,
 }
 
-/// Where an exchange goes and by when.
+/// The destination and deadline of an exchange.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Target {
-    /// The address.
+    /// The address to connect to.
     pub address: SocketAddr,
-    /// When the answer must be whole.
+    /// The deadline for the whole answer.
     pub deadline_ms: u64,
-    /// Whether a connection that was used before will do.
+    /// Whether an idle connection may be reused.
     pub may_reuse: bool,
 }
 
-/// The rest of a body, still arriving.
+/// The rest of an answer's body, which is still arriving.
 pub(crate) struct Tail {
-    /// The connection.
+    /// The body on its connection.
     incoming: Incoming,
-    /// Where it goes once it is free.
+    /// The address under which the connection returns to the pool.
     address: SocketAddr,
-    /// When the body must have ended.
+    /// The deadline for the end of the body.
     deadline: std::time::Instant,
-    /// The process's clock.
+    /// The clock of the process.
     clock: crate::Clock,
-    /// The slot that the request holds, if it went to a backend server.
+    /// The slot and connection count of the request; none for an answer of another VM.
     held: Option<(Flight, Counted)>,
 }
 
 impl Tail {
-    /// Reads the next part; none at the true end.
+    /// Reads the next part; returns none only at the end that the framing marks.
     pub async fn next(&mut self) -> Result<Option<Bytes>, Broken> {
         let part = tokio::time::timeout_at(self.deadline.into(), self.incoming.next()).await;
         let part = part.unwrap_or(Err(Broken { kind: Kind::AnswerTimeout }));
@@ -73,7 +73,7 @@
         part
     }
 
-    /// Tells how the work ended and keeps the connection if it is fit.
+    /// Reports the outcome of the request and returns a reusable connection to the pool.
     fn end(&mut self, work: RequestOutcome) {
         if let Some(conn) = self.incoming.take_reusable() {
             pool::put(self.address, conn, self.clock.now_ms());
@@ -137,7 +137,7 @@
     Tried { backend: key, result: result.map_err(|broken| broken.kind) }
 }
 
-/// Sends a request and reads the head of its answer, by the deadline.
+/// Sends a request and reads the head of its answer before the deadline.
 pub(crate) async fn exchange(
     proxy: &Proxy,
     target: Target,
@@ -167,7 +167,7 @@
     }
 }
 
-/// Takes an idle connection or opens one.
+/// Takes an idle connection from the pool or opens a new one.
 async fn connect(proxy: &Proxy, target: Target) -> Result<Conn, Kind> {
     if target.may_reuse
         && let Some(conn) = pool::take(target.address, proxy.now_ms())
@@ -182,7 +182,7 @@
     }
 }
 
-/// Reads as much of a body as is wanted before the answer goes on.
+/// Reads as much of a body as `reading` asks for before the answer is passed on.
 pub(crate) async fn read_body(
     mut tail: Tail,
     headers: &HeaderMap,
@@ -206,7 +206,7 @@
     Ok(AnswerBody::Streaming { start: start.freeze(), tail: Box::new(tail), length })
 }
 
-/// The rest of an answer that comes from another VM.
+/// Wraps the body of an answer from another VM, which holds no slot.
 pub(crate) fn relayed_tail(proxy: &Proxy, target: Target, incoming: Incoming) -> Tail {
     Tail {
         incoming,
@@ -217,12 +217,12 @@
     }
 }
 
-/// Tells whether a status speaks of a fault of the backend server rather than of the request.
+/// Whether a status means a fault of the backend server rather than of the request.
 pub(crate) fn is_server_fault(status: StatusCode) -> bool {
     matches!(status.as_u16(), 500 | 502..=504)
 }
 
-/// What a failure tells of the backend server's health.
+/// The outcome that a failure counts as for the health of the backend server.
 fn work_of(kind: Kind) -> RequestOutcome {
     match kind {
         Kind::ConnectFailed => RequestOutcome::ConnectFailed,
@@ -233,7 +233,7 @@
     }
 }
 
-/// The length that an answer tells.
+/// The value of the `Content-Length` header, if it is valid.
 fn content_length(headers: &HeaderMap) -> Option<u64> {
     headers.get("content-length")?.to_str().ok()?.parse().ok()
 }
--- a/crates/leverstream-proxy/src/conn.rs
+++ b/crates/leverstream-proxy/src/conn.rs
@@ -16,7 +16,7 @@
 
 use crate::message::Message;
 
-/// How far an exchange has come, which decides what its failure means.
+/// How far an exchange has come, which decides whether the request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// No byte of the request was written.
@@ -25,47 +25,47 @@
     Sent,
 }
 
-/// Why an exchange gave no whole answer.
+/// The error of an exchange without a whole answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Broken {
-    /// The kind that answers it.
+    /// The kind of error that the caller gets.
     pub kind: Kind,
 }
 
 /// One connection, owned by one exchange at a time.
 ///
-/// The codec is the one inside `awc`. That client itself is not used here, for its pool hides
-/// whether a byte was written, and it ends a cut body as if it were whole.
+/// It uses the codec of `awc` but not that client itself, because the client's pool hides whether a
+/// byte was written, and the client ends a truncated body as if it were whole.
 pub struct Conn {
-    /// The connection.
+    /// The TCP stream.
     stream: TcpStream,
 }
 
 /// The head of an answer and the connection on which its body arrives.
 pub(crate) struct Received {
-    /// The answer's head.
+    /// The head of the answer.
     pub head: ResponseHead,
-    /// The body.
+    /// The body, still to be read.
     pub body: Incoming,
 }
 
 /// The body of an answer.
 pub(crate) struct Incoming {
-    /// The connection, until the body's end.
+    /// The connection, until the end of the body.
     framed: Option<Framed<TcpStream, ClientPayloadCodec>>,
-    /// The connection for the next exchange, if it is still fit for one.
+    /// The connection after the end of the body, if it can be reused.
     reusable: Option<Conn>,
 }
 
 impl Conn {
-    /// Opens a connection.
+    /// Connects to an address.
     pub async fn open(address: SocketAddr) -> std::io::Result<Conn> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         Ok(Conn { stream })
     }
 
-    /// Tells whether an idle connection is still open and has sent nothing unasked.
+    /// Whether an idle connection is still open and has no unread bytes.
     pub fn is_clean(&self) -> bool {
         let mut byte = [0];
         let read = self.stream.try_read(&mut byte);
@@ -74,8 +74,8 @@
 
     /// Sends a request and reads the head of its answer.
     ///
-    /// `stage` moves to [`Stage::Sent`] before the first byte is handed to the network, so that
-    /// whoever drops this future knows what the request may have come to.
+    /// `stage` moves to [`Stage::Sent`] before the first byte is written to the socket, so that code
+    /// that drops this future knows whether the request may have run.
     pub(crate) async fn exchange(
         self,
         message: Message,
@@ -106,7 +106,7 @@
 }
 
 impl Incoming {
-    /// Starts to read a body, if there is one.
+    /// Prepares to read the body that the head announces, if there is one.
     fn open(framed: Framed<TcpStream, ClientCodec>) -> Incoming {
         if framed.codec_ref().message_type() == MessageType::None {
             let keeps_alive = framed.codec_ref().keep_alive();
@@ -116,7 +116,7 @@
         Incoming { framed: Some(framed), reusable: None }
     }
 
-    /// Reads the next part of the body; none at its true end.
+    /// Reads the next part of the body; returns none only at the end that the framing marks.
     pub async fn next(&mut self) -> Result<Option<Bytes>, Broken> {
         let Some(framed) = &mut self.framed else { return Ok(None) };
         match poll_fn(|cx| Pin::new(&mut *framed).next_item(cx)).await {
@@ -133,19 +133,19 @@
         }
     }
 
-    /// Takes the connection for another exchange, if the body has ended and left it fit.
+    /// Takes the connection for another exchange, if the body has ended and it can be reused.
     pub fn take_reusable(&mut self) -> Option<Conn> {
         self.reusable.take()
     }
 }
 
-/// Keeps a connection for another exchange, unless surplus bytes have arrived on it.
+/// Returns the connection for another exchange, unless bytes are left in its buffers.
 fn reusable<C>(framed: Framed<TcpStream, C>, keeps_alive: bool) -> Option<Conn> {
     let is_spent = !framed.is_read_buf_empty() || !framed.is_write_buf_empty();
     (keeps_alive && !is_spent).then(|| Conn { stream: framed.into_parts().io })
 }
 
-/// Encodes a frame into the connection's buffer.
+/// Encodes a frame into the write buffer of the connection.
 fn write(
     framed: &mut Framed<TcpStream, ClientCodec>,
     frame: Frame<(actix_http::RequestHeadType, BodySize)>,
@@ -153,7 +153,7 @@
     Pin::new(framed).write(frame).map_err(|_| Broken { kind: Kind::BadRequest })
 }
 
-/// Encodes the end of a body, where its framing has one.
+/// Encodes the end of a body, if its framing marks one.
 fn finish_body(framed: &mut Framed<TcpStream, ClientCodec>, size: BodySize) -> Result<(), Broken> {
     match size {
         BodySize::None | BodySize::Sized(0) => Ok(()),
@@ -161,7 +161,7 @@
     }
 }
 
-/// Hands the buffer to the network.
+/// Writes the buffer to the socket.
 async fn flush(framed: &mut Framed<TcpStream, ClientCodec>) -> Result<(), Broken> {
     let flushed = poll_fn(|cx| {
         Pin::new(&mut *framed).flush::<Frame<(actix_http::RequestHeadType, BodySize)>>(cx)
@@ -169,7 +169,7 @@
     flushed.await.map_err(|_| Broken { kind: Kind::SendFailed })
 }
 
-/// Passes the rest of a body on as it arrives.
+/// Streams the rest of a body as it arrives from the caller.
 async fn send_rest(
     framed: &mut Framed<TcpStream, ClientCodec>,
     rest: &mut actix_web::web::Payload,
@@ -184,7 +184,7 @@
     flush(framed).await
 }
 
-/// A failure to go on with a request of which some was sent; it may have run.
+/// Maps a failure after a part of the request was sent, as the request may have run.
 fn after_sending(_: Broken) -> Broken {
     Broken { kind: Kind::SendFailed }
 }
@@ -201,7 +201,7 @@
     }
 }
 
-/// Refuses an answer whose end only the connection's end would tell, for it may be cut unseen.
+/// Rejects an answer that ends with its connection, because its truncation cannot be detected.
 fn check_framing(method: &Method, head: &ResponseHead) -> Result<(), Broken> {
     let has_no_body = *method == Method::HEAD
         || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
--- a/crates/leverstream-proxy/src/flight.rs
+++ b/crates/leverstream-proxy/src/flight.rs
@@ -9,111 +9,111 @@
 use slab::Slab;
 use tokio::sync::{mpsc, oneshot};
 
-/// The key of a service in the control thread's arena.
+/// The index of a service in the control thread's arena.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServiceKey(pub u32);
 
-/// What a traffic thread tells the control thread.
+/// An event that a traffic thread reports to the control thread.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
-    /// A piece of work has ended.
+    /// A request at a backend server has ended.
     Finished {
-        /// The service.
+        /// The service of the request.
         service: ServiceKey,
         /// The backend server.
         backend: BackendKey,
-        /// How it ended.
+        /// The outcome for the health of the backend server.
         work: RequestOutcome,
-        /// How long it took.
+        /// How long the request took.
         time_ms: f64,
-        /// The units of bad evidence that its age has given already.
+        /// The units of bad evidence already charged for the age of the request.
         charged: u8,
-        /// Whether it was a trial request.
+        /// Whether it was a trial request to an ejected backend server.
         is_trial: bool,
     },
-    /// A backend server says that it drains.
+    /// A backend server announces that it drains.
     Draining {
-        /// The service.
+        /// The service of the request.
         service: ServiceKey,
         /// The backend server.
         backend: BackendKey,
     },
 }
 
-/// What changes about a service between snapshots.
+/// The mutable state of a service, shared by successive snapshots.
 pub struct ServiceLive {
-    /// The service.
+    /// The index of the service.
     pub key: ServiceKey,
-    /// Requests under way on this VM.
+    /// Requests in flight on this VM.
     pub in_flight: AtomicU32,
-    /// A count that rises with each pick.
+    /// The number of picks so far.
     pub turn: AtomicU32,
-    /// The retries left.
+    /// The retry budget.
     pub budget: Mutex<RetryBudget>,
-    /// Bounds the requests a second; the rate it was opened with comes first.
+    /// The configured rate in requests per second, and the token bucket that enforces it.
     pub rate: Mutex<(u32, TokenBucket)>,
-    /// Requests that wait for a slot.
+    /// Requests that wait for a free slot.
     pub(crate) waiting: Mutex<Waiting>,
 }
 
-/// The queue and who waits in it.
+/// The queue of a service with the wakers of the requests in it.
 #[derive(Default)]
 pub(crate) struct Waiting {
-    /// The order.
+    /// The order in which requests get slots.
     pub queue: Queue,
-    /// How to wake each.
+    /// The waker of each queued request.
     pub wakers: HashMap<QueuePosition, oneshot::Sender<Wake>>,
 }
 
-/// Why one who waits is woken.
+/// Why a queued request is woken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Wake {
-    /// A slot may be free.
+    /// A slot may be free; the request picks again.
     Try,
-    /// It gives way to another.
+    /// A request of higher priority has displaced it from the full queue.
     GiveWay,
 }
 
-/// What changes about a backend server between snapshots.
+/// The mutable state of a backend server, shared by successive snapshots.
 #[derive(Default)]
 pub struct BackendLive {
-    /// This VM's requests under way there.
+    /// This VM's requests in flight at the backend server.
     flights: Mutex<Slab<FlightMark>>,
-    /// This VM's connections there.
+    /// This VM's open connections to the backend server.
     pub connections: AtomicU32,
 }
 
-/// A request under way, for whoever judges its age.
+/// The age of a request in flight and the evidence already charged for it.
 #[derive(Clone, Copy, Debug)]
 pub struct FlightMark {
-    /// When it was sent off.
+    /// When the request took its slot.
     pub started_ms: u64,
-    /// The units of bad evidence that its age has given already.
+    /// The units of bad evidence already charged for the age of the request.
     pub charged: u8,
 }
 
-/// One request under way at a backend server; it holds a slot until it ends or is dropped.
+/// A request in flight at a backend server; it holds a slot until it ends or is dropped.
 pub(crate) struct Flight {
-    /// The service.
+    /// The state of the service.
     service: Arc<ServiceLive>,
-    /// The backend server's key.
+    /// The key of the backend server.
     backend: BackendKey,
-    /// The backend server.
+    /// The state of the backend server.
     live: Arc<BackendLive>,
-    /// The mark's place.
+    /// The index of the request's entry in the state of the backend server.
     mark: usize,
-    /// When it started, more finely than the mark tells.
+    /// When it started, at a finer resolution than the milliseconds of its entry.
     started: std::time::Instant,
-    /// Whether it is a trial.
+    /// Whether it is a trial request to an ejected backend server.
     is_trial: bool,
-    /// Where the end is told.
+    /// Carries the end of the request to the control thread.
     observations: mpsc::Sender<Observation>,
-    /// How it ended, unless it was dropped.
+    /// The outcome and the duration in milliseconds; none if the request was dropped.
     ended: Option<(RequestOutcome, f64)>,
 }
 
 impl ServiceLive {
-    /// Opens the state of a service that has just appeared.
+    /// Creates the state of a service that was just added.
     pub fn open(key: ServiceKey, now_ms: u64) -> Arc<ServiceLive> {
         Arc::new(ServiceLive {
             key,
@@ -125,7 +125,7 @@
         })
     }
 
-    /// Lets up to `count` of those who wait try again.
+    /// Wakes up to `count` queued requests, which then try to take a slot.
     pub fn wake(&self, count: usize) {
         let mut waiting = self.waiting.lock();
         let places: Vec<QueuePosition> = waiting.queue.first(count).collect();
@@ -136,12 +136,12 @@
         }
     }
 
-    /// How many wait.
+    /// The number of queued requests.
     pub fn queued(&self) -> usize {
         self.waiting.lock().queue.len()
     }
 
-    /// Takes a request within the row's rate, if it sets one.
+    /// Takes a token for a request from the rate limit; always succeeds if the row sets no rate.
     pub(crate) fn take_rate(&self, rate_per_s: u32, now_ms: u64) -> bool {
         if rate_per_s == 0 {
             return true;
@@ -156,14 +156,14 @@
 }
 
 impl BackendLive {
-    /// How many requests this VM has under way there.
+    /// The number of this VM's requests in flight at the backend server.
     pub fn in_flight(&self) -> u32 {
         u32::try_from(self.flights.lock().len()).unwrap_or(u32::MAX)
     }
 
-    /// Charges each request under way with the units that its age gives by now.
+    /// Charges each request in flight with the units of bad evidence that its age amounts to now.
     ///
-    /// `units` tells them for an age in milliseconds. Returns the units not charged before.
+    /// `units` maps an age in milliseconds to units. Returns the newly charged units of each request.
     pub fn charge(&self, now_ms: u64, units: impl Fn(f64) -> u8) -> Vec<u8> {
         let mut flights = self.flights.lock();
         let charges = flights.iter_mut().map(|(_, mark)| {
@@ -175,7 +175,7 @@
         charges.filter(|fresh| *fresh > 0).collect()
     }
 
-    /// Takes a slot if fewer than `slots` are in use, by all VMs as far as known.
+    /// Takes a slot if fewer than `slots` are in use by this VM and, as last reported, `others`.
     pub(crate) fn begin(&self, slots: u32, others: u32, now_ms: u64) -> Option<usize> {
         let mut flights = self.flights.lock();
         let used = flights.len() as u64 + u64::from(others);
@@ -185,7 +185,7 @@
 }
 
 impl Flight {
-    /// Takes over a slot that was begun.
+    /// Wraps a slot that [`BackendLive::begin`] returned.
     pub fn open(
         service: &Arc<ServiceLive>,
         backend: BackendKey,
@@ -206,12 +206,12 @@
         }
     }
 
-    /// Tells how the work ended; the slot is free once this returns.
+    /// Records the outcome of the request and releases its slot.
     pub fn end(mut self, work: RequestOutcome) {
         self.ended = Some((work, self.started.elapsed().as_secs_f64() * 1000.0));
     }
 
-    /// Tells that the backend server says it drains.
+    /// Reports that the backend server drains.
     pub fn drain(&self) {
         let (service, backend) = (self.service.key, self.backend);
         let _ = self.observations.try_send(Observation::Draining { service, backend });
@@ -234,14 +234,14 @@
     }
 }
 
-/// A connection counted against the backend server's limit until it is dropped.
+/// Counts one connection against the connection limit of a backend server until dropped.
 pub(crate) struct Counted {
-    /// The backend server.
+    /// The state of the backend server.
     live: Arc<BackendLive>,
 }
 
 impl Counted {
-    /// Counts a connection if the limit allows one more.
+    /// Counts one more connection if the limit allows it.
     pub fn open(live: &Arc<BackendLive>, limit: u32) -> Option<Counted> {
         let taken = live.connections.fetch_update(Ordering::AcqRel, Ordering::Acquire, |count| {
             (count < limit).then_some(count + 1)
--- a/crates/leverstream-proxy/src/headers.rs
+++ b/crates/leverstream-proxy/src/headers.rs
@@ -1,16 +1,16 @@
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
 
-/// Marks a request that another VM has passed on, which is not passed on again; in its answer it names the process that
-/// gave it, as a VM's address may belong to another process by now.
+/// Marks a request that another VM has relayed, so that it is not relayed again. In the answer it
+/// holds the id of the process that answers, as another process may now use the VM's address.
 pub const RELAYED_HEADER: &str = "leverstream-relayed";
 
-/// By this a backend server says that it drains.
+/// Announces in an answer that the backend server drains.
 pub const DRAINING_HEADER: &str = "leverstream-draining";
 
 /// Marks a health check.
 pub const PROBE_HEADER: &str = "leverstream-probe";
 
-/// The headers that hold for one connection only (RFC 9110, section 7.6.1).
+/// The hop-by-hop headers (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     header::TE,
@@ -23,10 +23,10 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Copies the headers that go on to the next hop.
+/// Copies the headers to forward to the next hop.
 ///
-/// Left out are those that hold for one connection, those that `Connection` names, the length,
-/// which the next hop's framing sets, and an expectation that this hop has met already.
+/// Omits hop-by-hop headers, those that `Connection` lists, `Content-Length`, which the framing of
+/// the next hop sets, and `Expect`, which this hop has already met.
 pub(crate) fn forwarded(headers: &HeaderMap) -> HeaderMap {
     let named = named_by_connection(headers);
     let mut kept = HeaderMap::with_capacity(headers.len());
@@ -42,17 +42,17 @@
     kept
 }
 
-/// Names a process in an answer to a request that was passed on.
+/// Formats a process id for the answer to a relayed request.
 pub(crate) fn vm_value(id: u64) -> HeaderValue {
     HeaderValue::from(id)
 }
 
-/// The process that an answer names.
+/// Parses the process id in the answer to a relayed request.
 pub(crate) fn vm_of(value: &HeaderValue) -> Option<u64> {
     value.to_str().ok()?.parse().ok()
 }
 
-/// Reads a header as text.
+/// The value of a header, if it is valid text.
 pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
--- a/crates/leverstream-proxy/src/lib.rs
+++ b/crates/leverstream-proxy/src/lib.rs
@@ -1,7 +1,8 @@
-//! The path of a request: where to connect, queue, pick, exchange, retry, relay, keep.
+//! The request path of a VM: answers where callers connect, queues requests, picks a backend
+//! server, exchanges, retries, hedges, relays to other VMs and stores the answers of keyed requests.
 //!
-//! Traffic threads share one [`Proxy`]. They read its [`Snapshot`] without locks and hand what they
-//! observe back over a channel to the control thread, which publishes the next snapshot.
+//! Traffic threads share one [`Proxy`]. They read its [`Snapshot`] without locks and report their
+//! observations over a channel to the control thread, which publishes the next snapshot.
 
 mod acquire;
 mod admit;
--- a/crates/leverstream-proxy/src/message.rs
+++ b/crates/leverstream-proxy/src/message.rs
@@ -13,17 +13,17 @@
 
 use crate::headers;
 
-/// The part of a body that is kept so that the request can be repeated, in bytes.
+/// How much of a body is buffered, so that a request with a smaller body can be repeated.
 pub(crate) const BUFFERED_BYTES: usize = 64 << 10;
 
-/// A request on its way to the next hop.
+/// A request to send to the next hop.
 #[derive(Clone)]
 pub(crate) struct Message {
     /// The method.
     pub method: Method,
     /// The path and query.
     pub uri: Uri,
-    /// The headers that go on.
+    /// The headers to forward.
     pub headers: HeaderMap,
     /// The body.
     pub body: Body,
@@ -32,18 +32,18 @@
 /// A request's body.
 #[derive(Clone)]
 pub(crate) struct Body {
-    /// What was read so far; all of it unless there is a rest.
+    /// The buffered part; the whole body unless there is a rest.
     pub start: Bytes,
-    /// What is still to come from the caller; it can be sent once only.
+    /// The part still to be read from the caller, which can be sent only once.
     pub rest: Option<Rc<RefCell<Option<Payload>>>>,
-    /// The whole length, if the caller told it.
+    /// The length of the whole body, if the caller declared it.
     pub length: Option<u64>,
 }
 
 impl Message {
-    /// Takes a request over, reading up to `limit` bytes of its body.
+    /// Reads a request with up to `limit` bytes of its body.
     ///
-    /// A longer body is refused, or with `streams` left to be passed on as it arrives.
+    /// Rejects a longer body, or with `streams` leaves the rest to be streamed as it arrives.
     pub async fn read(
         request: &HttpRequest,
         mut payload: Payload,
@@ -72,19 +72,19 @@
         })
     }
 
-    /// Tells whether the request can be sent more than once.
+    /// Whether the whole body is buffered, so that the request can be sent again.
     pub fn is_whole(&self) -> bool {
         self.body.rest.is_none()
     }
 
-    /// Sets a header.
+    /// Sets a header, replacing its earlier value.
     pub fn set(&mut self, name: &'static str, value: &str) {
         if let Ok(value) = HeaderValue::from_str(value) {
             self.headers.insert(HeaderName::from_static(name), value);
         }
     }
 
-    /// Turns the request into the head and body of one exchange.
+    /// Splits the request into the head and body for one exchange.
     pub fn into_parts(self) -> (RequestHead, Body) {
         let mut head = RequestHead::default();
         head.method = self.method;
@@ -93,7 +93,7 @@
         (head, self.body)
     }
 
-    /// A fingerprint of what the request asks for.
+    /// A hash of the method, target and body, which detects a key reused for another request.
     pub fn fingerprint(&self) -> [u8; 32] {
         let mut hasher = blake3::Hasher::new();
         for part in [self.method.as_str().as_bytes(), self.uri.to_string().as_bytes()] {
@@ -106,7 +106,7 @@
 }
 
 impl Body {
-    /// The size as the framing needs it.
+    /// The body size in the form that the codec's framing takes.
     pub fn size(&self) -> BodySize {
         match (&self.rest, self.length) {
             (None, _) if self.start.is_empty() && self.length.is_none() => BodySize::None,
@@ -117,7 +117,7 @@
     }
 }
 
-/// Reads the length that the caller told, refusing shapes by which requests are smuggled.
+/// Reads the declared body length; rejects framing that allows request smuggling.
 fn content_length(request: &HttpRequest) -> Result<Option<u64>, Kind> {
     let headers = request.headers();
     let lengths: Vec<&HeaderValue> = headers.get_all("content-length").collect();
@@ -130,7 +130,7 @@
     lengths.first().map(|value| parse(value).ok_or(Kind::BadRequest)).transpose()
 }
 
-/// The path and query of a request's target.
+/// The path and query of a request target, without scheme and authority.
 fn path_of(uri: &Uri) -> Uri {
     let path = uri.path_and_query().map_or("/", |path| path.as_str());
     path.parse().unwrap_or_else(|_| Uri::from_static("/"))
--- a/crates/leverstream-proxy/src/metrics.rs
+++ b/crates/leverstream-proxy/src/metrics.rs
@@ -6,21 +6,21 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// The label of a refusal or failure.
+/// The metric label of a refusal or failure.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct KindLabel {
-    /// The kind's name.
+    /// The name of the error kind.
     kind: String,
 }
 
-/// What the path of a request counts.
+/// The metrics of the request path.
 #[derive(Clone)]
 pub struct Metrics {
     /// Requests that arrived.
     pub requests: Counter,
-    /// Requests for where to connect.
+    /// Questions of callers about where to connect.
     pub asks: Counter,
-    /// Answers of leverstream's own, by kind.
+    /// Error responses of leverstream itself, by kind.
     pub refusals: Family<KindLabel, Counter>,
     /// Attempts at backend servers.
     pub attempts: Counter,
@@ -28,18 +28,18 @@
     pub retries: Counter,
     /// Attempts begun while another still ran.
     pub hedges: Counter,
-    /// Requests passed on to another VM.
+    /// Requests relayed to another VM.
     pub relays: Counter,
-    /// Answers given again from those kept.
+    /// Stored answers returned for repeated requests.
     pub replays: Counter,
-    /// Requests under way.
+    /// Requests in flight.
     pub in_flight: Gauge,
-    /// How long requests took, in seconds.
+    /// The durations of requests, in seconds.
     pub seconds: Histogram,
 }
 
 impl Metrics {
-    /// Registers the counts.
+    /// Creates the metrics and registers them.
     pub fn open(registry: &mut Registry) -> Metrics {
         let metrics = Metrics {
             requests: Counter::default(),
@@ -67,19 +67,19 @@
         metrics
     }
 
-    /// Counts an answer of leverstream's own.
+    /// Counts an error response of leverstream itself.
     pub fn refuse(&self, kind: Kind) {
         self.refusals.get_or_create(&KindLabel { kind: kind.to_string() }).inc();
     }
 }
 
-/// Counts a request as under way until its answer has gone out or its caller has gone away.
+/// Counts a request as in flight until its answer is sent or its caller disconnects.
 ///
-/// A planned stop waits for these.
+/// A graceful stop waits until no request is in flight.
 pub(crate) struct InFlight(Gauge);
 
 impl InFlight {
-    /// Counts one more.
+    /// Counts one more request.
     pub fn open(metrics: &Metrics) -> InFlight {
         metrics.in_flight.inc();
         InFlight(metrics.in_flight.clone())
--- a/crates/leverstream-proxy/src/once.rs
+++ b/crates/leverstream-proxy/src/once.rs
@@ -18,33 +18,34 @@
 use crate::message::Message;
 use crate::{Proxy, ServiceView};
 
-/// The most backend servers that a request is offered to while it has certainly not run.
+/// The most backend servers to which a request is sent as long as it has certainly not run.
 const OFFERS_LIMIT: usize = 3;
 
-/// The longest key of a piece of work, in bytes.
+/// The longest idempotency key of a request.
 pub(crate) const KEY_LIMIT_BYTES: usize = 256;
 
 /// A request that must run at most once.
 #[derive(Clone)]
 pub(crate) struct Once {
-    /// What traffic threads share.
+    /// The state that traffic threads share.
     pub proxy: Data<Proxy>,
-    /// The service's name.
+    /// The name of the service.
     pub service: String,
-    /// The service when the request arrived.
+    /// The service as it was when the request arrived.
     pub view: Arc<ServiceView>,
-    /// The request.
+    /// The head and body of the request.
     pub message: Rc<Message>,
-    /// When it must have been answered.
+    /// The deadline of the request.
     pub deadline_ms: u64,
-    /// Whether it gives way to others when the queue is full.
+    /// Whether a request of higher priority may displace this one when the queue is full.
     pub gives_way: bool,
 }
 
 impl Once {
-    /// Runs the work of a ticket and key at its home, or finds what it came to.
+    /// Runs the request of a ticket and key at its home, or returns the outcome of its earlier run.
     ///
-    /// The work goes on when the caller goes away, and its answer is kept until the ticket expires.
+    /// The request continues when the caller disconnects, and its answer is stored until the ticket
+    /// expires.
     pub async fn run_keyed(self, ticket: &Ticket, key: &str) -> Result<Answer, Kind> {
         let proxy = self.proxy.clone();
         let fingerprint = self.message.fingerprint();
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Runs the request once, without a ticket to find its outcome by later.
+    /// Runs the request at most once; without a ticket its outcome cannot be looked up later.
     pub async fn run_single(&self) -> Result<Answer, Kind> {
         let mut tried: Vec<BackendKey> = Vec::new();
         loop {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Runs the request once and puts its outcome in the form that is kept.
+    /// Runs the request once and returns its outcome in the form that the ledger stores.
     async fn run_kept(&self) -> StoredResult {
         match self.run_admitted().await {
             Ok(answer) => match reply_of(answer) {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Runs the request once if the row's limits allow it; later arrivals of it are not limited.
+    /// Runs the request once if the limits of the row allow it; repeated arrivals are not limited.
     async fn run_admitted(&self) -> Result<Answer, Kind> {
         let serving = self.view.serving.as_ref().ok_or(Kind::RelayLoop)?;
         let now_ms = self.proxy.now_ms();
@@ -109,7 +110,7 @@
         self.run_single().await
     }
 
-    /// Tells whether a request that has certainly not run is offered to another backend server.
+    /// Whether a request that has certainly not run may go to another backend server.
     fn may_offer_again(&self, offers: usize) -> bool {
         let percent = self.view.doc.row.retry_budget_percent;
         let now_ms = self.proxy.now_ms();
@@ -120,7 +121,7 @@
     }
 }
 
-/// Puts a whole answer in the form that is kept.
+/// Converts a whole answer into the form that the ledger stores.
 fn reply_of(answer: Answer) -> Option<Reply> {
     let AnswerBody::Whole(body) = answer.body else { return None };
     let headers = headers::forwarded(&answer.headers);
@@ -129,7 +130,7 @@
     Some(Reply { status: answer.status.as_u16(), headers, body })
 }
 
-/// Turns what was kept into an answer.
+/// Converts a stored result back into an answer.
 fn answer_of(kept: StoredResult, is_replayed: bool) -> Result<Answer, Kind> {
     let reply = match kept {
         StoredResult::Answer(reply) => reply,
--- a/crates/leverstream-proxy/src/pool.rs
+++ b/crates/leverstream-proxy/src/pool.rs
@@ -4,25 +4,25 @@
 
 use crate::conn::Conn;
 
-/// How long an idle connection is kept, in milliseconds; less than most servers keep theirs.
+/// How long an idle connection is kept; shorter than the idle timeout of most servers.
 const IDLE_LIMIT_MS: u64 = 4_000;
 
-/// The most idle connections to one address that a thread keeps.
+/// The most idle connections to one address in the pool of a thread.
 const IDLE_LIMIT: usize = 32;
 
 thread_local! {
-    /// The thread's idle connections.
+    /// The idle connections of this thread.
     static POOL: RefCell<Pool> = RefCell::default();
 }
 
-/// Idle connections by address, each with when it became idle.
+/// A pool of idle connections.
 #[derive(Default)]
 struct Pool {
-    /// The connections, the last idle at the end.
+    /// The connections by address, each with the time it became idle, the latest last.
     idle: HashMap<SocketAddr, Vec<(u64, Conn)>>,
 }
 
-/// Takes a clean idle connection of this thread.
+/// Takes an idle connection of this thread that is still usable.
 pub(crate) fn take(address: SocketAddr, now_ms: u64) -> Option<Conn> {
     POOL.with_borrow_mut(|pool| {
         let idle = pool.idle.get_mut(&address)?;
@@ -36,7 +36,7 @@
     })
 }
 
-/// Keeps a connection for this thread's next exchange.
+/// Returns a connection to the pool of this thread.
 pub(crate) fn put(address: SocketAddr, conn: Conn, now_ms: u64) {
     POOL.with_borrow_mut(|pool| {
         let idle = pool.idle.entry(address).or_default();
--- a/crates/leverstream-proxy/src/proxy.rs
+++ b/crates/leverstream-proxy/src/proxy.rs
@@ -10,45 +10,45 @@
 use crate::ask::{HeldStem, ServeRequest, StemRequest};
 use crate::{Clock, Metrics, Observation, Snapshot};
 
-/// What all traffic threads of a process share.
+/// The state that all traffic threads of a process share.
 pub struct Proxy {
-    /// What is known of the fleet and the table.
+    /// The current view of the fleet and the service table.
     pub snapshot: ArcSwap<Snapshot>,
-    /// The process's clock.
+    /// The clock of the process.
     pub clock: Clock,
-    /// Makes and checks this process's tickets.
+    /// Issues and checks the tickets of this process.
     pub mint: TicketIssuer,
-    /// The work begun under tickets that still hold.
+    /// The requests that ran or run under tickets that are still valid.
     pub ledger: Arc<Ledger>,
-    /// The counts.
+    /// The metrics of the request path.
     pub metrics: Metrics,
-    /// How backend servers are chosen.
+    /// The strategy that chooses a backend server for a request.
     pub picker: &'static Picker,
-    /// The times and bounds.
+    /// The timeouts and size limits.
     pub settings: ProxySettings,
-    /// Where observations go.
+    /// Carries observations to the control thread.
     pub observations: mpsc::Sender<Observation>,
-    /// Where stems of other VMs are asked for.
+    /// Carries requests for the ticket stems of other VMs to the control thread.
     pub stem_requests: mpsc::Sender<StemRequest>,
-    /// Where services are asked for that are not served here.
+    /// Carries requests to serve a service that this VM does not serve yet to the control thread.
     pub serve_requests: mpsc::Sender<ServeRequest>,
-    /// Stems of other VMs by process.
+    /// Ticket stems of other VMs, by the process id of the VM.
     pub stems: Mutex<HashMap<u64, HeldStem>>,
 }
 
-/// The times and bounds of the path of a request.
+/// The timeouts and size limits of the request path.
 #[derive(Clone, Copy, Debug)]
 pub struct ProxySettings {
-    /// How long callers may keep an answer to where to connect.
+    /// How long a caller may cache the answer that tells it where to connect.
     pub answer_holds_ms: u64,
-    /// The longest that opening a connection may take.
+    /// The timeout for opening a connection.
     pub connect_timeout_ms: u64,
-    /// The largest answer that is kept whole, in bytes.
+    /// The largest answer that is buffered whole for a request that must run at most once.
     pub answer_limit_bytes: usize,
 }
 
 impl Proxy {
-    /// The present time on the process's clock.
+    /// The current time on the clock of the process.
     pub fn now_ms(&self) -> u64 {
         self.clock.now_ms()
     }
--- a/crates/leverstream-proxy/src/relay.rs
+++ b/crates/leverstream-proxy/src/relay.rs
@@ -10,9 +10,9 @@
 use crate::message::Message;
 use crate::{Proxy, VmView};
 
-/// Passes a request to the one VM that may run it.
+/// Relays a request to its home, the one VM that may run it.
 ///
-/// That VM may have run it on an earlier arrival, so a failure here never says "not run".
+/// The home may have run it on an earlier arrival, so a failure here never means "not run".
 pub(crate) async fn to_home(
     proxy: &Data<Proxy>,
     service: &str,
@@ -30,9 +30,9 @@
     }
 }
 
-/// Passes a request to one of the VMs that serve its service, the nearest first.
+/// Relays a request to one of the VMs that serve its service, the nearest first.
 ///
-/// Another one is tried only while the request has certainly not run or when it may be repeated.
+/// Tries another VM only if the request has certainly not run or may be repeated.
 pub(crate) async fn to_entry(
     proxy: &Data<Proxy>,
     service: &str,
@@ -55,15 +55,15 @@
     Err(last)
 }
 
-/// Why a request that was passed to a VM has no answer of it.
+/// Why a relayed request got no answer of its VM.
 enum Unpassed {
-    /// Another process answers at its address.
+    /// Another process answers at the address of the VM.
     Stranger,
-    /// There was none, or not all of it.
+    /// There was no answer, or only a part of it.
     Failed(Kind),
 }
 
-/// Passes a request to a VM.
+/// Relays a request to a VM and checks that the expected process answers.
 async fn pass(
     proxy: &Data<Proxy>,
     service: &str,
@@ -90,7 +90,7 @@
     Ok(Answer { status, headers, body })
 }
 
-/// The VMs that serve a service and take callers, those of this hall first.
+/// The other VMs that serve a service and accept callers, those of this data hall first.
 fn entry_vms(proxy: &Proxy, service: &str) -> Vec<VmView> {
     let snapshot = proxy.snapshot.load();
     let Some(view) = snapshot.service(service) else { return Vec::new() };
--- a/crates/leverstream-proxy/src/repeat.rs
+++ b/crates/leverstream-proxy/src/repeat.rs
@@ -16,42 +16,42 @@
 use crate::message::Message;
 use crate::{Proxy, ServiceView};
 
-/// The most attempts that one request may take.
+/// The most attempts for one request.
 const ATTEMPTS_LIMIT: usize = 4;
 
-/// An attempt is hedged when it has taken so many times what counts as slow.
+/// An attempt is hedged once it has taken this many times the duration that counts as slow.
 const HEDGE_FACTOR: f64 = 1.0;
 
 thread_local! {
-    /// Whether this thread may leave a witness.
+    /// Whether this thread may let an attempt continue after its request is answered.
     static WITNESS: Cell<bool> = const { Cell::new(true) };
 }
 
-/// A request that may run more than once, and what was tried of it.
+/// A request that may run more than once, with the backend servers tried so far.
 pub(crate) struct Repeat {
-    /// What traffic threads share.
+    /// The state that traffic threads share.
     pub proxy: Data<Proxy>,
-    /// The service's name.
+    /// The name of the service.
     pub service: String,
-    /// The service when the request arrived.
+    /// The service as it was when the request arrived.
     pub view: Arc<ServiceView>,
-    /// The request.
+    /// The head and body of the request.
     pub message: Message,
-    /// When it must have been answered.
+    /// The deadline of the request.
     pub deadline_ms: u64,
-    /// Whether it gives way to others when the queue is full.
+    /// Whether a request of higher priority may displace this one when the queue is full.
     pub gives_way: bool,
-    /// Where it was tried.
+    /// The backend servers tried so far.
     pub tried: RefCell<Vec<BackendKey>>,
 }
 
-/// The attempts of a request that are under way.
+/// The attempts of a request that are in progress.
 type Attempts = FuturesUnordered<LocalBoxFuture<'static, Result<Answer, Kind>>>;
 
 impl Repeat {
-    /// Runs the request until an answer is whole, within the budget and the deadline.
+    /// Runs the request until an attempt yields an answer, within the retry budget and the deadline.
     ///
-    /// When it gives up it says so at once.
+    /// Fails as soon as no further attempt is allowed, without waiting for the deadline.
     pub async fn run(self) -> Result<Answer, Kind> {
         let request = Rc::new(self);
         let mut attempts: Attempts = FuturesUnordered::new();
@@ -62,7 +62,7 @@
         result
     }
 
-    /// Begins attempts as they are due until one gives the answer.
+    /// Starts retries and hedges as they become due until one attempt yields the answer.
     async fn run_attempts(self: Rc<Self>, attempts: &mut Attempts) -> Result<Answer, Kind> {
         let Some(serving) = &self.view.serving else { return Err(Kind::RelayLoop) };
         serving.live.budget.lock().earn(self.view.doc.row.retry_budget_percent);
@@ -105,10 +105,10 @@
         finish(last)
     }
 
-    /// Lets a slow attempt go on after the request is answered, one at a time for each thread.
+    /// Lets a slow attempt continue after the request is answered, one at a time on each thread.
     ///
-    /// Called off, a stalled attempt would show no more than that another one was faster; with the
-    /// stall going on the evidence grows.
+    /// A cancelled attempt would only show that another one was faster. An attempt that continues to
+    /// stall adds evidence against its backend server.
     fn leave_witness(&self, mut attempts: Attempts) {
         if attempts.is_empty() || !WITNESS.replace(false) {
             return;
@@ -119,7 +119,7 @@
         });
     }
 
-    /// Makes one attempt.
+    /// Takes a slot and makes one attempt there.
     async fn attempt_once(self: Rc<Self>) -> Result<Answer, Kind> {
         let tried = self.tried.borrow().clone();
         let wanted = Wanted {
@@ -136,7 +136,7 @@
         result
     }
 
-    /// Tells whether a failed attempt is worth another, and takes it out of the budget.
+    /// Whether a failed attempt may be retried; takes the retry from the budget if so.
     fn may_retry(&self, last: Option<&Result<Answer, Kind>>) -> bool {
         let is_final = matches!(
             last,
@@ -145,14 +145,14 @@
         !is_final && self.proxy.now_ms() < self.deadline_ms && self.take_budget()
     }
 
-    /// Takes one retry out of the service's budget.
+    /// Takes one retry from the budget of the service.
     fn take_budget(&self) -> bool {
         let percent = self.view.doc.row.retry_budget_percent;
         let Some(serving) = &self.view.serving else { return false };
         serving.live.budget.lock().take(percent, self.proxy.now_ms())
     }
 
-    /// After how long without an answer another attempt is begun beside the first.
+    /// How long the first attempt may take before a hedge starts.
     fn hedge_delay(&self) -> std::time::Duration {
         let slow_ms = self.view.serving.as_ref().map_or(0.0, |serving| {
             serving.backends.iter().map(|backend| backend.slow_ms).fold(1.0, f64::max)
@@ -161,12 +161,12 @@
     }
 }
 
-/// The final answer.
+/// The result of the last failed attempt, or `NoBackend` if there was no attempt.
 fn finish(last: Option<Result<Answer, Kind>>) -> Result<Answer, Kind> {
     last.unwrap_or(Err(Kind::NoBackend))
 }
 
-/// Keeps the failure that tells the caller more: an answer, else what speaks for both attempts.
+/// Chooses what the caller gets of two failures: an answer, else an error that covers both.
 fn worse(last: Option<Result<Answer, Kind>>, next: Result<Answer, Kind>) -> Result<Answer, Kind> {
     match (last, next) {
         (Some(Ok(answer)), Err(_)) => Ok(answer),
--- a/crates/leverstream-proxy/src/serve.rs
+++ b/crates/leverstream-proxy/src/serve.rs
@@ -24,12 +24,12 @@
 use crate::repeat::Repeat;
 use crate::{Proxy, ServiceView};
 
-/// Sets up the callers' listener.
+/// Registers the routes of the callers' listener.
 pub fn configure(config: &mut ServiceConfig) {
     config.route("/v1/connect/{service}", web::get().to(ask)).default_service(web::to(serve));
 }
 
-/// Answers a caller's request.
+/// Answers a request of a caller and counts it in the metrics.
 async fn serve(proxy: Data<Proxy>, request: HttpRequest, payload: Payload) -> HttpResponse {
     let started = std::time::Instant::now();
     proxy.metrics.requests.inc();
@@ -54,7 +54,7 @@
     response
 }
 
-/// Finds the service of a request and runs it the way its row says.
+/// Finds the service of a request and runs the request as the service's row in the table says.
 async fn handle(
     proxy: &Data<Proxy>,
     request: &HttpRequest,
@@ -93,29 +93,29 @@
     }
 }
 
-/// A request that was read and understood.
+/// A request whose head is parsed and checked.
 struct Arrived<'a> {
-    /// What traffic threads share.
+    /// The state that traffic threads share.
     proxy: &'a Data<Proxy>,
-    /// The service's name.
+    /// The name of the service.
     service: String,
-    /// The service.
+    /// The service as the current snapshot has it.
     view: Arc<ServiceView>,
-    /// The request.
+    /// The head and body of the request.
     message: Message,
-    /// When it must have been answered.
+    /// The deadline of the request.
     deadline_ms: u64,
-    /// Whether it gives way to others when the queue is full.
+    /// Whether a request of higher priority may displace this one when the queue is full.
     gives_way: bool,
-    /// Whether another VM has passed it on.
+    /// Whether another VM has relayed the request to this one.
     is_relayed: bool,
 }
 
 impl Arrived<'_> {
-    /// Has the service served here, if it is not, for a request that may go nowhere else.
+    /// Makes this VM serve the service if it does not yet, for a request that no other VM may run.
     ///
-    /// VMs learn of each other's coming and going at different moments, so one may be sent work
-    /// of a service that it does not hold for its own.
+    /// VMs learn of membership changes at different moments, so a VM may receive requests of a
+    /// service that is not placed on it in its own view.
     async fn serve_here(&mut self) -> Result<(), Kind> {
         if self.view.serving.is_some() {
             return Ok(());
@@ -130,7 +130,7 @@
         Ok(())
     }
 
-    /// Runs a request that may run more than once.
+    /// Runs a repeatable request, or relays it to a VM that serves its service.
     async fn run_repeatable(mut self) -> Result<Answer, Kind> {
         if self.is_relayed {
             self.serve_here().await?;
@@ -149,7 +149,7 @@
         repeat.run().await
     }
 
-    /// Runs a request with a ticket, here if this process is its home, else there.
+    /// Runs a request with a ticket at the ticket's home process: here, or on the VM it is relayed to.
     async fn run_keyed(mut self, ticket: &Ticket, key: &str) -> Result<Answer, Kind> {
         if ticket.stem.home == self.proxy.mint.home() {
             self.serve_here().await?;
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Runs a request that must run at most once but has no ticket, as its row says.
+    /// Runs a request that must run at most once but has no ticket, if the row allows that.
     async fn run_unkeyed(mut self) -> Result<Answer, Kind> {
         if self.view.doc.row.unkeyed == Unkeyed::Refuse {
             return Err(Kind::TicketMissing);
@@ -183,13 +183,13 @@
         }
     }
 
-    /// Passes the request to a VM that serves its service.
+    /// Relays the request to a VM that serves its service.
     async fn relay(&self, is_repeatable: bool) -> Result<Answer, Kind> {
         let (service, message) = (&self.service, &self.message);
         relay::to_entry(self.proxy, service, message, is_repeatable, self.deadline_ms).await
     }
 
-    /// The request as one that must run at most once.
+    /// Converts the request into one that must run at most once.
     fn once(self) -> Once {
         Once {
             proxy: self.proxy.clone(),
@@ -202,7 +202,7 @@
     }
 }
 
-/// The service that a request names, by its header or its host.
+/// The service that a request names in its service header or, without one, in `Host`.
 fn service_of(request: &HttpRequest) -> Option<String> {
     if let Some(name) = text(request.headers(), SERVICE_HEADER) {
         return Some(name.to_owned());
@@ -212,7 +212,7 @@
     host.host().map(str::to_owned)
 }
 
-/// When a request must have been answered: the row's time or the caller's, if that is shorter.
+/// The deadline of a request: the limit of the row or that of the caller, whichever is shorter.
 fn deadline_of(proxy: &Proxy, request: &HttpRequest, view: &ServiceView) -> Result<u64, Kind> {
     let row_ms = view.doc.row.deadline_ms;
     let asked_ms = match text(request.headers(), DEADLINE_HEADER) {
@@ -225,7 +225,7 @@
     Ok(proxy.now_ms() + row_ms.min(asked_ms))
 }
 
-/// The ticket and key of a request, if it has both.
+/// The ticket and idempotency key of a request, if it has both.
 fn keys_of(request: &HttpRequest) -> Result<Option<(Ticket, String)>, Kind> {
     let ticket = text(request.headers(), TICKET_HEADER);
     let key = text(request.headers(), KEY_HEADER);
--- a/crates/leverstream-proxy/src/snapshot.rs
+++ b/crates/leverstream-proxy/src/snapshot.rs
@@ -8,93 +8,93 @@
 
 use crate::flight::{BackendLive, ServiceLive};
 
-/// What traffic threads know of the fleet and the table; never changed, only replaced.
+/// An immutable view of the fleet and the service table, which the control thread replaces.
 #[derive(Default)]
 pub struct Snapshot {
-    /// This process.
+    /// The VM of this process.
     pub me: VmView,
     /// The services that this VM serves, by name.
     pub serving: HashMap<String, Arc<ServiceView>>,
-    /// The whole table, by service.
+    /// The whole table, by service name.
     pub docs: Arc<HashMap<String, Arc<ServiceDoc>>>,
     /// The members of the fleet.
     pub members: Arc<Members>,
 }
 
-/// The members of the fleet, as a list and by process.
+/// The members of the fleet, as a list and by process id.
 #[derive(Default)]
 pub struct Members {
     /// The members that are not dead.
     pub list: Vec<Member>,
-    /// All by process, with the dead that are still remembered: one held for dead may yet answer.
+    /// All members by process id, with remembered dead ones: one declared dead may still answer.
     by_id: HashMap<u64, Member>,
-    /// How many halls they stand in.
+    /// The number of data halls with a member that is not dead.
     pub halls: usize,
 }
 
-/// A VM as traffic threads know it.
+/// A VM as traffic threads see it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VmView {
-    /// The process.
+    /// The id of its process.
     pub id: u64,
-    /// The hall it stands in.
+    /// Its data hall.
     pub hall: String,
-    /// Where its callers' listener is.
+    /// The address of its callers' listener.
     pub caller_address: SocketAddr,
-    /// Where its peers' listener is.
+    /// The address of its peers' listener.
     pub peer_address: SocketAddr,
-    /// Whether callers may be sent to it.
+    /// Whether callers may connect to it.
     pub takes_callers: bool,
-    /// Whether it is held for dead.
+    /// Whether the members have declared it dead.
     pub is_dead: bool,
 }
 
-/// A service.
+/// A service as a snapshot has it.
 pub struct ServiceView {
-    /// Its document.
+    /// Its document in the table.
     pub doc: Arc<ServiceDoc>,
-    /// The VMs that serve it.
+    /// The VMs that serve it, its entry set.
     pub entry: Vec<VmView>,
-    /// What this VM needs to serve it, if it does.
+    /// The serving state, if this VM serves it.
     pub serving: Option<Serving>,
 }
 
-/// What a VM needs to serve a service.
+/// What a VM needs to serve a service itself.
 pub struct Serving {
-    /// What changes between snapshots.
+    /// The mutable state of the service.
     pub live: Arc<ServiceLive>,
     /// The backend servers.
     pub backends: Vec<BackendView>,
-    /// How long work usually takes.
+    /// The typical duration of a request.
     pub typical_ms: f64,
 }
 
-/// A backend server.
+/// A backend server as a snapshot has it.
 pub struct BackendView {
     /// Its key.
     pub key: BackendKey,
     /// Its name.
     pub name: String,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
-    /// How many requests leverstream may have under way there.
+    /// The limit of requests that all VMs together may have in flight there.
     pub slots: u32,
-    /// How many connections this VM may hold to it.
+    /// The limit of connections that this VM may hold to it.
     pub connections: u32,
-    /// Its weight times the share that its health allows.
+    /// Its configured weight times the share of traffic that its health allows.
     pub weight: f64,
-    /// Whether it may only be given single repeatable requests.
+    /// Whether it gets trial requests only: single, repeatable ones.
     pub is_trial: bool,
-    /// The requests that other VMs have under way there.
+    /// The number of requests that other VMs have in flight there.
     pub others_in_flight: u32,
-    /// From which time work there counts as slow.
+    /// The duration from which a request there counts as slow.
     pub slow_ms: f64,
-    /// What changes between snapshots.
+    /// The mutable state of the backend server.
     pub live: Arc<BackendLive>,
 }
 
 impl Snapshot {
-    /// Finds a service; for one that this VM does not serve, its VMs are worked out now.
+    /// Finds a service by name; the VMs of a service not served here are computed on each call.
     pub fn service(&self, name: &str) -> Option<Arc<ServiceView>> {
         if let Some(view) = self.serving.get(name) {
             return Some(Arc::clone(view));
@@ -104,14 +104,14 @@
         Some(Arc::new(ServiceView { doc: Arc::clone(doc), entry, serving: None }))
     }
 
-    /// Finds a VM by its process.
+    /// Finds a VM by its process id.
     pub fn vm(&self, id: u64) -> Option<VmView> {
         self.members.get(id).map(VmView::from)
     }
 }
 
 impl Members {
-    /// Lists members, dead ones too.
+    /// Creates the view from all remembered members, dead ones included.
     pub fn new(remembered: Vec<Member>) -> Members {
         let is_there = |member: &&Member| member.state != MemberState::Dead;
         let list: Vec<Member> = remembered.iter().filter(is_there).cloned().collect();
@@ -122,7 +122,7 @@
         Members { list, by_id, halls }
     }
 
-    /// Finds a member by its process.
+    /// Finds a member by its process id.
     pub fn get(&self, id: u64) -> Option<&Member> {
         self.by_id.get(&id)
     }
@@ -132,7 +132,7 @@
         self.place(doc).1
     }
 
-    /// The VMs that serve a service, with what it takes to see whether a change moves them.
+    /// The VMs that serve a service, with the placement by which a later change of them is detected.
     pub fn place(&self, doc: &ServiceDoc) -> (Placement, Vec<VmView>) {
         let slots = doc.backends.values().map(BackendRow::usable_slots).sum();
         let size = entry_set_size(doc.row.entry_vms, slots, self.halls);
