--- a/crates/leverstream-observe/src/count.rs
+++ b/crates/leverstream-observe/src/count.rs
@@ -3,17 +3,17 @@
 use prometheus_client::metrics::counter::ConstCounter;
 use prometheus_client::registry::Registry;
 
-/// Shows a count that another part keeps.
+/// Exports a counter whose value another component holds.
 struct Count<F> {
-    /// Its name, without the registry's prefix.
+    /// The metric name, without the prefix of the registry.
     name: &'static str,
-    /// What it counts.
+    /// The help text of the metric.
     help: &'static str,
-    /// Reads it.
+    /// Returns the current value.
     read: F,
 }
 
-/// Registers a count that another part keeps; it is read whenever the metrics are.
+/// Registers a counter whose value another component holds; `read` is called on every scrape.
 pub fn register_count(
     registry: &mut Registry,
     name: &'static str,
--- a/crates/leverstream-observe/src/lib.rs
+++ b/crates/leverstream-observe/src/lib.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of a process: logs, metrics and traces.
+//! The logs, metrics and traces of a process.
 
 mod count;
 mod lines;
@@ -12,7 +12,7 @@
 pub use trace::{TraceError, Traces, caller_span, traceparent};
 pub use tracing_subscriber::filter::LevelFilter;
 
-/// Writes all metrics in the text format that scrapers read.
+/// Encodes all metrics in the OpenMetrics text format.
 pub fn encode(registry: &Registry) -> String {
     let mut text = String::new();
     // Writing to a string cannot fail.
--- a/crates/leverstream-observe/src/lines.rs
+++ b/crates/leverstream-observe/src/lines.rs
@@ -7,45 +7,45 @@
 use tracing_subscriber::fmt::MakeWriter;
 use tracing_subscriber::layer::SubscriberExt;
 
-/// The bytes of log lines that may wait to be written; at some 300 bytes a line, thousands.
+/// The size of the buffer for unwritten log lines; at about 300 bytes a line, it holds thousands.
 const BUFFER_BYTES: usize = 1 << 20;
 
-/// How long lines gather before they are written together, in milliseconds.
+/// How long lines are collected before they are written in one batch.
 const GATHER_MS: u64 = 100;
 
-/// Structured log lines on their way to standard output.
+/// Writes structured log lines to standard output in the background.
 ///
-/// Whoever logs only appends to a buffer in memory. A thread of its own writes it out, so that a
-/// reader who is slow blocks nobody; lines that find the buffer full are counted and dropped, and
-/// the count is written once there is room.
+/// Logging only appends to a buffer in memory, which a separate thread writes out, so that a slow
+/// reader never blocks the threads that log. Lines that arrive at a full buffer are dropped, and
+/// the number of dropped lines is logged with the next batch.
 #[derive(Clone)]
 pub struct Lines {
-    /// What the writers and the thread share.
+    /// The state shared with the writing thread.
     shared: Arc<Shared>,
 }
 
-/// The buffer and how the thread is woken.
+/// The buffer and the signal that wakes the writing thread.
 #[derive(Default)]
 struct Shared {
-    /// The buffer.
+    /// The unwritten lines.
     buffer: Mutex<Buffer>,
-    /// Told when the buffer is no longer empty.
+    /// Notified when the buffer is no longer empty.
     filled: Condvar,
 }
 
-/// The lines that wait.
+/// The lines that are not written yet.
 #[derive(Default)]
 struct Buffer {
-    /// The lines.
+    /// The encoded lines.
     bytes: Vec<u8>,
-    /// Lines dropped since the last one written.
+    /// The number of lines dropped since the last batch.
     dropped: u64,
 }
 
 impl Lines {
-    /// Opens the log on standard output and makes it the process's own.
+    /// Starts the writing thread and installs the global subscriber.
     ///
-    /// Each event becomes a line of JSON with its time, level, place and fields.
+    /// Each event becomes a line of JSON with its time, level, target and fields.
     pub fn open(level: LevelFilter) -> Lines {
         let lines = Lines { shared: Arc::default() };
         let writer = lines.clone();
@@ -56,20 +56,20 @@
             .with_current_span(false)
             .with_span_list(false)
             .with_writer(lines.clone());
-        // What libraries log of a caller's broken request is told by the answer to it.
+        // Events of libraries are left out: what they log about an invalid request, its answer says.
         let is_own = filter_fn(|metadata| metadata.target().starts_with("leverstream"));
         let subscriber = tracing_subscriber::registry().with(level).with(layer.with_filter(is_own));
-        // A second logger in one process is a mistake of tests only; the first one stays.
+        // Only tests install a second subscriber in one process; the first one stays.
         let _ = tracing::subscriber::set_global_default(subscriber);
         lines
     }
 
-    /// Writes out what waits, before the process ends.
+    /// Writes all buffered lines; called before the process ends.
     pub fn flush(&self) {
         let _ = write_out(&self.take());
     }
 
-    /// Writes lines out as they come.
+    /// Writes batches of lines until standard output is closed.
     fn run(&self) {
         loop {
             {
@@ -81,13 +81,13 @@
             }
             std::thread::sleep(Duration::from_millis(GATHER_MS));
             if write_out(&self.take()).is_err() {
-                // Nobody reads any more: there is nobody to tell.
+                // Standard output is closed, so the error cannot be reported.
                 return;
             }
         }
     }
 
-    /// Takes what waits, with a line on those dropped.
+    /// Takes the buffered lines, followed by a line with the number of dropped ones, if any.
     fn take(&self) -> Vec<u8> {
         let mut buffer = self.lock();
         let dropped = std::mem::take(&mut buffer.dropped);
@@ -102,7 +102,8 @@
         bytes
     }
 
-    /// Locks the buffer; a writer that panicked left at worst a torn line.
+    /// Locks the buffer. A panic of another writer leaves at worst an incomplete line, so a poisoned
+    /// lock is ignored.
     fn lock(&self) -> std::sync::MutexGuard<'_, Buffer> {
         self.shared.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/leverstream-observe/src/logs.rs
+++ b/crates/leverstream-observe/src/logs.rs
@@ -1,10 +1,10 @@
 use log::LevelFilter;
 use simplelog::{ConfigBuilder, WriteLogger};
 
-/// Opens the log on standard error.
+/// Installs the logger that writes to standard error.
 ///
-/// Each line is the time, the level and a short sentence with the prefix of the part that wrote
-/// it. Libraries are logged from warnings up.
+/// Each line has the time, the level and a message. Only the targets of leverstream and leverctl
+/// are logged.
 pub fn open_logs(level: LevelFilter) {
     let config = ConfigBuilder::new()
         .set_time_format_rfc3339()
@@ -14,6 +14,6 @@
         .add_filter_allow_str("leverstream")
         .add_filter_allow_str("leverctl")
         .build();
-    // A second logger in one process is a mistake of tests only; the first one stays.
+    // Only tests install a second logger in one process; the first one stays.
     let _ = WriteLogger::init(level, config, std::io::stderr());
 }
--- a/crates/leverstream-observe/src/trace.rs
+++ b/crates/leverstream-observe/src/trace.rs
@@ -10,13 +10,13 @@
 use tracing_opentelemetry::OpenTelemetrySpanExt;
 use tracing_subscriber::layer::SubscriberExt;
 
-/// The running export of traces; spans end with it.
+/// The running export of traces; it must be closed to send the last spans.
 pub struct Traces {
-    /// The exporter's handle.
+    /// The provider that exports the spans.
     provider: SdkTracerProvider,
 }
 
-/// Why traces could not be opened.
+/// The reason why the export of traces could not start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TraceError(pub String);
 
@@ -29,7 +29,7 @@
 impl std::error::Error for TraceError {}
 
 impl Traces {
-    /// Opens the export of spans to an OTLP collector, over gRPC.
+    /// Starts the export of spans to an OTLP collector over gRPC.
     pub fn open(endpoint: &str, vm: &str) -> Result<Traces, TraceError> {
         let failed = |error: &dyn std::error::Error| TraceError(error.to_string());
         let exporter = SpanExporter::builder()
@@ -52,13 +52,13 @@
         Ok(Traces { provider })
     }
 
-    /// Sends what is left and ends the export.
+    /// Sends the remaining spans and ends the export.
     pub fn close(self) {
         let _ = self.provider.shutdown();
     }
 }
 
-/// Opens the span of a caller's request, below the caller's own span if it names one.
+/// Opens the span of a caller's request, as a child of the span in `traceparent` if there is one.
 pub fn caller_span(method: &str, traceparent: Option<&str>) -> Span {
     let span = tracing::trace_span!("caller", method);
     if let Some(traceparent) = traceparent.filter(|_| !span.is_disabled()) {
@@ -69,7 +69,7 @@
     span
 }
 
-/// The `traceparent` header for the next hop, when the present span is exported.
+/// The `traceparent` header for the next hop, if the current span is enabled.
 pub fn traceparent() -> Option<String> {
     let span = Span::current();
     if span.is_disabled() {
--- a/crates/leverstream-wire/src/answer.rs
+++ b/crates/leverstream-wire/src/answer.rs
@@ -1,13 +1,13 @@
 use bytes::Bytes;
 
-/// A whole answer.
+/// A whole HTTP answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The header fields in their order, names in lower case.
+    /// The header fields in the order received, with names in lower case.
     pub fields: Vec<(String, Vec<u8>)>,
-    /// The body, without its framing.
+    /// The decoded body, without chunk framing.
     pub body: Bytes,
 }
 
@@ -17,7 +17,7 @@
         self.fields.iter().find(|(field, _)| field == name).map(|(_, value)| value.as_slice())
     }
 
-    /// The first value of a header field, as text.
+    /// The first value of a header field as trimmed text, if it is valid UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.field(name).and_then(|value| std::str::from_utf8(value).ok()).map(str::trim)
     }
@@ -28,14 +28,14 @@
         named.map(|(_, value)| value.as_slice())
     }
 
-    /// Tells whether the sender ends the connection after this answer.
+    /// Whether the sender announces that it closes the connection after this answer.
     pub fn closes(&self) -> bool {
         let names_close =
             |value: &str| value.split(',').any(|part| part.trim().eq_ignore_ascii_case("close"));
         self.text("connection").is_some_and(names_close)
     }
 
-    /// How long the sender says it keeps an idle connection, in milliseconds.
+    /// The idle timeout that the sender announces in `Keep-Alive`.
     pub fn keep_alive_ms(&self) -> Option<u64> {
         let value = self.text("keep-alive")?;
         let timeout = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/crates/leverstream-wire/src/conn.rs
+++ b/crates/leverstream-wire/src/conn.rs
@@ -12,42 +12,42 @@
 use crate::Answer;
 use crate::framing::{Chunks, Framing, ParsedHead, decode_chunks, framing, parse_head};
 
-/// After how long without traffic a connection is probed, and how often, in seconds.
+/// The idle time before the first TCP keep-alive probe, and the interval between probes.
 const KEEP_ALIVE_S: u64 = 1;
 
-/// After how many unanswered probes a connection is given up.
+/// The number of unanswered TCP keep-alive probes after which a connection is closed.
 const KEEP_ALIVE_PROBES: u32 = 3;
 
-/// How long sent bytes may stay unacknowledged before a connection is given up.
+/// How long sent bytes may stay unacknowledged before a connection is closed.
 const UNACKNOWLEDGED_MS: u64 = 3_000;
 
-/// The room made for each read, in bytes.
+/// The buffer space reserved for each read.
 const READ_BYTES: usize = 4 << 10;
 
-/// The largest answer that is read, in bytes.
+/// The largest answer that is accepted.
 const ANSWER_LIMIT_BYTES: usize = 64 << 20;
 
 /// One connection, owned by one exchange at a time.
 #[derive(Debug)]
 pub struct Conn {
-    /// The connection.
+    /// The TCP stream.
     stream: TcpStream,
-    /// What was read and not yet used.
+    /// Bytes that were read but not consumed yet.
     read: BytesMut,
-    /// Whether another exchange may follow.
+    /// Whether another exchange may follow on the connection.
     is_reusable: bool,
-    /// For how long the other side may send nothing while its answer is waited for, if that is bounded.
+    /// The longest time without received bytes while an answer is awaited; none waits without limit.
     silence: Option<Duration>,
 }
 
-/// How far an exchange has come, for whoever drops it before its end.
+/// The progress of an exchange, readable after its future is dropped.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Whether bytes of the request may have left.
+    /// Whether bytes of the request may have been sent.
     sent: Cell<bool>,
 }
 
-/// Why an exchange gave no whole answer.
+/// The error of an exchange without a whole answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum WireError {
     /// the connection could not be opened
@@ -56,7 +56,7 @@
     Send,
     /// the connection ended before the answer did
     Cut,
-    /// the other side has gone silent
+    /// the other side stopped sending
     Silent,
     /// the answer could not be read
     Garbled,
@@ -65,35 +65,37 @@
 impl std::error::Error for WireError {}
 
 impl WireError {
-    /// Tells whether the other side has ended the connection after it was opened.
+    /// Whether the other side has closed the connection after it was opened.
     pub fn is_broken(self) -> bool {
         matches!(self, WireError::Send | WireError::Cut)
     }
 }
 
 impl Progress {
-    /// Tells whether bytes of the request may have left.
+    /// Whether bytes of the request may have been sent.
     pub fn is_sent(&self) -> bool {
         self.sent.get()
     }
 }
 
 impl Conn {
-    /// Opens a connection. A silent other side is waited for: whoever uses it has a deadline, and
-    /// what a cut path holds back may yet come.
+    /// Opens a connection without a read timeout: its users have a deadline of their own, and
+    /// packets that a broken network path delays may still arrive.
     pub async fn open(address: SocketAddr) -> io::Result<Conn> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         Ok(Conn { stream, read: BytesMut::new(), is_reusable: true, silence: None })
     }
 
-    /// Bounds for how long the other side may send nothing while its answer is waited for: a large one may take long.
+    /// Sets the longest time without received bytes while an answer is awaited.
+    ///
+    /// The whole answer may take longer, as a large one does over a slow link.
     pub fn limit_silence(&mut self, ms: u64) {
         self.silence = Some(Duration::from_millis(ms));
     }
 
-    /// Opens a connection that notices within seconds when the other side has vanished, for calls
-    /// that wait long.
+    /// Opens a connection that detects within seconds that the other side is unreachable, for calls
+    /// that wait long for their answer.
     pub async fn open_watched(address: SocketAddr) -> io::Result<Conn> {
         let conn = Conn::open(address).await?;
         let socket = SockRef::from(&conn.stream);
@@ -107,7 +109,7 @@
         Ok(conn)
     }
 
-    /// Tells whether an idle connection is still open and has sent nothing unasked.
+    /// Whether an idle connection is still open, reusable and without unread bytes.
     pub fn is_clean(&self) -> bool {
         let mut byte = [0];
         let read = self.stream.try_read(&mut byte);
@@ -116,15 +118,15 @@
             && matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Tells whether another exchange may follow the last one.
+    /// Whether another exchange may follow the last one.
     pub fn is_reusable(&self) -> bool {
         self.is_reusable && self.read.is_empty()
     }
 
-    /// Sends a request and reads answers until one is the request's own.
+    /// Sends a request and reads answers until one belongs to the request.
     ///
-    /// `on_head` is shown each answer as soon as its head is read, without its body, and tells whether it is the
-    /// request's own. One that belongs to an earlier request on this connection is passed over.
+    /// `on_head` receives each answer without its body as soon as the head is read, and returns
+    /// whether it belongs to the request. An answer to an earlier request on the connection is skipped.
     pub async fn exchange(
         &mut self,
         request: &[u8],
@@ -146,8 +148,9 @@
         }
     }
 
-    /// Sends a request; its answer is returned if that comes before all of it was taken. One to an earlier request on this
-    /// connection is passed over here too.
+    /// Sends a request; returns its answer if that arrives before the whole request is sent.
+    ///
+    /// An answer to an earlier request on the connection is skipped.
     async fn send(
         &mut self,
         request: &[u8],
@@ -165,7 +168,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) => return Err(WireError::Send),
             }
-            // A write that waits must not keep an early answer from being read.
+            // Wait for reads too, so that a blocked write does not delay an early answer.
             let ready = self.stream.ready(Interest::READABLE | Interest::WRITABLE).await;
             let is_readable = ready.is_ok_and(Ready::is_readable);
             if !is_readable {
@@ -181,7 +184,7 @@
         Ok(None)
     }
 
-    /// Takes in what arrived while the request was still being sent; false at the end.
+    /// Reads bytes that arrive while the request is being sent; false at the end of the connection.
     fn reads_before_sent(&mut self) -> bool {
         self.read.reserve(READ_BYTES);
         match self.stream.try_read_buf(&mut self.read) {
@@ -191,8 +194,9 @@
         }
     }
 
-    /// Reads an answer that came before all of the request was sent, with what `on_head` says of it; the connection ends with
-    /// it if it is the request's own.
+    /// Reads an answer that arrives before the whole request is sent, and the result of `on_head`.
+    ///
+    /// If the answer belongs to the request, the connection is not reused.
     async fn early_answer(
         &mut self,
         is_head: bool,
@@ -206,7 +210,7 @@
         Ok(Some(early))
     }
 
-    /// Reads one whole answer, informational ones passed over, and what `on_head` says of it.
+    /// Reads one whole answer and the result of `on_head`; skips informational answers.
     async fn read_answer(
         &mut self,
         is_head: bool,
@@ -230,7 +234,7 @@
         }
     }
 
-    /// Reads one head.
+    /// Reads the head of an answer.
     async fn read_head(&mut self) -> Result<ParsedHead, WireError> {
         loop {
             if !self.read.is_empty()
@@ -245,7 +249,7 @@
         }
     }
 
-    /// Reads a body.
+    /// Reads a body up to the end that its framing marks.
     async fn read_body(&mut self, framing: Framing) -> Result<Bytes, WireError> {
         match framing {
             Framing::Empty => Ok(Bytes::new()),
@@ -268,7 +272,7 @@
         Ok(self.read.split_to(length).freeze())
     }
 
-    /// Reads a body in chunks.
+    /// Reads a chunked body.
     async fn read_chunks(&mut self) -> Result<Bytes, WireError> {
         loop {
             if let Chunks::Whole(body, length) = decode_chunks(&self.read)? {
@@ -281,13 +285,13 @@
         }
     }
 
-    /// Reads a body that ends with the connection; one that is reset is not whole.
+    /// Reads a body that ends with the connection; a reset is an error.
     async fn read_to_end(&mut self) -> Result<Bytes, WireError> {
         while self.fill().await? {}
         Ok(self.read.split().freeze())
     }
 
-    /// Reads more; false at the end of the connection.
+    /// Reads more bytes into the buffer; false at the end of the connection.
     async fn fill(&mut self) -> Result<bool, WireError> {
         if self.read.len() > ANSWER_LIMIT_BYTES {
             return Err(WireError::Garbled);
--- a/crates/leverstream-wire/src/framing.rs
+++ b/crates/leverstream-wire/src/framing.rs
@@ -1,34 +1,34 @@
-//! Where a body ends.
+//! Parses the head of an answer and finds the end of its body.
 
 use crate::WireError;
 
-/// The most header fields in one head.
+/// The most header fields that a head may have.
 const FIELDS_LIMIT: usize = 100;
 
-/// How the end of a body is told.
+/// How the end of a body is marked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Framing {
     /// There is no body.
     Empty,
-    /// It has so many bytes.
+    /// The body has a known length in bytes.
     Length(usize),
-    /// It comes in chunks.
+    /// The body is chunked.
     Chunked,
-    /// It ends with the connection.
+    /// The body ends with the connection.
     Close,
 }
 
-/// A parsed head.
+/// The parsed head of an answer.
 pub(crate) struct ParsedHead {
-    /// Its length in bytes.
+    /// The length of the head in bytes.
     pub length: usize,
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The header fields, names in lower case.
+    /// The header fields, with names in lower case.
     pub fields: Vec<(String, Vec<u8>)>,
 }
 
-/// Parses a head, if all of it has arrived.
+/// Parses a head; none if it has not arrived completely.
 pub(crate) fn parse_head(bytes: &[u8]) -> Result<Option<ParsedHead>, WireError> {
     let mut space = [httparse::EMPTY_HEADER; FIELDS_LIMIT];
     let mut head = httparse::Response::new(&mut space);
@@ -47,7 +47,7 @@
     }))
 }
 
-/// Tells how the body behind a head ends (RFC 9112, section 6.3).
+/// Determines how the body after a head ends (RFC 9112, section 6.3).
 pub(crate) fn framing(head: &ParsedHead, is_head_request: bool) -> Result<Framing, WireError> {
     if is_head_request || matches!(head.status, 204 | 304) {
         return Ok(Framing::Empty);
@@ -71,15 +71,15 @@
     }
 }
 
-/// A body in chunks, decoded as far as it has arrived.
+/// The result of decoding a chunked body.
 pub(crate) enum Chunks {
-    /// More has to arrive.
+    /// The body has not arrived completely.
     Partial,
-    /// All of it, and how many bytes of the buffer it took.
+    /// The decoded body, and its encoded length in the buffer.
     Whole(Vec<u8>, usize),
 }
 
-/// Decodes a body in chunks from its start.
+/// Decodes a chunked body from its start.
 pub(crate) fn decode_chunks(bytes: &[u8]) -> Result<Chunks, WireError> {
     let mut body = Vec::new();
     let mut at = 0;
@@ -109,7 +109,7 @@
     }
 }
 
-/// The length of the trailers behind the last chunk, with the empty line that ends them.
+/// The length of the trailers after the last chunk, including the empty line that ends them.
 fn trailers_end(bytes: &[u8]) -> Option<usize> {
     if bytes.starts_with(b"\r\n") {
         return Some(2);
--- a/crates/leverstream-wire/src/lib.rs
+++ b/crates/leverstream-wire/src/lib.rs
@@ -1,8 +1,9 @@
-//! HTTP/1.1 as a client, over connections that one exchange owns at a time.
+//! An HTTP/1.1 client over connections that one exchange owns at a time.
 //!
-//! The pools inside ready-made clients hide whether a byte was written, and some end a cut body as
-//! if it were whole. Here [`Progress`] says how far an exchange came, an [`Answer`] is whole or not there
-//! at all, and a [`Conn`] is kept only if nothing is left on it. Heads are parsed by `httparse`.
+//! The pools of existing clients hide whether a byte was written, and some end a truncated body as
+//! if it were whole. Here [`Progress`] reports whether a request may have been sent, an [`Answer`]
+//! is always whole, and a [`Conn`] is reusable only if no bytes are left on it. Heads are parsed by
+//! `httparse`.
 
 mod answer;
 mod conn;
--- a/crates/leverstream-wire/src/request.rs
+++ b/crates/leverstream-wire/src/request.rs
@@ -1,7 +1,7 @@
-/// The head of a request on its way out.
+/// Builds the head of a request.
 #[derive(Clone, Debug, Default)]
 pub struct Head {
-    /// The bytes written so far.
+    /// The encoded bytes so far.
     bytes: Vec<u8>,
 }
 
@@ -16,7 +16,7 @@
         Head { bytes }
     }
 
-    /// Adds a header field. Values come from a parsed head and hold no line breaks.
+    /// Adds a header field. The value must not contain line breaks, as one from a parsed head.
     pub fn field(&mut self, name: &str, value: &[u8]) {
         self.bytes.extend_from_slice(name.as_bytes());
         self.bytes.extend_from_slice(b": ");
@@ -24,7 +24,7 @@
         self.bytes.extend_from_slice(b"\r\n");
     }
 
-    /// Ends the head and puts the body behind it, so that one write sends both.
+    /// Ends the head and appends the body, so that one write sends both.
     pub fn finish(mut self, body: &[u8]) -> Vec<u8> {
         self.bytes.extend_from_slice(b"\r\n");
         self.bytes.extend_from_slice(body);
--- a/crates/leverstream-wire/tests/exchange.rs
+++ b/crates/leverstream-wire/tests/exchange.rs
@@ -1,4 +1,5 @@
-//! Answers as servers really send them: whole, cut, unframed, early, late, surplus, garbled.
+//! Exchanges with servers whose answers are whole, truncated, unframed, early, late, malformed or
+//! followed by surplus bytes.
 
 use std::net::SocketAddr;
 
@@ -10,15 +11,15 @@
 /// How the server ends a connection.
 #[derive(Clone, Copy)]
 enum End {
-    /// It stays open.
+    /// The connection stays open.
     Stays,
-    /// With a FIN.
+    /// The server closes it with a FIN.
     Fin,
-    /// With a reset.
+    /// The server resets it.
     Reset,
 }
 
-/// Serves one connection: reads a request's head, sends bytes, ends.
+/// Serves one connection: reads the head of a request, sends `bytes` and ends as `end` says.
 async fn server(bytes: &'static [u8], end: End) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
     let address = listener.local_addr().expect("it is bound");
@@ -40,7 +41,9 @@
     address
 }
 
-/// Makes one exchange for the request `mine`.
+/// Makes one exchange, which skips an answer with an `x-id` other than `mine`.
+///
+/// Returns the answer and whether the connection is reusable.
 async fn exchange(bytes: &'static [u8], end: End) -> (Result<Answer, WireError>, bool) {
     let mut conn = Conn::open(server(bytes, end).await).await.expect("the server listens");
     let progress = Progress::default();
@@ -52,7 +55,7 @@
     (answer, conn.is_reusable())
 }
 
-/// Runs a test on a runtime of its own.
+/// Runs a future on a new single-threaded runtime.
 fn block_on<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime starts").block_on(future)
@@ -127,7 +130,7 @@
             let (mut stream, _) = listener.accept().await.expect("a connection comes");
             let answer = b"HTTP/1.1 413 Too Large\r\nContent-Length: 2\r\n\r\nno";
             stream.write_all(answer).await.expect("the answer is sent");
-            // The body is never read, so the sender's writes stop.
+            // The body is never read, so the writes of the client block.
             std::future::pending::<()>().await;
         });
         let mut conn = Conn::open(address).await.expect("the server listens");
@@ -176,8 +179,8 @@
     });
 }
 
-/// Seen: a caller that uploaded a large body got the answer to another request, which came late on a connection that had
-/// served it, while the body was still being sent.
+/// Guards against a caller with a large upload that gets the answer to an earlier request. That answer
+/// arrives late on the reused connection, while the body is still being sent.
 #[test]
 fn an_answer_to_an_earlier_request_is_passed_over_while_the_body_is_sent() {
     const BODY_BYTES: usize = 16 << 20;
@@ -212,7 +215,7 @@
 
 #[test]
 fn an_answer_that_comes_slowly_is_read_and_a_silent_side_is_given_up() {
-    // The list of ten thousand backend servers over a weak VM's link, which others fetch too.
+    // Models the list of ten thousand backend servers, fetched over the slow and shared link of a VM.
     const PARTS: u64 = 30;
     let slow = async |part_ms: u64, sent: u64| {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
