--- a/crates/leverstream-proxy/src/acquire.rs
+++ b/crates/leverstream-proxy/src/acquire.rs
@@ -7,15 +7,15 @@
 use tokio::sync::oneshot;
 use tracing::Instrument;
 
-use crate::flight::{Flight, Wake};
+use crate::flight::{InFlightRequest, Wake};
 use crate::{Proxy, ServiceView, Serving};
 
 /// How many times a pick is made before giving up when other threads take the chosen slots.
-const PICK_TRIES: u32 = 4;
+const MAX_PICK_TRIES: u32 = 4;
 
 /// The parameters of a request that needs a slot.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Wanted<'a> {
+pub(crate) struct SlotRequest<'a> {
     /// What the picker takes into account.
     pub request: Request<'a>,
     /// Whether a request of higher priority may displace this one when the queue is full.
@@ -31,14 +31,14 @@
     /// The index of the backend server in the view.
     pub index: usize,
     /// The request that holds the slot.
-    pub flight: Flight,
+    pub in_flight_request: InFlightRequest,
 }
 
 /// Takes a slot at an eligible backend server, waiting in the queue while none is free.
 pub(crate) async fn acquire(
     proxy: &Proxy,
     service: &str,
-    wanted: Wanted<'_>,
+    slot_request: SlotRequest<'_>,
 ) -> Result<Slot, Kind> {
     let mut has_waited = false;
     loop {
@@ -50,35 +50,39 @@
         }
         // Requests that already wait in the queue go first.
         if (has_waited || serving.live.queued() == 0)
-            && let Some((index, flight)) = try_pick(proxy, serving, wanted.request)
+            && let Some((index, in_flight_request)) = try_pick(proxy, serving, slot_request.request)
         {
-            return Ok(Slot { view: Arc::clone(&view), index, flight });
+            return Ok(Slot { view: Arc::clone(&view), index, in_flight_request });
         }
         let span = tracing::trace_span!("queue");
-        wait(proxy, &view, serving, wanted).instrument(span).await?;
+        wait(proxy, &view, serving, slot_request).instrument(span).await?;
         has_waited = true;
     }
 }
 
 /// Takes a slot without waiting, if one is free.
-fn try_pick(proxy: &Proxy, serving: &Serving, request: Request<'_>) -> Option<(usize, Flight)> {
+fn try_pick(
+    proxy: &Proxy,
+    serving: &Serving,
+    request: Request<'_>,
+) -> Option<(usize, InFlightRequest)> {
     let _span = tracing::trace_span!("pick").entered();
     let now_ms = proxy.now_ms();
     let mut rng = rand::rng();
-    for _ in 0..PICK_TRIES {
+    for _ in 0..MAX_PICK_TRIES {
         let candidates: Vec<Candidate> = serving.backends.iter().map(candidate).collect();
-        let count = u64::from(serving.live.turn.fetch_add(1, Ordering::Relaxed));
-        let mut turn = PickContext { count, rng: &mut rng };
-        let key: BackendKey = choose(proxy.picker, &candidates, request, &mut turn)?;
+        let count = u64::from(serving.live.pick_count.fetch_add(1, Ordering::Relaxed));
+        let mut context = PickContext { count, rng: &mut rng };
+        let key: BackendKey = choose(proxy.picker, &candidates, request, &mut context)?;
         let index = serving.backends.iter().position(|backend| backend.key == key)?;
         let backend = &serving.backends[index];
-        let begun = backend.live.begin(backend.slots, backend.others_in_flight, now_ms);
-        if let Some(mark) = begun {
+        let reserved = backend.live.try_reserve(backend.slots, backend.others_in_flight, now_ms);
+        if let Some(entry_index) = reserved {
             let (live, is_trial) = (&backend.live, backend.is_trial);
             let observations = &proxy.observations;
             return Some((
                 index,
-                Flight::open(&serving.live, key, live, mark, is_trial, observations),
+                InFlightRequest::new(&serving.live, key, live, entry_index, is_trial, observations),
             ));
         }
     }
@@ -103,48 +107,48 @@
     proxy: &Proxy,
     view: &ServiceView,
     serving: &Serving,
-    wanted: Wanted<'_>,
+    slot_request: SlotRequest<'_>,
 ) -> Result<(), Kind> {
     let (waker, woken) = oneshot::channel();
     let arrival = Arrival {
-        deadline_ms: wanted.deadline_ms,
-        gives_way: wanted.gives_way,
+        deadline_ms: slot_request.deadline_ms,
+        gives_way: slot_request.gives_way,
         typical_ms: serving.typical_ms,
         slots: serving.backends.iter().map(|backend| backend.slots).sum(),
     };
-    let place = {
+    let position = {
         let limit = view.doc.row.queue as usize;
         let mut waiting = serving.live.waiting.lock();
-        let (place, displaced) = waiting.queue.enter(arrival, limit, proxy.now_ms())?;
-        if let Some(waker) = displaced.and_then(|place| waiting.wakers.remove(&place)) {
-            let _ = waker.send(Wake::GiveWay);
+        let (position, displaced) = waiting.queue.enter(arrival, limit, proxy.now_ms())?;
+        if let Some(waker) = displaced.and_then(|position| waiting.wakers.remove(&position)) {
+            let _ = waker.send(Wake::Displaced);
         }
-        waiting.wakers.insert(place, waker);
-        place
+        waiting.wakers.insert(position, waker);
+        position
     };
-    let leave = Leave { serving, place };
-    let deadline = proxy.clock.instant_at(wanted.deadline_ms).into();
+    let queue_guard = QueueGuard { serving, position };
+    let deadline = proxy.clock.instant_at(slot_request.deadline_ms).into();
     let woken = tokio::time::timeout_at(deadline, woken).await;
-    drop(leave);
+    drop(queue_guard);
     match woken {
-        Ok(Ok(Wake::Try)) => Ok(()),
-        Ok(Ok(Wake::GiveWay) | Err(_)) => Err(Kind::QueueFull),
+        Ok(Ok(Wake::Retry)) => Ok(()),
+        Ok(Ok(Wake::Displaced) | Err(_)) => Err(Kind::QueueFull),
         Err(_) => Err(Kind::DeadlinePassed),
     }
 }
 
 /// Removes a request from the queue when dropped, also when its caller disconnects meanwhile.
-struct Leave<'a> {
+struct QueueGuard<'a> {
     /// The service with the queue.
     serving: &'a Serving,
     /// The position in the queue.
-    place: leverstream_route::QueuePosition,
+    position: leverstream_route::QueuePosition,
 }
 
-impl Drop for Leave<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         let mut waiting = self.serving.live.waiting.lock();
-        waiting.queue.leave(self.place);
-        waiting.wakers.remove(&self.place);
+        waiting.queue.leave(self.position);
+        waiting.wakers.remove(&self.position);
     }
 }
--- a/crates/leverstream-proxy/src/admit.rs
+++ b/crates/leverstream-proxy/src/admit.rs
@@ -7,27 +7,31 @@
 use crate::ServiceLive;
 
 /// Counts a request against the in-flight limit that its row sets for each VM, until dropped.
-pub(crate) struct Admitted {
+pub(crate) struct AdmissionGuard {
     /// The state of the service.
     live: Arc<ServiceLive>,
 }
 
-impl Admitted {
+impl AdmissionGuard {
     /// Admits a request if the rate and in-flight limits of the row allow it.
-    pub fn take(row: &ServiceRow, live: &Arc<ServiceLive>, now_ms: u64) -> Result<Admitted, Kind> {
-        if !live.take_rate(row.rate_per_s, now_ms) {
+    pub fn try_acquire(
+        row: &ServiceRow,
+        live: &Arc<ServiceLive>,
+        now_ms: u64,
+    ) -> Result<AdmissionGuard, Kind> {
+        if !live.try_take_rate(row.rate_per_s, now_ms) {
             return Err(Kind::RateLimited);
         }
         let before = live.in_flight.fetch_add(1, Ordering::AcqRel);
-        let admitted = Admitted { live: Arc::clone(live) };
+        let guard = AdmissionGuard { live: Arc::clone(live) };
         if row.in_flight > 0 && before >= row.in_flight {
             return Err(Kind::RateLimited);
         }
-        Ok(admitted)
+        Ok(guard)
     }
 }
 
-impl Drop for Admitted {
+impl Drop for AdmissionGuard {
     fn drop(&mut self) {
         self.live.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/leverstream-proxy/src/answer.rs
+++ b/crates/leverstream-proxy/src/answer.rs
@@ -7,9 +7,9 @@
 use leverstream_error::{KIND_HEADER, Kind, OUTCOME_HEADER, RETRY_AFTER_HEADER};
 use serde::Serialize;
 
-use crate::attempt::Tail;
+use crate::attempt::BodyRest;
 use crate::headers;
-use crate::metrics::InFlight;
+use crate::metrics::InFlightGuard;
 
 /// An answer to send to the caller.
 pub(crate) struct Answer {
@@ -30,7 +30,7 @@
         /// The part that has arrived.
         start: Bytes,
         /// Reads the rest.
-        tail: Box<Tail>,
+        rest: Box<BodyRest>,
         /// The length of the whole body in bytes, if known.
         length: Option<u64>,
     },
@@ -51,7 +51,7 @@
 }
 
 /// Builds the error response for a kind.
-pub(crate) fn refuse(kind: Kind) -> HttpResponse {
+pub(crate) fn error_response(kind: Kind) -> HttpResponse {
     let answer = kind.answer();
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = HttpResponse::build(status);
@@ -71,41 +71,41 @@
 
 impl Answer {
     /// Builds the caller's response; the request counts as in flight until all of it is sent.
-    pub fn respond(self, counted: InFlight) -> HttpResponse {
+    pub fn respond(self, in_flight_guard: InFlightGuard) -> HttpResponse {
         let mut response = HttpResponse::build(self.status);
         for (name, value) in &headers::forwarded(&self.headers) {
             response.append_header((name.clone(), value.clone()));
         }
         match self.body {
             AnswerBody::Whole(body) => response.body(body),
-            AnswerBody::Streaming { start, tail, length: Some(length) } => {
-                response.body(SizedStream::new(length, parts(start, tail, counted)))
+            AnswerBody::Streaming { start, rest, length: Some(length) } => {
+                response.body(SizedStream::new(length, stream_body(start, rest, in_flight_guard)))
             }
-            AnswerBody::Streaming { start, tail, length: None } => {
-                response.streaming(parts(start, tail, counted))
+            AnswerBody::Streaming { start, rest, length: None } => {
+                response.streaming(stream_body(start, rest, in_flight_guard))
             }
         }
     }
 }
 
 /// Streams a body as it arrives; an error closes the caller's connection without a clean end.
-fn parts(
+fn stream_body(
     start: Bytes,
-    tail: Box<Tail>,
-    counted: InFlight,
+    rest: Box<BodyRest>,
+    in_flight_guard: InFlightGuard,
 ) -> impl futures_util::Stream<Item = Result<Bytes, std::io::Error>> {
-    let left = (Some(start), Some(tail), counted);
-    stream::unfold(left, |(start, tail, counted)| async move {
+    let state = (Some(start), Some(rest), in_flight_guard);
+    stream::unfold(state, |(start, rest, in_flight_guard)| async move {
         if let Some(start) = start.filter(|start| !start.is_empty()) {
-            return Some((Ok(start), (None, tail, counted)));
+            return Some((Ok(start), (None, rest, in_flight_guard)));
         }
-        let mut tail = tail?;
-        match tail.next().await {
-            Ok(Some(part)) => Some((Ok(part), (None, Some(tail), counted))),
+        let mut rest = rest?;
+        match rest.next().await {
+            Ok(Some(part)) => Some((Ok(part), (None, Some(rest), in_flight_guard))),
             Ok(None) => None,
-            Err(broken) => {
-                let error = std::io::Error::other(broken.kind.to_string());
-                Some((Err(error), (None, None, counted)))
+            Err(error) => {
+                let error = std::io::Error::other(error.kind.to_string());
+                Some((Err(error), (None, None, in_flight_guard)))
             }
         }
     })
--- a/crates/leverstream-proxy/src/ask.rs
+++ b/crates/leverstream-proxy/src/ask.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use tokio::sync::oneshot;
 
-use crate::answer::refuse;
+use crate::answer::error_response;
 use crate::{Proxy, ServiceView, VmView};
 
 /// A cached ticket stem that another VM issued.
@@ -56,16 +56,16 @@
     proxy.metrics.asks.inc();
     let view = proxy.snapshot.load().service(&service);
     let Some(view) = view else {
-        proxy.metrics.refuse(Kind::ServiceUnknown);
-        return refuse(Kind::ServiceUnknown);
+        proxy.metrics.count_refusal(Kind::ServiceUnknown);
+        return error_response(Kind::ServiceUnknown);
     };
     if !view.doc.row.taken_over {
-        return HttpResponse::Ok().json(scripts(&proxy, &view));
+        return HttpResponse::Ok().json(script_answer(&proxy, &view));
     }
     let entries = entries(&proxy, &view, query.hall.as_deref()).await;
     if entries.is_empty() {
-        proxy.metrics.refuse(Kind::NoBackend);
-        return refuse(Kind::NoBackend);
+        proxy.metrics.count_refusal(Kind::NoBackend);
+        return error_response(Kind::NoBackend);
     }
     HttpResponse::Ok().json(AskAnswer {
         service: view.doc.service.clone(),
@@ -76,7 +76,7 @@
 }
 
 /// The answer for a service that is still routed by scripts: their addresses without tickets.
-fn scripts(proxy: &Proxy, view: &ServiceView) -> AskAnswer {
+fn script_answer(proxy: &Proxy, view: &ServiceView) -> AskAnswer {
     let entry = |address: SocketAddr| Entry {
         address,
         hall: String::new(),
@@ -100,12 +100,12 @@
     let hall = hall.unwrap_or(&me.hall);
     vms.shuffle(&mut rand::rng());
     vms.sort_by_key(|vm| vm.hall != hall);
-    fetch_missing(proxy, &vms, me.id).await;
+    fetch_missing_stems(proxy, &vms, me.id).await;
     vms.iter().filter_map(|vm| entry(proxy, vm, me.id)).collect()
 }
 
 /// Has the control thread fetch the stems that are missing or older than half their cache time.
-async fn fetch_missing(proxy: &Proxy, vms: &[VmView], me: u64) {
+async fn fetch_missing_stems(proxy: &Proxy, vms: &[VmView], own_id: u64) {
     let now_ms = proxy.now_ms();
     let missing: Vec<VmView> = {
         let stems = proxy.stems.lock();
@@ -113,7 +113,7 @@
             let stem = stems.get(&vm.id);
             stem.is_some_and(|stem| now_ms - stem.fetched_ms < proxy.settings.answer_holds_ms / 2)
         };
-        vms.iter().filter(|vm| vm.id != me && !is_fresh(vm)).cloned().collect()
+        vms.iter().filter(|vm| vm.id != own_id && !is_fresh(vm)).cloned().collect()
     };
     if missing.is_empty() {
         return;
@@ -125,14 +125,14 @@
 }
 
 /// The answer's entry for a VM, with a new ticket, if the stem of the VM is known.
-fn entry(proxy: &Proxy, vm: &VmView, me: u64) -> Option<Entry> {
+fn entry(proxy: &Proxy, vm: &VmView, own_id: u64) -> Option<Entry> {
     let now_ms = proxy.now_ms();
-    let (stem, holds_ms) = if vm.id == me {
+    let (stem, holds_ms) = if vm.id == own_id {
         (proxy.mint.stem(now_ms), proxy.mint.ttl_ms())
     } else {
-        let held = *proxy.stems.lock().get(&vm.id)?;
-        let age_ms = now_ms.saturating_sub(held.fetched_ms);
-        (held.stem, held.holds_ms.checked_sub(age_ms).filter(|left_ms| *left_ms > 0)?)
+        let cached = *proxy.stems.lock().get(&vm.id)?;
+        let age_ms = now_ms.saturating_sub(cached.fetched_ms);
+        (cached.stem, cached.holds_ms.checked_sub(age_ms).filter(|left_ms| *left_ms > 0)?)
     };
     let ticket = Ticket { stem, nonce: rand::rng().random() };
     Some(Entry {
--- a/crates/leverstream-proxy/src/attempt.rs
+++ b/crates/leverstream-proxy/src/attempt.rs
@@ -12,23 +12,23 @@
 
 use crate::acquire::Slot;
 use crate::answer::{Answer, AnswerBody};
-use crate::conn::{Broken, Conn, Incoming, Stage};
-use crate::flight::{Counted, Flight};
+use crate::conn::{Conn, ExchangeError, IncomingBody, Stage};
+use crate::flight::{ConnectionGuard, InFlightRequest};
 use crate::headers::DRAINING_HEADER;
-use crate::message::{BUFFERED_BYTES, Message};
+use crate::message::{BODY_BUFFER_BYTES, Message};
 use crate::{Proxy, pool};
 
 /// How much of an answer is read before it is passed on to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reading {
-    /// Up to [`BUFFERED_BYTES`]; the rest is streamed as it arrives.
-    Start,
+pub(crate) enum ReadMode {
+    /// Up to [`BODY_BUFFER_BYTES`]; the rest is streamed as it arrives.
+    Buffered,
     /// The whole answer, up to a limit in bytes.
     Whole(usize),
 }
 
 /// The result of an attempt at a backend server.
-pub(crate) struct Tried {
+pub(crate) struct AttemptResult {
     /// The backend server that was tried.
     pub backend: BackendKey,
     /// The answer, or the failure.
@@ -47,9 +47,9 @@
 }
 
 /// The rest of an answer's body, which is still arriving.
-pub(crate) struct Tail {
+pub(crate) struct BodyRest {
     /// The body on its connection.
-    incoming: Incoming,
+    incoming: IncomingBody,
     /// The address under which the connection returns to the pool.
     address: SocketAddr,
     /// The deadline for the end of the body.
@@ -57,14 +57,14 @@
     /// The clock of the process.
     clock: crate::Clock,
     /// The slot and connection count of the request; none for an answer of another VM.
-    held: Option<(Flight, Counted)>,
+    slot: Option<(InFlightRequest, ConnectionGuard)>,
 }
 
-impl Tail {
+impl BodyRest {
     /// Reads the next part; returns none only at the end that the framing marks.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, Broken> {
+    pub async fn next(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         let part = tokio::time::timeout_at(self.deadline.into(), self.incoming.next()).await;
-        let part = part.unwrap_or(Err(Broken { kind: Kind::AnswerTimeout }));
+        let part = part.unwrap_or(Err(ExchangeError { kind: Kind::AnswerTimeout }));
         match &part {
             Ok(Some(_)) => {}
             Ok(None) => self.end(RequestOutcome::Good),
@@ -74,12 +74,12 @@
     }
 
     /// Reports the outcome of the request and returns a reusable connection to the pool.
-    fn end(&mut self, work: RequestOutcome) {
+    fn end(&mut self, outcome: RequestOutcome) {
         if let Some(conn) = self.incoming.take_reusable() {
             pool::put(self.address, conn, self.clock.now_ms());
         }
-        if let Some((flight, _)) = self.held.take() {
-            flight.end(work);
+        if let Some((in_flight_request, _)) = self.slot.take() {
+            in_flight_request.finish(outcome);
         }
     }
 }
@@ -91,17 +91,18 @@
     message: &Message,
     deadline_ms: u64,
     may_reuse: bool,
-    reading: Reading,
-) -> Tried {
-    let Slot { view, index, flight } = slot;
+    read_mode: ReadMode,
+) -> AttemptResult {
+    let Slot { view, index, in_flight_request } = slot;
     let Some(backend) = view.serving.as_ref().and_then(|serving| serving.backends.get(index))
     else {
-        return Tried { backend: BackendKey(u32::MAX), result: Err(Kind::NoBackend) };
+        return AttemptResult { backend: BackendKey(u32::MAX), result: Err(Kind::NoBackend) };
     };
     proxy.metrics.attempts.inc();
     let key = backend.key;
-    let Some(counted) = Counted::open(&backend.live, backend.connections) else {
-        return Tried { backend: key, result: Err(Kind::NoBackend) };
+    let Some(connection_guard) = ConnectionGuard::try_acquire(&backend.live, backend.connections)
+    else {
+        return AttemptResult { backend: key, result: Err(Kind::NoBackend) };
     };
     let target = Target { address: backend.address, deadline_ms, may_reuse };
     let span = tracing::trace_span!("attempt", backend = %backend.name);
@@ -109,32 +110,32 @@
     let (head_status, headers, incoming) = match exchanged {
         Ok(parts) => parts,
         Err(kind) => {
-            flight.end(work_of(kind));
-            return Tried { backend: key, result: Err(kind) };
+            in_flight_request.finish(outcome_of(kind));
+            return AttemptResult { backend: key, result: Err(kind) };
         }
     };
     if headers.contains_key(DRAINING_HEADER) {
-        flight.drain();
+        in_flight_request.report_draining();
     }
     if view.doc.row.shed_statuses.contains(&head_status.as_u16()) {
-        flight.end(RequestOutcome::NoEvidence);
-        return Tried { backend: key, result: Err(Kind::Shed) };
+        in_flight_request.finish(RequestOutcome::NoEvidence);
+        return AttemptResult { backend: key, result: Err(Kind::Shed) };
     }
-    let mut tail = Tail {
+    let mut rest = BodyRest {
         incoming,
         address: backend.address,
         deadline: proxy.clock.instant_at(deadline_ms),
         clock: proxy.clock,
-        held: Some((flight, counted)),
+        slot: Some((in_flight_request, connection_guard)),
     };
     let is_fault = is_server_fault(head_status);
-    if is_fault && let Some((flight, _)) = tail.held.take() {
-        flight.end(RequestOutcome::Failed);
+    if is_fault && let Some((in_flight_request, _)) = rest.slot.take() {
+        in_flight_request.finish(RequestOutcome::Failed);
     }
     let span = tracing::trace_span!("last-byte");
-    let read = read_body(tail, &headers, reading).instrument(span).await;
+    let read = read_body(rest, &headers, read_mode).instrument(span).await;
     let result = read.map(|body| Answer { status: head_status, headers, body });
-    Tried { backend: key, result: result.map_err(|broken| broken.kind) }
+    AttemptResult { backend: key, result: result.map_err(|error| error.kind) }
 }
 
 /// Sends a request and reads the head of its answer before the deadline.
@@ -142,7 +143,7 @@
     proxy: &Proxy,
     target: Target,
     mut message: Message,
-) -> Result<(StatusCode, HeaderMap, Incoming), Kind> {
+) -> Result<(StatusCode, HeaderMap, IncomingBody), Kind> {
     let stage = Rc::new(Cell::new(Stage::Unsent));
     let whole = async {
         let conn = connect(proxy, target).await?;
@@ -152,7 +153,7 @@
             message.set("traceparent", &traceparent);
         }
         let span = tracing::trace_span!("exchange");
-        conn.exchange(message, &stage).instrument(span).await.map_err(|broken| broken.kind)
+        conn.exchange(message, &stage).instrument(span).await.map_err(|error| error.kind)
     };
     let deadline = proxy.clock.instant_at(target.deadline_ms).into();
     match tokio::time::timeout_at(deadline, whole).await {
@@ -182,38 +183,38 @@
     }
 }
 
-/// Reads as much of a body as `reading` asks for before the answer is passed on.
+/// Reads as much of a body as `read_mode` asks for before the answer is passed on.
 pub(crate) async fn read_body(
-    mut tail: Tail,
+    mut rest: BodyRest,
     headers: &HeaderMap,
-    reading: Reading,
-) -> Result<AnswerBody, Broken> {
-    let limit = match reading {
-        Reading::Start => BUFFERED_BYTES,
-        Reading::Whole(limit) => limit,
+    read_mode: ReadMode,
+) -> Result<AnswerBody, ExchangeError> {
+    let limit = match read_mode {
+        ReadMode::Buffered => BODY_BUFFER_BYTES,
+        ReadMode::Whole(limit) => limit,
     };
     let length = content_length(headers);
     let mut start = BytesMut::new();
     while start.len() <= limit {
-        match tail.next().await? {
+        match rest.next().await? {
             Some(part) => start.extend_from_slice(&part),
             None => return Ok(AnswerBody::Whole(start.freeze())),
         }
     }
-    if let Reading::Whole(_) = reading {
-        return Err(Broken { kind: Kind::AnswerInvalid });
+    if let ReadMode::Whole(_) = read_mode {
+        return Err(ExchangeError { kind: Kind::AnswerInvalid });
     }
-    Ok(AnswerBody::Streaming { start: start.freeze(), tail: Box::new(tail), length })
+    Ok(AnswerBody::Streaming { start: start.freeze(), rest: Box::new(rest), length })
 }
 
 /// Wraps the body of an answer from another VM, which holds no slot.
-pub(crate) fn relayed_tail(proxy: &Proxy, target: Target, incoming: Incoming) -> Tail {
-    Tail {
+pub(crate) fn relayed_body(proxy: &Proxy, target: Target, incoming: IncomingBody) -> BodyRest {
+    BodyRest {
         incoming,
         address: target.address,
         deadline: proxy.clock.instant_at(target.deadline_ms),
         clock: proxy.clock,
-        held: None,
+        slot: None,
     }
 }
 
@@ -223,7 +224,7 @@
 }
 
 /// The outcome that a failure counts as for the health of the backend server.
-fn work_of(kind: Kind) -> RequestOutcome {
+fn outcome_of(kind: Kind) -> RequestOutcome {
     match kind {
         Kind::ConnectFailed => RequestOutcome::ConnectFailed,
         Kind::SendFailed | Kind::AnswerTimeout | Kind::AnswerCut | Kind::AnswerInvalid => {
--- a/crates/leverstream-proxy/src/conn.rs
+++ b/crates/leverstream-proxy/src/conn.rs
@@ -27,7 +27,7 @@
 
 /// The error of an exchange without a whole answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct ExchangeError {
     /// The kind of error that the caller gets.
     pub kind: Kind,
 }
@@ -42,15 +42,15 @@
 }
 
 /// The head of an answer and the connection on which its body arrives.
-pub(crate) struct Received {
+pub(crate) struct ReceivedAnswer {
     /// The head of the answer.
     pub head: ResponseHead,
     /// The body, still to be read.
-    pub body: Incoming,
+    pub body: IncomingBody,
 }
 
 /// The body of an answer.
-pub(crate) struct Incoming {
+pub(crate) struct IncomingBody {
     /// The connection, until the end of the body.
     framed: Option<Framed<TcpStream, ClientPayloadCodec>>,
     /// The connection after the end of the body, if it can be reused.
@@ -80,14 +80,14 @@
         self,
         message: Message,
         stage: &Rc<Cell<Stage>>,
-    ) -> Result<Received, Broken> {
+    ) -> Result<ReceivedAnswer, ExchangeError> {
         let mut framed = Framed::new(self.stream, ClientCodec::default());
         let method = message.method.clone();
         let (head, body) = message.into_parts();
         let size = body.size();
-        write(&mut framed, Frame::Item((head.into(), size)))?;
+        encode_frame(&mut framed, Frame::Item((head.into(), size)))?;
         if !body.start.is_empty() {
-            write(&mut framed, Frame::Chunk(Some(body.start)))?;
+            encode_frame(&mut framed, Frame::Chunk(Some(body.start)))?;
         }
         if body.rest.is_none() {
             finish_body(&mut framed, size)?;
@@ -101,23 +101,23 @@
         let span = tracing::trace_span!("first-byte");
         let head = read_head(&mut framed).instrument(span).await?;
         check_framing(&method, &head)?;
-        Ok(Received { head, body: Incoming::open(framed) })
+        Ok(ReceivedAnswer { head, body: IncomingBody::new(framed) })
     }
 }
 
-impl Incoming {
+impl IncomingBody {
     /// Prepares to read the body that the head announces, if there is one.
-    fn open(framed: Framed<TcpStream, ClientCodec>) -> Incoming {
+    fn new(framed: Framed<TcpStream, ClientCodec>) -> IncomingBody {
         if framed.codec_ref().message_type() == MessageType::None {
             let keeps_alive = framed.codec_ref().keep_alive();
-            return Incoming { framed: None, reusable: reusable(framed, keeps_alive) };
+            return IncomingBody { framed: None, reusable: reusable(framed, keeps_alive) };
         }
         let framed = framed.into_map_codec(ClientCodec::into_payload_codec);
-        Incoming { framed: Some(framed), reusable: None }
+        IncomingBody { framed: Some(framed), reusable: None }
     }
 
     /// Reads the next part of the body; returns none only at the end that the framing marks.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, Broken> {
+    pub async fn next(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         let Some(framed) = &mut self.framed else { return Ok(None) };
         match poll_fn(|cx| Pin::new(&mut *framed).next_item(cx)).await {
             Some(Ok(Some(chunk))) => Ok(Some(chunk)),
@@ -129,7 +129,7 @@
                 Ok(None)
             }
             // The connection ended before the body did.
-            Some(Err(_)) | None => Err(Broken { kind: Kind::AnswerCut }),
+            Some(Err(_)) | None => Err(ExchangeError { kind: Kind::AnswerCut }),
         }
     }
 
@@ -141,32 +141,35 @@
 
 /// Returns the connection for another exchange, unless bytes are left in its buffers.
 fn reusable<C>(framed: Framed<TcpStream, C>, keeps_alive: bool) -> Option<Conn> {
-    let is_spent = !framed.is_read_buf_empty() || !framed.is_write_buf_empty();
-    (keeps_alive && !is_spent).then(|| Conn { stream: framed.into_parts().io })
+    let has_leftover_bytes = !framed.is_read_buf_empty() || !framed.is_write_buf_empty();
+    (keeps_alive && !has_leftover_bytes).then(|| Conn { stream: framed.into_parts().io })
 }
 
 /// Encodes a frame into the write buffer of the connection.
-fn write(
+fn encode_frame(
     framed: &mut Framed<TcpStream, ClientCodec>,
     frame: Frame<(actix_http::RequestHeadType, BodySize)>,
-) -> Result<(), Broken> {
-    Pin::new(framed).write(frame).map_err(|_| Broken { kind: Kind::BadRequest })
+) -> Result<(), ExchangeError> {
+    Pin::new(framed).write(frame).map_err(|_| ExchangeError { kind: Kind::BadRequest })
 }
 
 /// Encodes the end of a body, if its framing marks one.
-fn finish_body(framed: &mut Framed<TcpStream, ClientCodec>, size: BodySize) -> Result<(), Broken> {
+fn finish_body(
+    framed: &mut Framed<TcpStream, ClientCodec>,
+    size: BodySize,
+) -> Result<(), ExchangeError> {
     match size {
         BodySize::None | BodySize::Sized(0) => Ok(()),
-        BodySize::Sized(_) | BodySize::Stream => write(framed, Frame::Chunk(None)),
+        BodySize::Sized(_) | BodySize::Stream => encode_frame(framed, Frame::Chunk(None)),
     }
 }
 
 /// Writes the buffer to the socket.
-async fn flush(framed: &mut Framed<TcpStream, ClientCodec>) -> Result<(), Broken> {
+async fn flush(framed: &mut Framed<TcpStream, ClientCodec>) -> Result<(), ExchangeError> {
     let flushed = poll_fn(|cx| {
         Pin::new(&mut *framed).flush::<Frame<(actix_http::RequestHeadType, BodySize)>>(cx)
     });
-    flushed.await.map_err(|_| Broken { kind: Kind::SendFailed })
+    flushed.await.map_err(|_| ExchangeError { kind: Kind::SendFailed })
 }
 
 /// Streams the rest of a body as it arrives from the caller.
@@ -174,39 +177,41 @@
     framed: &mut Framed<TcpStream, ClientCodec>,
     rest: &mut actix_web::web::Payload,
     size: BodySize,
-) -> Result<(), Broken> {
+) -> Result<(), ExchangeError> {
     while let Some(chunk) = rest.next().await {
-        let chunk = chunk.map_err(|_| Broken { kind: Kind::SendFailed })?;
-        write(framed, Frame::Chunk(Some(chunk))).map_err(after_sending)?;
+        let chunk = chunk.map_err(|_| ExchangeError { kind: Kind::SendFailed })?;
+        encode_frame(framed, Frame::Chunk(Some(chunk))).map_err(as_send_failure)?;
         flush(framed).await?;
     }
-    finish_body(framed, size).map_err(after_sending)?;
+    finish_body(framed, size).map_err(as_send_failure)?;
     flush(framed).await
 }
 
 /// Maps a failure after a part of the request was sent, as the request may have run.
-fn after_sending(_: Broken) -> Broken {
-    Broken { kind: Kind::SendFailed }
+fn as_send_failure(_: ExchangeError) -> ExchangeError {
+    ExchangeError { kind: Kind::SendFailed }
 }
 
 /// Reads the head of an answer.
-async fn read_head(framed: &mut Framed<TcpStream, ClientCodec>) -> Result<ResponseHead, Broken> {
+async fn read_head(
+    framed: &mut Framed<TcpStream, ClientCodec>,
+) -> Result<ResponseHead, ExchangeError> {
     match poll_fn(|cx| Pin::new(&mut *framed).next_item(cx)).await {
         Some(Ok(head)) if head.status.is_informational() => {
-            Err(Broken { kind: Kind::AnswerInvalid })
+            Err(ExchangeError { kind: Kind::AnswerInvalid })
         }
         Some(Ok(head)) => Ok(head),
-        Some(Err(_)) => Err(Broken { kind: Kind::AnswerInvalid }),
-        None => Err(Broken { kind: Kind::AnswerCut }),
+        Some(Err(_)) => Err(ExchangeError { kind: Kind::AnswerInvalid }),
+        None => Err(ExchangeError { kind: Kind::AnswerCut }),
     }
 }
 
 /// Rejects an answer that ends with its connection, because its truncation cannot be detected.
-fn check_framing(method: &Method, head: &ResponseHead) -> Result<(), Broken> {
+fn check_framing(method: &Method, head: &ResponseHead) -> Result<(), ExchangeError> {
     let has_no_body = *method == Method::HEAD
         || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
     let headers = head.headers();
     let is_framed =
         headers.contains_key("content-length") || headers.contains_key("transfer-encoding");
-    if has_no_body || is_framed { Ok(()) } else { Err(Broken { kind: Kind::AnswerInvalid }) }
+    if has_no_body || is_framed { Ok(()) } else { Err(ExchangeError { kind: Kind::AnswerInvalid }) }
 }
--- a/crates/leverstream-proxy/src/flight.rs
+++ b/crates/leverstream-proxy/src/flight.rs
@@ -47,18 +47,18 @@
     /// Requests in flight on this VM.
     pub in_flight: AtomicU32,
     /// The number of picks so far.
-    pub turn: AtomicU32,
+    pub pick_count: AtomicU32,
     /// The retry budget.
     pub budget: Mutex<RetryBudget>,
     /// The configured rate in requests per second, and the token bucket that enforces it.
     pub rate: Mutex<(u32, TokenBucket)>,
     /// Requests that wait for a free slot.
-    pub(crate) waiting: Mutex<Waiting>,
+    pub(crate) waiting: Mutex<WaitQueue>,
 }
 
 /// The queue of a service with the wakers of the requests in it.
 #[derive(Default)]
-pub(crate) struct Waiting {
+pub(crate) struct WaitQueue {
     /// The order in which requests get slots.
     pub queue: Queue,
     /// The waker of each queued request.
@@ -69,23 +69,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Wake {
     /// A slot may be free; the request picks again.
-    Try,
+    Retry,
     /// A request of higher priority has displaced it from the full queue.
-    GiveWay,
+    Displaced,
 }
 
 /// The mutable state of a backend server, shared by successive snapshots.
 #[derive(Default)]
 pub struct BackendLive {
     /// This VM's requests in flight at the backend server.
-    flights: Mutex<Slab<FlightMark>>,
+    requests: Mutex<Slab<InFlightEntry>>,
     /// This VM's open connections to the backend server.
     pub connections: AtomicU32,
 }
 
 /// The age of a request in flight and the evidence already charged for it.
 #[derive(Clone, Copy, Debug)]
-pub struct FlightMark {
+pub struct InFlightEntry {
     /// When the request took its slot.
     pub started_ms: u64,
     /// The units of bad evidence already charged for the age of the request.
@@ -93,7 +93,7 @@
 }
 
 /// A request in flight at a backend server; it holds a slot until it ends or is dropped.
-pub(crate) struct Flight {
+pub(crate) struct InFlightRequest {
     /// The state of the service.
     service: Arc<ServiceLive>,
     /// The key of the backend server.
@@ -101,7 +101,7 @@
     /// The state of the backend server.
     live: Arc<BackendLive>,
     /// The index of the request's entry in the state of the backend server.
-    mark: usize,
+    entry_index: usize,
     /// When it started, at a finer resolution than the milliseconds of its entry.
     started: std::time::Instant,
     /// Whether it is a trial request to an ejected backend server.
@@ -109,7 +109,7 @@
     /// Carries the end of the request to the control thread.
     observations: mpsc::Sender<Observation>,
     /// The outcome and the duration in milliseconds; none if the request was dropped.
-    ended: Option<(RequestOutcome, f64)>,
+    result: Option<(RequestOutcome, f64)>,
 }
 
 impl ServiceLive {
@@ -118,7 +118,7 @@
         Arc::new(ServiceLive {
             key,
             in_flight: AtomicU32::new(0),
-            turn: AtomicU32::new(0),
+            pick_count: AtomicU32::new(0),
             budget: Mutex::new(RetryBudget::open(now_ms)),
             rate: Mutex::new((0, TokenBucket::new(0.0, 0.0, now_ms))),
             waiting: Mutex::default(),
@@ -128,10 +128,10 @@
     /// Wakes up to `count` queued requests, which then try to take a slot.
     pub fn wake(&self, count: usize) {
         let mut waiting = self.waiting.lock();
-        let places: Vec<QueuePosition> = waiting.queue.first(count).collect();
-        for place in places {
-            if let Some(waker) = waiting.wakers.remove(&place) {
-                let _ = waker.send(Wake::Try);
+        let positions: Vec<QueuePosition> = waiting.queue.first(count).collect();
+        for position in positions {
+            if let Some(waker) = waiting.wakers.remove(&position) {
+                let _ = waker.send(Wake::Retry);
             }
         }
     }
@@ -142,7 +142,7 @@
     }
 
     /// Takes a token for a request from the rate limit; always succeeds if the row sets no rate.
-    pub(crate) fn take_rate(&self, rate_per_s: u32, now_ms: u64) -> bool {
+    pub(crate) fn try_take_rate(&self, rate_per_s: u32, now_ms: u64) -> bool {
         if rate_per_s == 0 {
             return true;
         }
@@ -158,76 +158,76 @@
 impl BackendLive {
     /// The number of this VM's requests in flight at the backend server.
     pub fn in_flight(&self) -> u32 {
-        u32::try_from(self.flights.lock().len()).unwrap_or(u32::MAX)
+        u32::try_from(self.requests.lock().len()).unwrap_or(u32::MAX)
     }
 
     /// Charges each request in flight with the units of bad evidence that its age amounts to now.
     ///
     /// `units` maps an age in milliseconds to units. Returns the newly charged units of each request.
     pub fn charge(&self, now_ms: u64, units: impl Fn(f64) -> u8) -> Vec<u8> {
-        let mut flights = self.flights.lock();
-        let charges = flights.iter_mut().map(|(_, mark)| {
-            let due = units(now_ms.saturating_sub(mark.started_ms) as f64);
-            let fresh = due.saturating_sub(mark.charged);
-            mark.charged += fresh;
-            fresh
+        let mut requests = self.requests.lock();
+        let charges = requests.iter_mut().map(|(_, entry)| {
+            let total = units(now_ms.saturating_sub(entry.started_ms) as f64);
+            let added = total.saturating_sub(entry.charged);
+            entry.charged += added;
+            added
         });
-        charges.filter(|fresh| *fresh > 0).collect()
+        charges.filter(|added| *added > 0).collect()
     }
 
     /// Takes a slot if fewer than `slots` are in use by this VM and, as last reported, `others`.
-    pub(crate) fn begin(&self, slots: u32, others: u32, now_ms: u64) -> Option<usize> {
-        let mut flights = self.flights.lock();
-        let used = flights.len() as u64 + u64::from(others);
+    pub(crate) fn try_reserve(&self, slots: u32, others: u32, now_ms: u64) -> Option<usize> {
+        let mut requests = self.requests.lock();
+        let used = requests.len() as u64 + u64::from(others);
         (used < u64::from(slots))
-            .then(|| flights.insert(FlightMark { started_ms: now_ms, charged: 0 }))
+            .then(|| requests.insert(InFlightEntry { started_ms: now_ms, charged: 0 }))
     }
 }
 
-impl Flight {
-    /// Wraps a slot that [`BackendLive::begin`] returned.
-    pub fn open(
+impl InFlightRequest {
+    /// Wraps a slot that [`BackendLive::try_reserve`] returned.
+    pub fn new(
         service: &Arc<ServiceLive>,
         backend: BackendKey,
         live: &Arc<BackendLive>,
-        mark: usize,
+        entry_index: usize,
         is_trial: bool,
         observations: &mpsc::Sender<Observation>,
-    ) -> Flight {
-        Flight {
+    ) -> InFlightRequest {
+        InFlightRequest {
             service: Arc::clone(service),
             backend,
             live: Arc::clone(live),
-            mark,
+            entry_index,
             started: std::time::Instant::now(),
             is_trial,
             observations: observations.clone(),
-            ended: None,
+            result: None,
         }
     }
 
     /// Records the outcome of the request and releases its slot.
-    pub fn end(mut self, work: RequestOutcome) {
-        self.ended = Some((work, self.started.elapsed().as_secs_f64() * 1000.0));
+    pub fn finish(mut self, outcome: RequestOutcome) {
+        self.result = Some((outcome, self.started.elapsed().as_secs_f64() * 1000.0));
     }
 
     /// Reports that the backend server drains.
-    pub fn drain(&self) {
+    pub fn report_draining(&self) {
         let (service, backend) = (self.service.key, self.backend);
         let _ = self.observations.try_send(Observation::Draining { service, backend });
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        let mark = self.live.flights.lock().try_remove(self.mark);
-        let (work, time_ms) = self.ended.unwrap_or((RequestOutcome::NoEvidence, 0.0));
+        let entry = self.live.requests.lock().try_remove(self.entry_index);
+        let (work, time_ms) = self.result.unwrap_or((RequestOutcome::NoEvidence, 0.0));
         let _ = self.observations.try_send(Observation::Finished {
             service: self.service.key,
             backend: self.backend,
             work,
             time_ms,
-            charged: mark.map_or(0, |mark| mark.charged),
+            charged: entry.map_or(0, |entry| entry.charged),
             is_trial: self.is_trial,
         });
         self.service.wake(1);
@@ -235,22 +235,22 @@
 }
 
 /// Counts one connection against the connection limit of a backend server until dropped.
-pub(crate) struct Counted {
+pub(crate) struct ConnectionGuard {
     /// The state of the backend server.
     live: Arc<BackendLive>,
 }
 
-impl Counted {
+impl ConnectionGuard {
     /// Counts one more connection if the limit allows it.
-    pub fn open(live: &Arc<BackendLive>, limit: u32) -> Option<Counted> {
+    pub fn try_acquire(live: &Arc<BackendLive>, limit: u32) -> Option<ConnectionGuard> {
         let taken = live.connections.fetch_update(Ordering::AcqRel, Ordering::Acquire, |count| {
             (count < limit).then_some(count + 1)
         });
-        taken.ok().map(|_| Counted { live: Arc::clone(live) })
+        taken.ok().map(|_| ConnectionGuard { live: Arc::clone(live) })
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.live.connections.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/leverstream-proxy/src/headers.rs
+++ b/crates/leverstream-proxy/src/headers.rs
@@ -28,27 +28,27 @@
 /// Omits hop-by-hop headers, those that `Connection` lists, `Content-Length`, which the framing of
 /// the next hop sets, and `Expect`, which this hop has already met.
 pub(crate) fn forwarded(headers: &HeaderMap) -> HeaderMap {
-    let named = named_by_connection(headers);
-    let mut kept = HeaderMap::with_capacity(headers.len());
+    let listed = listed_in_connection(headers);
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
         let is_left_out = HOP_BY_HOP.contains(name)
             || *name == header::CONTENT_LENGTH
             || *name == header::EXPECT
-            || named.iter().any(|other| other.eq_ignore_ascii_case(name.as_str()));
+            || listed.iter().any(|other| other.eq_ignore_ascii_case(name.as_str()));
         if !is_left_out {
-            kept.append(name.clone(), value.clone());
+            forwarded.append(name.clone(), value.clone());
         }
     }
-    kept
+    forwarded
 }
 
 /// Formats a process id for the answer to a relayed request.
-pub(crate) fn vm_value(id: u64) -> HeaderValue {
+pub(crate) fn process_id_value(id: u64) -> HeaderValue {
     HeaderValue::from(id)
 }
 
 /// Parses the process id in the answer to a relayed request.
-pub(crate) fn vm_of(value: &HeaderValue) -> Option<u64> {
+pub(crate) fn parse_process_id(value: &HeaderValue) -> Option<u64> {
     value.to_str().ok()?.parse().ok()
 }
 
@@ -58,7 +58,7 @@
 }
 
 /// The header names that `Connection` lists.
-fn named_by_connection(headers: &HeaderMap) -> Vec<String> {
+fn listed_in_connection(headers: &HeaderMap) -> Vec<String> {
     headers
         .get_all(header::CONNECTION)
         .filter_map(|value| value.to_str().ok())
--- a/crates/leverstream-proxy/src/lib.rs
+++ b/crates/leverstream-proxy/src/lib.rs
@@ -23,8 +23,8 @@
 mod snapshot;
 
 pub use ask::{HeldStem, ServeRequest, StemRequest};
-pub use conn::{Broken, Conn, Stage};
-pub use flight::{BackendLive, FlightMark, Observation, ServiceKey, ServiceLive};
+pub use conn::{Conn, ExchangeError, Stage};
+pub use flight::{BackendLive, InFlightEntry, Observation, ServiceKey, ServiceLive};
 pub use headers::{DRAINING_HEADER, PROBE_HEADER, RELAYED_HEADER};
 pub use leverstream_pace::Clock;
 pub use metrics::Metrics;
--- a/crates/leverstream-proxy/src/message.rs
+++ b/crates/leverstream-proxy/src/message.rs
@@ -14,7 +14,7 @@
 use crate::headers;
 
 /// How much of a body is buffered, so that a request with a smaller body can be repeated.
-pub(crate) const BUFFERED_BYTES: usize = 64 << 10;
+pub(crate) const BODY_BUFFER_BYTES: usize = 64 << 10;
 
 /// A request to send to the next hop.
 #[derive(Clone)]
@@ -43,12 +43,12 @@
 impl Message {
     /// Reads a request with up to `limit` bytes of its body.
     ///
-    /// Rejects a longer body, or with `streams` leaves the rest to be streamed as it arrives.
+    /// Rejects a longer body, or with `may_stream` leaves the rest to be streamed as it arrives.
     pub async fn read(
         request: &HttpRequest,
         mut payload: Payload,
         limit: usize,
-        streams: bool,
+        may_stream: bool,
     ) -> Result<Message, Kind> {
         let length = content_length(request)?;
         let mut start = BytesMut::new();
@@ -58,7 +58,7 @@
             if start.len() <= limit {
                 continue;
             }
-            if !streams {
+            if !may_stream {
                 return Err(Kind::BodyTooLarge);
             }
             rest = Some(Rc::new(RefCell::new(Some(payload))));
@@ -66,7 +66,7 @@
         }
         Ok(Message {
             method: request.method().clone(),
-            uri: path_of(request.uri()),
+            uri: origin_form(request.uri()),
             headers: headers::forwarded(request.headers()),
             body: Body { start: start.freeze(), rest, length },
         })
@@ -94,7 +94,7 @@
     }
 
     /// A hash of the method, target and body, which detects a key reused for another request.
-    pub fn fingerprint(&self) -> [u8; 32] {
+    pub fn request_digest(&self) -> [u8; 32] {
         let mut hasher = blake3::Hasher::new();
         for part in [self.method.as_str().as_bytes(), self.uri.to_string().as_bytes()] {
             hasher.update(&(part.len() as u64).to_le_bytes());
@@ -122,8 +122,8 @@
     let headers = request.headers();
     let lengths: Vec<&HeaderValue> = headers.get_all("content-length").collect();
     let is_chunked = headers.contains_key("transfer-encoding");
-    let is_old = request.version() < actix_web::http::Version::HTTP_11;
-    if lengths.len() > 1 || (is_chunked && (is_old || !lengths.is_empty())) {
+    let is_before_http11 = request.version() < actix_web::http::Version::HTTP_11;
+    if lengths.len() > 1 || (is_chunked && (is_before_http11 || !lengths.is_empty())) {
         return Err(Kind::BadRequest);
     }
     let parse = |value: &HeaderValue| value.to_str().ok().and_then(|text| text.parse().ok());
@@ -131,7 +131,7 @@
 }
 
 /// The path and query of a request target, without scheme and authority.
-fn path_of(uri: &Uri) -> Uri {
+fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().map_or("/", |path| path.as_str());
     path.parse().unwrap_or_else(|_| Uri::from_static("/"))
 }
--- a/crates/leverstream-proxy/src/metrics.rs
+++ b/crates/leverstream-proxy/src/metrics.rs
@@ -68,7 +68,7 @@
     }
 
     /// Counts an error response of leverstream itself.
-    pub fn refuse(&self, kind: Kind) {
+    pub fn count_refusal(&self, kind: Kind) {
         self.refusals.get_or_create(&KindLabel { kind: kind.to_string() }).inc();
     }
 }
@@ -76,17 +76,17 @@
 /// Counts a request as in flight until its answer is sent or its caller disconnects.
 ///
 /// A graceful stop waits until no request is in flight.
-pub(crate) struct InFlight(Gauge);
+pub(crate) struct InFlightGuard(Gauge);
 
-impl InFlight {
+impl InFlightGuard {
     /// Counts one more request.
-    pub fn open(metrics: &Metrics) -> InFlight {
+    pub fn new(metrics: &Metrics) -> InFlightGuard {
         metrics.in_flight.inc();
-        InFlight(metrics.in_flight.clone())
+        InFlightGuard(metrics.in_flight.clone())
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.dec();
     }
--- a/crates/leverstream-proxy/src/once.rs
+++ b/crates/leverstream-proxy/src/once.rs
@@ -10,23 +10,23 @@
 use leverstream_route::Request;
 use leverstream_ticket::{BeginOutcome, Reply, StoredResult, Ticket};
 
-use crate::acquire::{Wanted, acquire};
-use crate::admit::Admitted;
+use crate::acquire::{SlotRequest, acquire};
+use crate::admit::AdmissionGuard;
 use crate::answer::{Answer, AnswerBody};
-use crate::attempt::{Reading, Tried, attempt};
+use crate::attempt::{AttemptResult, ReadMode, attempt};
 use crate::headers;
 use crate::message::Message;
 use crate::{Proxy, ServiceView};
 
 /// The most backend servers to which a request is sent as long as it has certainly not run.
-const OFFERS_LIMIT: usize = 3;
+const MAX_OFFERS: usize = 3;
 
 /// The longest idempotency key of a request.
-pub(crate) const KEY_LIMIT_BYTES: usize = 256;
+pub(crate) const MAX_KEY_BYTES: usize = 256;
 
 /// A request that must run at most once.
 #[derive(Clone)]
-pub(crate) struct Once {
+pub(crate) struct AtMostOnceRequest {
     /// The state that traffic threads share.
     pub proxy: Data<Proxy>,
     /// The name of the service.
@@ -41,31 +41,31 @@
     pub gives_way: bool,
 }
 
-impl Once {
+impl AtMostOnceRequest {
     /// Runs the request of a ticket and key at its home, or returns the outcome of its earlier run.
     ///
     /// The request continues when the caller disconnects, and its answer is stored until the ticket
     /// expires.
     pub async fn run_keyed(self, ticket: &Ticket, key: &str) -> Result<Answer, Kind> {
         let proxy = self.proxy.clone();
-        let fingerprint = self.message.fingerprint();
+        let request_digest = self.message.request_digest();
         let clock = proxy.clock;
-        let begin = proxy.ledger.begin(&proxy.mint, ticket, key, fingerprint, || clock.now_ms());
+        let begin = proxy.ledger.begin(&proxy.mint, ticket, key, request_digest, || clock.now_ms());
         match begin {
             BeginOutcome::Refuse(kind) => Err(kind),
             BeginOutcome::Wait(waiter) => {
                 let deadline = clock.instant_at(self.deadline_ms).into();
-                let kept = tokio::time::timeout_at(deadline, waiter.wait()).await;
+                let stored = tokio::time::timeout_at(deadline, waiter.wait()).await;
                 proxy.metrics.replays.inc();
-                answer_of(kept.map_err(|_| Kind::AnswerTimeout)?, true)
+                to_answer(stored.map_err(|_| Kind::AnswerTimeout)?, true)
             }
-            BeginOutcome::Run(entry) => {
+            BeginOutcome::Run(guard) => {
                 let run = actix_web::rt::spawn(async move {
-                    let kept = self.run_kept().await;
-                    entry.finish(kept.clone());
-                    kept
+                    let stored = self.run_and_store().await;
+                    guard.finish(stored.clone());
+                    stored
                 });
-                answer_of(run.await.map_err(|_| Kind::AnswerCut)?, false)
+                to_answer(run.await.map_err(|_| Kind::AnswerCut)?, false)
             }
         }
     }
@@ -74,15 +74,15 @@
     pub async fn run_single(&self) -> Result<Answer, Kind> {
         let mut tried: Vec<BackendKey> = Vec::new();
         loop {
-            let wanted = Wanted {
+            let slot_request = SlotRequest {
                 request: Request { is_repeatable: false, tried: &tried },
                 gives_way: self.gives_way,
                 deadline_ms: self.deadline_ms,
             };
-            let slot = acquire(&self.proxy, &self.service, wanted).await?;
-            let reading = Reading::Whole(self.proxy.settings.answer_limit_bytes);
-            let Tried { backend, result } =
-                attempt(&self.proxy, slot, &self.message, self.deadline_ms, false, reading).await;
+            let slot = acquire(&self.proxy, &self.service, slot_request).await?;
+            let read_mode = ReadMode::Whole(self.proxy.settings.answer_limit_bytes);
+            let AttemptResult { backend, result } =
+                attempt(&self.proxy, slot, &self.message, self.deadline_ms, false, read_mode).await;
             tried.push(backend);
             match result {
                 Err(kind) if kind.is_not_run() && self.may_offer_again(tried.len()) => {}
@@ -92,9 +92,9 @@
     }
 
     /// Runs the request once and returns its outcome in the form that the ledger stores.
-    async fn run_kept(&self) -> StoredResult {
+    async fn run_and_store(&self) -> StoredResult {
         match self.run_admitted().await {
-            Ok(answer) => match reply_of(answer) {
+            Ok(answer) => match to_reply(answer) {
                 Some(reply) => StoredResult::Answer(Arc::new(reply)),
                 None => StoredResult::Dropped,
             },
@@ -106,7 +106,7 @@
     async fn run_admitted(&self) -> Result<Answer, Kind> {
         let serving = self.view.serving.as_ref().ok_or(Kind::RelayLoop)?;
         let now_ms = self.proxy.now_ms();
-        let _admitted = Admitted::take(&self.view.doc.row, &serving.live, now_ms)?;
+        let _guard = AdmissionGuard::try_acquire(&self.view.doc.row, &serving.live, now_ms)?;
         self.run_single().await
     }
 
@@ -115,14 +115,14 @@
         let percent = self.view.doc.row.retry_budget_percent;
         let now_ms = self.proxy.now_ms();
         let Some(serving) = &self.view.serving else { return false };
-        offers < OFFERS_LIMIT
+        offers < MAX_OFFERS
             && now_ms < self.deadline_ms
             && serving.live.budget.lock().take(percent, now_ms)
     }
 }
 
 /// Converts a whole answer into the form that the ledger stores.
-fn reply_of(answer: Answer) -> Option<Reply> {
+fn to_reply(answer: Answer) -> Option<Reply> {
     let AnswerBody::Whole(body) = answer.body else { return None };
     let headers = headers::forwarded(&answer.headers);
     let headers =
@@ -131,8 +131,8 @@
 }
 
 /// Converts a stored result back into an answer.
-fn answer_of(kept: StoredResult, is_replayed: bool) -> Result<Answer, Kind> {
-    let reply = match kept {
+fn to_answer(stored: StoredResult, is_replayed: bool) -> Result<Answer, Kind> {
+    let reply = match stored {
         StoredResult::Answer(reply) => reply,
         StoredResult::Failed(kind) => return Err(kind),
         StoredResult::Dropped => return Err(Kind::AnswerDropped),
--- a/crates/leverstream-proxy/src/pool.rs
+++ b/crates/leverstream-proxy/src/pool.rs
@@ -5,10 +5,10 @@
 use crate::conn::Conn;
 
 /// How long an idle connection is kept; shorter than the idle timeout of most servers.
-const IDLE_LIMIT_MS: u64 = 4_000;
+const MAX_IDLE_MS: u64 = 4_000;
 
 /// The most idle connections to one address in the pool of a thread.
-const IDLE_LIMIT: usize = 32;
+const MAX_IDLE_CONNECTIONS: usize = 32;
 
 thread_local! {
     /// The idle connections of this thread.
@@ -27,7 +27,7 @@
     POOL.with_borrow_mut(|pool| {
         let idle = pool.idle.get_mut(&address)?;
         while let Some((since_ms, conn)) = idle.pop() {
-            if now_ms.saturating_sub(since_ms) < IDLE_LIMIT_MS && conn.is_clean() {
+            if now_ms.saturating_sub(since_ms) < MAX_IDLE_MS && conn.is_clean() {
                 return Some(conn);
             }
         }
@@ -40,8 +40,8 @@
 pub(crate) fn put(address: SocketAddr, conn: Conn, now_ms: u64) {
     POOL.with_borrow_mut(|pool| {
         let idle = pool.idle.entry(address).or_default();
-        idle.retain(|(since_ms, _)| now_ms.saturating_sub(*since_ms) < IDLE_LIMIT_MS);
-        if idle.len() < IDLE_LIMIT {
+        idle.retain(|(since_ms, _)| now_ms.saturating_sub(*since_ms) < MAX_IDLE_MS);
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push((now_ms, conn));
         }
     });
--- a/crates/leverstream-proxy/src/relay.rs
+++ b/crates/leverstream-proxy/src/relay.rs
@@ -5,8 +5,8 @@
 use tracing::{Instrument, warn};
 
 use crate::answer::Answer;
-use crate::attempt::{Reading, Target, exchange, read_body, relayed_tail};
-use crate::headers::{RELAYED_HEADER, vm_of};
+use crate::attempt::{ReadMode, Target, exchange, read_body, relayed_body};
+use crate::headers::{RELAYED_HEADER, parse_process_id};
 use crate::message::Message;
 use crate::{Proxy, VmView};
 
@@ -20,12 +20,12 @@
     home: &VmView,
     deadline_ms: u64,
 ) -> Result<Answer, Kind> {
-    match pass(proxy, service, message, home, deadline_ms).await {
-        Err(Unpassed::Stranger) if home.is_dead => Err(Kind::HomeGone),
-        Err(Unpassed::Stranger) => Err(Kind::HomeUnreachable),
-        Err(Unpassed::Failed(kind)) if kind.is_not_run() && home.is_dead => Err(Kind::HomeGone),
-        Err(Unpassed::Failed(kind)) if kind.is_not_run() => Err(Kind::HomeUnreachable),
-        Err(Unpassed::Failed(kind)) => Err(kind),
+    match forward(proxy, service, message, home, deadline_ms).await {
+        Err(ForwardError::WrongProcess) if home.is_dead => Err(Kind::HomeGone),
+        Err(ForwardError::WrongProcess) => Err(Kind::HomeUnreachable),
+        Err(ForwardError::Failed(kind)) if kind.is_not_run() && home.is_dead => Err(Kind::HomeGone),
+        Err(ForwardError::Failed(kind)) if kind.is_not_run() => Err(Kind::HomeUnreachable),
+        Err(ForwardError::Failed(kind)) => Err(kind),
         Ok(answer) => Ok(answer),
     }
 }
@@ -33,44 +33,44 @@
 /// Relays a request to one of the VMs that serve its service, the nearest first.
 ///
 /// Tries another VM only if the request has certainly not run or may be repeated.
-pub(crate) async fn to_entry(
+pub(crate) async fn to_entry_vm(
     proxy: &Data<Proxy>,
     service: &str,
     message: &Message,
     is_repeatable: bool,
     deadline_ms: u64,
 ) -> Result<Answer, Kind> {
-    let mut last = Kind::NoBackend;
+    let mut failure = Kind::NoBackend;
     for vm in entry_vms(proxy, service) {
-        match pass(proxy, service, message, &vm, deadline_ms).await {
+        match forward(proxy, service, message, &vm, deadline_ms).await {
             Ok(answer) => return Ok(answer),
-            Err(Unpassed::Stranger) => last = last.combined_with(Kind::AnswerInvalid),
-            Err(Unpassed::Failed(kind)) => last = last.combined_with(kind),
+            Err(ForwardError::WrongProcess) => failure = failure.combined_with(Kind::AnswerInvalid),
+            Err(ForwardError::Failed(kind)) => failure = failure.combined_with(kind),
         }
-        let may_go_on = last.is_not_run() || (is_repeatable && message.is_whole());
-        if !may_go_on || proxy.now_ms() >= deadline_ms {
+        let may_try_next = failure.is_not_run() || (is_repeatable && message.is_whole());
+        if !may_try_next || proxy.now_ms() >= deadline_ms {
             break;
         }
     }
-    Err(last)
+    Err(failure)
 }
 
 /// Why a relayed request got no answer of its VM.
-enum Unpassed {
+enum ForwardError {
     /// Another process answers at the address of the VM.
-    Stranger,
+    WrongProcess,
     /// There was no answer, or only a part of it.
     Failed(Kind),
 }
 
 /// Relays a request to a VM and checks that the expected process answers.
-async fn pass(
+async fn forward(
     proxy: &Data<Proxy>,
     service: &str,
     message: &Message,
     vm: &VmView,
     deadline_ms: u64,
-) -> Result<Answer, Unpassed> {
+) -> Result<Answer, ForwardError> {
     proxy.metrics.relays.inc();
     let mut message = message.clone();
     message.set(RELAYED_HEADER, "1");
@@ -78,15 +78,15 @@
     let target = Target { address: vm.caller_address, deadline_ms, may_reuse: false };
     let span = tracing::trace_span!("relay", vm = %vm.caller_address);
     let exchanged = exchange(proxy, target, message).instrument(span).await;
-    let (status, mut headers, incoming) = exchanged.map_err(Unpassed::Failed)?;
+    let (status, mut headers, incoming) = exchanged.map_err(ForwardError::Failed)?;
     let answered_by = headers.remove(RELAYED_HEADER).next();
-    if answered_by.as_ref().and_then(vm_of) != Some(vm.id) {
+    if answered_by.as_ref().and_then(parse_process_id) != Some(vm.id) {
         warn!(vm = %vm.caller_address, status = status.as_u16(), "another process answers at a VM's address");
-        return Err(Unpassed::Stranger);
+        return Err(ForwardError::WrongProcess);
     }
-    let tail = relayed_tail(proxy, target, incoming);
-    let read = read_body(tail, &headers, Reading::Start).await;
-    let body = read.map_err(|broken| Unpassed::Failed(broken.kind))?;
+    let rest = relayed_body(proxy, target, incoming);
+    let read = read_body(rest, &headers, ReadMode::Buffered).await;
+    let body = read.map_err(|error| ForwardError::Failed(error.kind))?;
     Ok(Answer { status, headers, body })
 }
 
--- a/crates/leverstream-proxy/src/repeat.rs
+++ b/crates/leverstream-proxy/src/repeat.rs
@@ -10,25 +10,25 @@
 use leverstream_health::BackendKey;
 use leverstream_route::Request;
 
-use crate::acquire::{Wanted, acquire};
+use crate::acquire::{SlotRequest, acquire};
 use crate::answer::Answer;
-use crate::attempt::{Reading, Tried, attempt, is_server_fault};
+use crate::attempt::{AttemptResult, ReadMode, attempt, is_server_fault};
 use crate::message::Message;
 use crate::{Proxy, ServiceView};
 
 /// The most attempts for one request.
-const ATTEMPTS_LIMIT: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 
 /// An attempt is hedged once it has taken this many times the duration that counts as slow.
 const HEDGE_FACTOR: f64 = 1.0;
 
 thread_local! {
     /// Whether this thread may let an attempt continue after its request is answered.
-    static WITNESS: Cell<bool> = const { Cell::new(true) };
+    static MAY_DETACH: Cell<bool> = const { Cell::new(true) };
 }
 
 /// A request that may run more than once, with the backend servers tried so far.
-pub(crate) struct Repeat {
+pub(crate) struct RepeatableRequest {
     /// The state that traffic threads share.
     pub proxy: Data<Proxy>,
     /// The name of the service.
@@ -48,7 +48,7 @@
 /// The attempts of a request that are in progress.
 type Attempts = FuturesUnordered<LocalBoxFuture<'static, Result<Answer, Kind>>>;
 
-impl Repeat {
+impl RepeatableRequest {
     /// Runs the request until an attempt yields an answer, within the retry budget and the deadline.
     ///
     /// Fails as soon as no further attempt is allowed, without waiting for the deadline.
@@ -57,7 +57,7 @@
         let mut attempts: Attempts = FuturesUnordered::new();
         let result = Rc::clone(&request).run_attempts(&mut attempts).await;
         if result.is_ok() {
-            request.leave_witness(attempts);
+            request.detach_attempts(attempts);
         }
         result
     }
@@ -67,86 +67,87 @@
         let Some(serving) = &self.view.serving else { return Err(Kind::RelayLoop) };
         serving.live.budget.lock().earn(self.view.doc.row.retry_budget_percent);
         attempts.push(Box::pin(Rc::clone(&self).attempt_once()));
-        let mut made = 1;
+        let mut started = 1;
         let mut may_hedge = true;
-        let mut last: Option<Result<Answer, Kind>> = None;
+        let mut last_failure: Option<Result<Answer, Kind>> = None;
         loop {
             let hedge_delay = self.hedge_delay();
-            let can_repeat = made < ATTEMPTS_LIMIT && self.message.is_whole();
+            let can_repeat = started < MAX_ATTEMPTS && self.message.is_whole();
             tokio::select! {
                 biased;
                 ended = attempts.next() => {
                     let Some(ended) = ended else { break };
                     match ended {
                         Ok(answer) if !is_server_fault(answer.status) => return Ok(answer),
-                        other => last = Some(worse(last, other)),
+                        other => last_failure = Some(merge_failures(last_failure, other)),
                     }
-                    if can_repeat && self.may_retry(last.as_ref()) {
+                    if can_repeat && self.may_retry(last_failure.as_ref()) {
                         self.proxy.metrics.retries.inc();
-                        made += 1;
+                        started += 1;
                         attempts.push(Box::pin(Rc::clone(&self).attempt_once()));
                     }
                 }
                 () = tokio::time::sleep(hedge_delay), if can_repeat && may_hedge && attempts.len() == 1 => {
-                    let is_queued = self.tried.borrow().len() < made;
+                    let is_queued = self.tried.borrow().len() < started;
                     if is_queued {
                         continue;
                     }
-                    may_hedge = self.take_budget();
+                    may_hedge = self.take_retry();
                     if !may_hedge {
                         continue;
                     }
                     self.proxy.metrics.hedges.inc();
-                    made += 1;
+                    started += 1;
                     attempts.push(Box::pin(Rc::clone(&self).attempt_once()));
                 }
             }
         }
-        finish(last)
+        finish(last_failure)
     }
 
     /// Lets a slow attempt continue after the request is answered, one at a time on each thread.
     ///
     /// A cancelled attempt would only show that another one was faster. An attempt that continues to
     /// stall adds evidence against its backend server.
-    fn leave_witness(&self, mut attempts: Attempts) {
-        if attempts.is_empty() || !WITNESS.replace(false) {
+    fn detach_attempts(&self, mut attempts: Attempts) {
+        if attempts.is_empty() || !MAY_DETACH.replace(false) {
             return;
         }
         actix_web::rt::spawn(async move {
             let _ = attempts.next().await;
-            WITNESS.set(true);
+            MAY_DETACH.set(true);
         });
     }
 
     /// Takes a slot and makes one attempt there.
     async fn attempt_once(self: Rc<Self>) -> Result<Answer, Kind> {
         let tried = self.tried.borrow().clone();
-        let wanted = Wanted {
+        let slot_request = SlotRequest {
             request: Request { is_repeatable: true, tried: &tried },
             gives_way: self.gives_way,
             deadline_ms: self.deadline_ms,
         };
-        let slot = acquire(&self.proxy, &self.service, wanted).await?;
+        let slot = acquire(&self.proxy, &self.service, slot_request).await?;
         if let Some(serving) = &slot.view.serving {
             self.tried.borrow_mut().push(serving.backends[slot.index].key);
         }
-        let Tried { result, .. } =
-            attempt(&self.proxy, slot, &self.message, self.deadline_ms, true, Reading::Start).await;
+        let AttemptResult { result, .. } =
+            attempt(&self.proxy, slot, &self.message, self.deadline_ms, true, ReadMode::Buffered)
+                .await;
         result
     }
 
     /// Whether a failed attempt may be retried; takes the retry from the budget if so.
-    fn may_retry(&self, last: Option<&Result<Answer, Kind>>) -> bool {
+    fn may_retry(&self, last_failure: Option<&Result<Answer, Kind>>) -> bool {
         let is_final = matches!(
-            last,
+            last_failure,
             Some(Err(Kind::QueueFull | Kind::DeadlinePassed | Kind::NoBackend | Kind::RelayLoop))
         );
-        !is_final && self.proxy.now_ms() < self.deadline_ms && self.take_budget()
+        !is_final && self.proxy.now_ms() < self.deadline_ms && self.take_retry()
     }
 
     /// Takes one retry from the budget of the service.
-    fn take_budget(&self) -> bool {
+    fn take_retry(&self) -> bool {
         let percent = self.view.doc.row.retry_budget_percent;
         let Some(serving) = &self.view.serving else { return false };
         serving.live.budget.lock().take(percent, self.proxy.now_ms())
@@ -162,15 +163,18 @@
 }
 
 /// The result of the last failed attempt, or `NoBackend` if there was no attempt.
-fn finish(last: Option<Result<Answer, Kind>>) -> Result<Answer, Kind> {
-    last.unwrap_or(Err(Kind::NoBackend))
+fn finish(last_failure: Option<Result<Answer, Kind>>) -> Result<Answer, Kind> {
+    last_failure.unwrap_or(Err(Kind::NoBackend))
 }
 
 /// Chooses what the caller gets of two failures: an answer, else an error that covers both.
-fn worse(last: Option<Result<Answer, Kind>>, next: Result<Answer, Kind>) -> Result<Answer, Kind> {
-    match (last, next) {
+fn merge_failures(
+    last_failure: Option<Result<Answer, Kind>>,
+    next: Result<Answer, Kind>,
+) -> Result<Answer, Kind> {
+    match (last_failure, next) {
         (Some(Ok(answer)), Err(_)) => Ok(answer),
-        (Some(Err(last)), Err(next)) => Err(last.combined_with(next)),
+        (Some(Err(last_failure)), Err(next)) => Err(last_failure.combined_with(next)),
         (_, next) => next,
     }
 }
--- a/crates/leverstream-proxy/src/serve.rs
+++ b/crates/leverstream-proxy/src/serve.rs
@@ -13,15 +13,15 @@
 use tokio::sync::oneshot;
 use tracing::Instrument;
 
-use crate::admit::Admitted;
-use crate::answer::{Answer, refuse};
+use crate::admit::AdmissionGuard;
+use crate::answer::{Answer, error_response};
 use crate::ask::{ServeRequest, ask};
-use crate::headers::{RELAYED_HEADER, text, vm_value};
-use crate::message::{BUFFERED_BYTES, Message};
-use crate::metrics::InFlight;
-use crate::once::{KEY_LIMIT_BYTES, Once};
+use crate::headers::{RELAYED_HEADER, process_id_value, text};
+use crate::message::{BODY_BUFFER_BYTES, Message};
+use crate::metrics::InFlightGuard;
+use crate::once::{AtMostOnceRequest, MAX_KEY_BYTES};
 use crate::relay;
-use crate::repeat::Repeat;
+use crate::repeat::RepeatableRequest;
 use crate::{Proxy, ServiceView};
 
 /// Registers the routes of the callers' listener.
@@ -33,7 +33,7 @@
 async fn serve(proxy: Data<Proxy>, request: HttpRequest, payload: Payload) -> HttpResponse {
     let started = std::time::Instant::now();
     proxy.metrics.requests.inc();
-    let counted = InFlight::open(&proxy.metrics);
+    let in_flight_guard = InFlightGuard::new(&proxy.metrics);
     let span = leverstream_observe::caller_span(
         request.method().as_str(),
         text(request.headers(), "traceparent"),
@@ -41,15 +41,15 @@
     let result = handle(&proxy, &request, payload).instrument(span).await;
     proxy.metrics.seconds.observe(started.elapsed().as_secs_f64());
     let mut response = match result {
-        Ok(answer) => answer.respond(counted),
+        Ok(answer) => answer.respond(in_flight_guard),
         Err(kind) => {
-            proxy.metrics.refuse(kind);
-            refuse(kind)
+            proxy.metrics.count_refusal(kind);
+            error_response(kind)
         }
     };
     if request.headers().contains_key(RELAYED_HEADER) {
         let name = HeaderName::from_static(RELAYED_HEADER);
-        response.headers_mut().insert(name, vm_value(proxy.mint.home()));
+        response.headers_mut().insert(name, process_id_value(proxy.mint.home()));
     }
     response
 }
@@ -60,7 +60,7 @@
     request: &HttpRequest,
     payload: Payload,
 ) -> Result<Answer, Kind> {
-    let service = service_of(request).ok_or(Kind::BadRequest)?;
+    let service = service_name(request).ok_or(Kind::BadRequest)?;
     let view = proxy.snapshot.load().service(&service);
     let view = view.ok_or(Kind::ServiceUnknown)?;
     let row = &view.doc.row;
@@ -70,14 +70,14 @@
     let deadline_ms = deadline_of(proxy, request, &view)?;
     let (method, path) = (request.method().as_str(), request.path());
     let is_repeatable = row.is_repeatable(method, path);
-    let keyed = if is_repeatable { None } else { Some(keys_of(request)?) };
+    let keyed = if is_repeatable { None } else { Some(parse_ticket_and_key(request)?) };
     let limit = if is_repeatable {
-        BUFFERED_BYTES
+        BODY_BUFFER_BYTES
     } else {
         usize::try_from(row.body_limit_bytes).unwrap_or(usize::MAX)
     };
     let message = Message::read(request, payload, limit, is_repeatable).await?;
-    let arrived = Arrived {
+    let incoming = IncomingRequest {
         proxy,
         gives_way: row.gives_way(method, path),
         is_relayed: request.headers().contains_key(RELAYED_HEADER),
@@ -87,14 +87,14 @@
         deadline_ms,
     };
     match keyed {
-        None => arrived.run_repeatable().await,
-        Some(Some((ticket, key))) => arrived.run_keyed(&ticket, &key).await,
-        Some(None) => arrived.run_unkeyed().await,
+        None => incoming.run_repeatable().await,
+        Some(Some((ticket, key))) => incoming.run_keyed(&ticket, &key).await,
+        Some(None) => incoming.run_unkeyed().await,
     }
 }
 
 /// A request whose head is parsed and checked.
-struct Arrived<'a> {
+struct IncomingRequest<'a> {
     /// The state that traffic threads share.
     proxy: &'a Data<Proxy>,
     /// The name of the service.
@@ -111,7 +111,7 @@
     is_relayed: bool,
 }
 
-impl Arrived<'_> {
+impl IncomingRequest<'_> {
     /// Makes this VM serve the service if it does not yet, for a request that no other VM may run.
     ///
     /// VMs learn of membership changes at different moments, so a VM may receive requests of a
@@ -136,8 +136,9 @@
             self.serve_here().await?;
         }
         let Some(serving) = &self.view.serving else { return self.relay(true).await };
-        let _admitted = Admitted::take(&self.view.doc.row, &serving.live, self.proxy.now_ms())?;
-        let repeat = Repeat {
+        let _guard =
+            AdmissionGuard::try_acquire(&self.view.doc.row, &serving.live, self.proxy.now_ms())?;
+        let request = RepeatableRequest {
             proxy: self.proxy.clone(),
             service: self.service,
             view: Arc::clone(&self.view),
@@ -146,14 +147,14 @@
             gives_way: self.gives_way,
             tried: RefCell::default(),
         };
-        repeat.run().await
+        request.run().await
     }
 
     /// Runs a request with a ticket at the ticket's home process: here, or on the VM it is relayed to.
     async fn run_keyed(mut self, ticket: &Ticket, key: &str) -> Result<Answer, Kind> {
         if ticket.stem.home == self.proxy.mint.home() {
             self.serve_here().await?;
-            return self.once().run_keyed(ticket, key).await;
+            return self.into_at_most_once().run_keyed(ticket, key).await;
         }
         let home = self.proxy.snapshot.load().vm(ticket.stem.home);
         match home {
@@ -176,9 +177,12 @@
         match &self.view.serving {
             None => self.relay(false).await,
             Some(serving) => {
-                let _admitted =
-                    Admitted::take(&self.view.doc.row, &serving.live, self.proxy.now_ms())?;
-                self.once().run_single().await
+                let _guard = AdmissionGuard::try_acquire(
+                    &self.view.doc.row,
+                    &serving.live,
+                    self.proxy.now_ms(),
+                )?;
+                self.into_at_most_once().run_single().await
             }
         }
     }
@@ -186,12 +190,12 @@
     /// Relays the request to a VM that serves its service.
     async fn relay(&self, is_repeatable: bool) -> Result<Answer, Kind> {
         let (service, message) = (&self.service, &self.message);
-        relay::to_entry(self.proxy, service, message, is_repeatable, self.deadline_ms).await
+        relay::to_entry_vm(self.proxy, service, message, is_repeatable, self.deadline_ms).await
     }
 
     /// Converts the request into one that must run at most once.
-    fn once(self) -> Once {
-        Once {
+    fn into_at_most_once(self) -> AtMostOnceRequest {
+        AtMostOnceRequest {
             proxy: self.proxy.clone(),
             service: self.service,
             view: self.view,
@@ -203,7 +207,7 @@
 }
 
 /// The service that a request names in its service header or, without one, in `Host`.
-fn service_of(request: &HttpRequest) -> Option<String> {
+fn service_name(request: &HttpRequest) -> Option<String> {
     if let Some(name) = text(request.headers(), SERVICE_HEADER) {
         return Some(name.to_owned());
     }
@@ -215,22 +219,22 @@
 /// The deadline of a request: the limit of the row or that of the caller, whichever is shorter.
 fn deadline_of(proxy: &Proxy, request: &HttpRequest, view: &ServiceView) -> Result<u64, Kind> {
     let row_ms = view.doc.row.deadline_ms;
-    let asked_ms = match text(request.headers(), DEADLINE_HEADER) {
+    let requested_ms = match text(request.headers(), DEADLINE_HEADER) {
         Some(text) => text.parse().map_err(|_| Kind::BadRequest)?,
         None => row_ms,
     };
-    if asked_ms == 0 {
+    if requested_ms == 0 {
         return Err(Kind::DeadlinePassed);
     }
-    Ok(proxy.now_ms() + row_ms.min(asked_ms))
+    Ok(proxy.now_ms() + row_ms.min(requested_ms))
 }
 
 /// The ticket and idempotency key of a request, if it has both.
-fn keys_of(request: &HttpRequest) -> Result<Option<(Ticket, String)>, Kind> {
+fn parse_ticket_and_key(request: &HttpRequest) -> Result<Option<(Ticket, String)>, Kind> {
     let ticket = text(request.headers(), TICKET_HEADER);
     let key = text(request.headers(), KEY_HEADER);
     let (Some(ticket), Some(key)) = (ticket, key) else { return Ok(None) };
-    if key.is_empty() || key.len() > KEY_LIMIT_BYTES {
+    if key.is_empty() || key.len() > MAX_KEY_BYTES {
         return Err(Kind::BadRequest);
     }
     let ticket = Ticket::parse(ticket).ok_or(Kind::TicketInvalid)?;
--- a/crates/leverstream-proxy/src/snapshot.rs
+++ b/crates/leverstream-proxy/src/snapshot.rs
@@ -113,8 +113,8 @@
 impl Members {
     /// Creates the view from all remembered members, dead ones included.
     pub fn new(remembered: Vec<Member>) -> Members {
-        let is_there = |member: &&Member| member.state != MemberState::Dead;
-        let list: Vec<Member> = remembered.iter().filter(is_there).cloned().collect();
+        let is_not_dead = |member: &&Member| member.state != MemberState::Dead;
+        let list: Vec<Member> = remembered.iter().filter(is_not_dead).cloned().collect();
         let halls: HashSet<&str> =
             list.iter().map(|member| member.identity.hall.as_str()).collect();
         let halls = halls.len();
@@ -156,12 +156,12 @@
 
 impl Default for VmView {
     fn default() -> Self {
-        let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
+        let unset = SocketAddr::from(([0, 0, 0, 0], 0));
         VmView {
             id: 0,
             hall: String::new(),
-            caller_address: nowhere,
-            peer_address: nowhere,
+            caller_address: unset,
+            peer_address: unset,
             takes_callers: false,
             is_dead: false,
         }
