--- a/crates/leverstream-proxy/src/serve.rs
+++ b/crates/leverstream-proxy/src/serve.rs
@@ -16,12 +16,12 @@
 use crate::admit::AdmissionGuard;
 use crate::answer::{Answer, error_response};
 use crate::ask::{ServeRequest, ask};
+use crate::at_most_once::{AtMostOnceRequest, MAX_KEY_BYTES};
 use crate::headers::{RELAYED_HEADER, process_id_value, text};
 use crate::message::{BODY_BUFFER_BYTES, Message};
 use crate::metrics::InFlightGuard;
-use crate::once::{AtMostOnceRequest, MAX_KEY_BYTES};
 use crate::relay;
-use crate::repeat::RepeatableRequest;
+use crate::repeatable::RepeatableRequest;
 use crate::{Proxy, ServiceView};
 
 /// Registers the routes of the callers' listener.
