--- a/crates/leverstream-wire/src/answer.rs
+++ b/crates/leverstream-wire/src/answer.rs
@@ -24,15 +24,15 @@
 
     /// All values of a header field.
     pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
-        let named = self.fields.iter().filter(move |(field, _)| field == name);
-        named.map(|(_, value)| value.as_slice())
+        let matching = self.fields.iter().filter(move |(field, _)| field == name);
+        matching.map(|(_, value)| value.as_slice())
     }
 
     /// Whether the sender announces that it closes the connection after this answer.
     pub fn closes(&self) -> bool {
-        let names_close =
+        let lists_close =
             |value: &str| value.split(',').any(|part| part.trim().eq_ignore_ascii_case("close"));
-        self.text("connection").is_some_and(names_close)
+        self.text("connection").is_some_and(lists_close)
     }
 
     /// The idle timeout that the sender announces in `Keep-Alive`.
--- a/crates/leverstream-wire/src/conn.rs
+++ b/crates/leverstream-wire/src/conn.rs
@@ -13,19 +13,19 @@
 use crate::framing::{Chunks, Framing, ParsedHead, decode_chunks, framing, parse_head};
 
 /// The idle time before the first TCP keep-alive probe, and the interval between probes.
-const KEEP_ALIVE_S: u64 = 1;
+const KEEP_ALIVE_INTERVAL_S: u64 = 1;
 
 /// The number of unanswered TCP keep-alive probes after which a connection is closed.
 const KEEP_ALIVE_PROBES: u32 = 3;
 
 /// How long sent bytes may stay unacknowledged before a connection is closed.
-const UNACKNOWLEDGED_MS: u64 = 3_000;
+const ACK_TIMEOUT_MS: u64 = 3_000;
 
 /// The buffer space reserved for each read.
-const READ_BYTES: usize = 4 << 10;
+const READ_RESERVE_BYTES: usize = 4 << 10;
 
 /// The largest answer that is accepted.
-const ANSWER_LIMIT_BYTES: usize = 64 << 20;
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
 /// One connection, owned by one exchange at a time.
 #[derive(Debug)]
@@ -33,11 +33,11 @@
     /// The TCP stream.
     stream: TcpStream,
     /// Bytes that were read but not consumed yet.
-    read: BytesMut,
+    buffer: BytesMut,
     /// Whether another exchange may follow on the connection.
     is_reusable: bool,
     /// The longest time without received bytes while an answer is awaited; none waits without limit.
-    silence: Option<Duration>,
+    read_timeout: Option<Duration>,
 }
 
 /// The progress of an exchange, readable after its future is dropped.
@@ -84,14 +84,14 @@
     pub async fn open(address: SocketAddr) -> io::Result<Conn> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        Ok(Conn { stream, read: BytesMut::new(), is_reusable: true, silence: None })
+        Ok(Conn { stream, buffer: BytesMut::new(), is_reusable: true, read_timeout: None })
     }
 
     /// Sets the longest time without received bytes while an answer is awaited.
     ///
     /// The whole answer may take longer, as a large one does over a slow link.
     pub fn limit_silence(&mut self, ms: u64) {
-        self.silence = Some(Duration::from_millis(ms));
+        self.read_timeout = Some(Duration::from_millis(ms));
     }
 
     /// Opens a connection that detects within seconds that the other side is unreachable, for calls
@@ -101,11 +101,11 @@
         let socket = SockRef::from(&conn.stream);
         socket.set_tcp_keepalive(
             &TcpKeepalive::new()
-                .with_time(Duration::from_secs(KEEP_ALIVE_S))
-                .with_interval(Duration::from_secs(KEEP_ALIVE_S))
+                .with_time(Duration::from_secs(KEEP_ALIVE_INTERVAL_S))
+                .with_interval(Duration::from_secs(KEEP_ALIVE_INTERVAL_S))
                 .with_retries(KEEP_ALIVE_PROBES),
         )?;
-        socket.set_tcp_user_timeout(Some(Duration::from_millis(UNACKNOWLEDGED_MS)))?;
+        socket.set_tcp_user_timeout(Some(Duration::from_millis(ACK_TIMEOUT_MS)))?;
         Ok(conn)
     }
 
@@ -114,13 +114,13 @@
         let mut byte = [0];
         let read = self.stream.try_read(&mut byte);
         self.is_reusable
-            && self.read.is_empty()
+            && self.buffer.is_empty()
             && matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
     /// Whether another exchange may follow the last one.
     pub fn is_reusable(&self) -> bool {
-        self.is_reusable && self.read.is_empty()
+        self.is_reusable && self.buffer.is_empty()
     }
 
     /// Sends a request and reads answers until one belongs to the request.
@@ -140,8 +140,8 @@
             return Ok(early);
         }
         loop {
-            let (answer, is_mine) = self.read_answer(is_head_request, true, &on_head).await?;
-            if is_mine {
+            let (answer, is_own) = self.read_answer(is_head_request, true, &on_head).await?;
+            if is_own {
                 return Ok(answer);
             }
             self.is_reusable = false;
@@ -174,10 +174,10 @@
             if !is_readable {
                 continue;
             }
-            if !self.reads_before_sent() {
+            if !self.read_available() {
                 return Err(WireError::Cut);
             }
-            if let Some((answer, true)) = self.early_answer(is_head_request, on_head).await? {
+            if let Some((answer, true)) = self.read_early_answer(is_head_request, on_head).await? {
                 return Ok(Some(answer));
             }
         }
@@ -185,9 +185,9 @@
     }
 
     /// Reads bytes that arrive while the request is being sent; false at the end of the connection.
-    fn reads_before_sent(&mut self) -> bool {
-        self.read.reserve(READ_BYTES);
-        match self.stream.try_read_buf(&mut self.read) {
+    fn read_available(&mut self) -> bool {
+        self.buffer.reserve(READ_RESERVE_BYTES);
+        match self.stream.try_read_buf(&mut self.buffer) {
             Ok(0) => false,
             Ok(_) => true,
             Err(error) => error.kind() == io::ErrorKind::WouldBlock,
@@ -197,15 +197,15 @@
     /// Reads an answer that arrives before the whole request is sent, and the result of `on_head`.
     ///
     /// If the answer belongs to the request, the connection is not reused.
-    async fn early_answer(
+    async fn read_early_answer(
         &mut self,
-        is_head: bool,
+        is_head_request: bool,
         on_head: &impl Fn(&Answer) -> bool,
     ) -> Result<Option<(Answer, bool)>, WireError> {
-        if parse_head(&self.read)?.is_none() {
+        if parse_head(&self.buffer)?.is_none() {
             return Ok(None);
         }
-        let early = self.read_answer(is_head, false, on_head).await?;
+        let early = self.read_answer(is_head_request, false, on_head).await?;
         self.is_reusable = false;
         Ok(Some(early))
     }
@@ -213,20 +213,20 @@
     /// Reads one whole answer and the result of `on_head`; skips informational answers.
     async fn read_answer(
         &mut self,
-        is_head: bool,
+        is_head_request: bool,
         may_reuse: bool,
         on_head: &impl Fn(&Answer) -> bool,
     ) -> Result<(Answer, bool), WireError> {
         loop {
             let head = self.read_head().await?;
             if head.status >= 200 {
-                let framing = framing(&head, is_head)?;
+                let framing = framing(&head, is_head_request)?;
                 let ParsedHead { status, fields, .. } = head;
                 let mut answer = Answer { status, fields, body: Bytes::new() };
-                let is_mine = on_head(&answer);
+                let is_own = on_head(&answer);
                 answer.body = self.read_body(framing).await?;
-                self.is_reusable = may_reuse && framing != Framing::Close && !answer.closes();
-                return Ok((answer, is_mine));
+                self.is_reusable = may_reuse && framing != Framing::UntilClose && !answer.closes();
+                return Ok((answer, is_own));
             }
             if head.status == 101 {
                 return Err(WireError::Garbled);
@@ -237,10 +237,10 @@
     /// Reads the head of an answer.
     async fn read_head(&mut self) -> Result<ParsedHead, WireError> {
         loop {
-            if !self.read.is_empty()
-                && let Some(head) = parse_head(&self.read)?
+            if !self.buffer.is_empty()
+                && let Some(head) = parse_head(&self.buffer)?
             {
-                let _ = self.read.split_to(head.length);
+                let _ = self.buffer.split_to(head.length);
                 return Ok(head);
             }
             if !self.fill().await? {
@@ -255,28 +255,28 @@
             Framing::Empty => Ok(Bytes::new()),
             Framing::Length(length) => self.read_length(length).await,
             Framing::Chunked => self.read_chunks().await,
-            Framing::Close => self.read_to_end().await,
+            Framing::UntilClose => self.read_to_end().await,
         }
     }
 
     /// Reads a body of a known length.
     async fn read_length(&mut self, length: usize) -> Result<Bytes, WireError> {
-        if length > ANSWER_LIMIT_BYTES {
+        if length > MAX_ANSWER_BYTES {
             return Err(WireError::Garbled);
         }
-        while self.read.len() < length {
+        while self.buffer.len() < length {
             if !self.fill().await? {
                 return Err(WireError::Cut);
             }
         }
-        Ok(self.read.split_to(length).freeze())
+        Ok(self.buffer.split_to(length).freeze())
     }
 
     /// Reads a chunked body.
     async fn read_chunks(&mut self) -> Result<Bytes, WireError> {
         loop {
-            if let Chunks::Whole(body, length) = decode_chunks(&self.read)? {
-                let _ = self.read.split_to(length);
+            if let Chunks::Whole(body, length) = decode_chunks(&self.buffer)? {
+                let _ = self.buffer.split_to(length);
                 return Ok(body.into());
             }
             if !self.fill().await? {
@@ -288,18 +288,18 @@
     /// Reads a body that ends with the connection; a reset is an error.
     async fn read_to_end(&mut self) -> Result<Bytes, WireError> {
         while self.fill().await? {}
-        Ok(self.read.split().freeze())
+        Ok(self.buffer.split().freeze())
     }
 
     /// Reads more bytes into the buffer; false at the end of the connection.
     async fn fill(&mut self) -> Result<bool, WireError> {
-        if self.read.len() > ANSWER_LIMIT_BYTES {
+        if self.buffer.len() > MAX_ANSWER_BYTES {
             return Err(WireError::Garbled);
         }
-        self.read.reserve(READ_BYTES);
-        let read = self.stream.read_buf(&mut self.read);
-        let read = match self.silence {
-            Some(silence) => match tokio::time::timeout(silence, read).await {
+        self.buffer.reserve(READ_RESERVE_BYTES);
+        let read = self.stream.read_buf(&mut self.buffer);
+        let read = match self.read_timeout {
+            Some(read_timeout) => match tokio::time::timeout(read_timeout, read).await {
                 Ok(read) => read,
                 Err(_) => return Err(WireError::Silent),
             },
--- a/crates/leverstream-wire/src/framing.rs
+++ b/crates/leverstream-wire/src/framing.rs
@@ -3,7 +3,7 @@
 use crate::WireError;
 
 /// The most header fields that a head may have.
-const FIELDS_LIMIT: usize = 100;
+const MAX_FIELDS: usize = 100;
 
 /// How the end of a body is marked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,7 +15,7 @@
     /// The body is chunked.
     Chunked,
     /// The body ends with the connection.
-    Close,
+    UntilClose,
 }
 
 /// The parsed head of an answer.
@@ -30,8 +30,8 @@
 
 /// Parses a head; none if it has not arrived completely.
 pub(crate) fn parse_head(bytes: &[u8]) -> Result<Option<ParsedHead>, WireError> {
-    let mut space = [httparse::EMPTY_HEADER; FIELDS_LIMIT];
-    let mut head = httparse::Response::new(&mut space);
+    let mut storage = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    let mut head = httparse::Response::new(&mut storage);
     let length = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) => return Ok(None),
@@ -61,7 +61,7 @@
     match (length, encodings.next()) {
         (Some(_), Some(_)) => Err(WireError::Garbled),
         _ if lengths.next().is_some() || encodings.next().is_some() => Err(WireError::Garbled),
-        (None, None) => Ok(Framing::Close),
+        (None, None) => Ok(Framing::UntilClose),
         (None, Some(encoding)) if encoding.eq_ignore_ascii_case(b"chunked") => Ok(Framing::Chunked),
         (None, Some(_)) => Err(WireError::Garbled),
         (Some(length), None) => {
@@ -82,17 +82,17 @@
 /// Decodes a chunked body from its start.
 pub(crate) fn decode_chunks(bytes: &[u8]) -> Result<Chunks, WireError> {
     let mut body = Vec::new();
-    let mut at = 0;
+    let mut position = 0;
     loop {
-        let (size_length, size) = match httparse::parse_chunk_size(&bytes[at..]) {
+        let (size_length, size) = match httparse::parse_chunk_size(&bytes[position..]) {
             Ok(httparse::Status::Complete(parsed)) => parsed,
             Ok(httparse::Status::Partial) => return Ok(Chunks::Partial),
             Err(_) => return Err(WireError::Garbled),
         };
         let size = usize::try_from(size).map_err(|_| WireError::Garbled)?;
-        let start = at + size_length;
+        let start = position + size_length;
         if size == 0 {
-            return Ok(match trailers_end(&bytes[start..]) {
+            return Ok(match trailers_length(&bytes[start..]) {
                 Some(length) => Chunks::Whole(body, start + length),
                 None => Chunks::Partial,
             });
@@ -105,14 +105,14 @@
             Some(_) => return Err(WireError::Garbled),
         }
         body.extend_from_slice(chunk);
-        at = end + 2;
+        position = end + 2;
     }
 }
 
 /// The length of the trailers after the last chunk, including the empty line that ends them.
-fn trailers_end(bytes: &[u8]) -> Option<usize> {
+fn trailers_length(bytes: &[u8]) -> Option<usize> {
     if bytes.starts_with(b"\r\n") {
         return Some(2);
     }
-    bytes.windows(4).position(|window| window == b"\r\n\r\n").map(|at| at + 4)
+    bytes.windows(4).position(|window| window == b"\r\n\r\n").map(|start| start + 4)
 }
--- a/crates/leverstream-wire/tests/exchange.rs
+++ b/crates/leverstream-wire/tests/exchange.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy)]
 enum End {
     /// The connection stays open.
-    Stays,
+    StaysOpen,
     /// The server closes it with a FIN.
     Fin,
     /// The server resets it.
@@ -20,21 +20,21 @@
 }
 
 /// Serves one connection: reads the head of a request, sends `bytes` and ends as `end` says.
-async fn server(bytes: &'static [u8], end: End) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-    let address = listener.local_addr().expect("it is bound");
+async fn spawn_server(bytes: &'static [u8], end: End) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port is available");
+    let address = listener.local_addr().expect("the listener is bound");
     tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a connection comes");
+        let (mut stream, _) = listener.accept().await.expect("the client connects");
         let mut read = vec![0; 4096];
         let _ = stream.read(&mut read).await;
         stream.write_all(bytes).await.expect("the answer is sent");
         match end {
-            End::Stays => std::future::pending::<()>().await,
+            End::StaysOpen => std::future::pending::<()>().await,
             End::Fin => {}
             End::Reset => {
                 tokio::time::sleep(std::time::Duration::from_millis(20)).await;
                 let socket = socket2::SockRef::from(&stream);
-                socket.set_linger(Some(std::time::Duration::ZERO)).expect("it can be reset");
+                socket.set_linger(Some(std::time::Duration::ZERO)).expect("linger can be set");
             }
         }
     });
@@ -45,12 +45,12 @@
 ///
 /// Returns the answer and whether the connection is reusable.
 async fn exchange(bytes: &'static [u8], end: End) -> (Result<Answer, WireError>, bool) {
-    let mut conn = Conn::open(server(bytes, end).await).await.expect("the server listens");
+    let mut conn = Conn::open(spawn_server(bytes, end).await).await.expect("the server listens");
     let progress = Progress::default();
     assert!(!progress.is_sent());
     let request = Head::open("GET", "/x").finish(b"");
-    let is_mine = |answer: &Answer| answer.text("x-id").is_none_or(|id| id == "mine");
-    let answer = conn.exchange(&request, false, &progress, is_mine).await;
+    let is_own = |answer: &Answer| answer.text("x-id").is_none_or(|id| id == "mine");
+    let answer = conn.exchange(&request, false, &progress, is_own).await;
     assert!(progress.is_sent());
     (answer, conn.is_reusable())
 }
@@ -62,72 +62,72 @@
 }
 
 #[parameterized(
-    length = { b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", End::Stays, true },
+    length = { b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", End::StaysOpen, true },
     chunks = {
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n2\r\nbc\r\n0\r\n\r\n",
-        End::Stays, true
+        End::StaysOpen, true
     },
     trailers = {
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nA: b\r\n\r\n",
-        End::Stays, true
+        End::StaysOpen, true
     },
     informational_first = {
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
-        End::Stays, true
+        End::StaysOpen, true
     },
-    to_the_end = { b"HTTP/1.1 200 OK\r\n\r\nabc", End::Fin, false },
-    says_close = {
-        b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\nabc", End::Stays, false
+    body_until_close = { b"HTTP/1.1 200 OK\r\n\r\nabc", End::Fin, false },
+    connection_close = {
+        b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\nabc", End::StaysOpen, false
     },
-    surplus_behind = {
-        b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcHTTP/1.1 200 OK\r\n", End::Stays, false
+    surplus_bytes_after_answer = {
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcHTTP/1.1 200 OK\r\n", End::StaysOpen, false
     },
-    a_late_one_first = {
+    answer_to_earlier_request_first = {
         b"HTTP/1.1 200 OK\r\nX-Id: late\r\nContent-Length: 1\r\n\r\nzHTTP/1.1 200 OK\r\nX-Id: mine\r\nContent-Length: 3\r\n\r\nabc",
-        End::Stays, true
+        End::StaysOpen, true
     },
 )]
-fn a_whole_answer_is_given(bytes: &'static [u8], end: End, is_reusable: bool) {
+fn whole_answer_is_returned(bytes: &'static [u8], end: End, is_reusable: bool) {
     let (answer, reusable) = block_on(exchange(bytes, end));
-    assert_eq!(&*answer.expect("an answer comes").body, b"abc");
+    assert_eq!(&*answer.expect("the answer is received").body, b"abc");
     assert_eq!(reusable, is_reusable);
 }
 
 #[parameterized(
-    nothing = { b"", End::Fin, WireError::Cut },
+    no_bytes = { b"", End::Fin, WireError::Cut },
     head_only = { b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", End::Fin, WireError::Cut },
-    short = { b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", End::Fin, WireError::Cut },
-    cut_chunks = {
+    truncated_body = { b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", End::Fin, WireError::Cut },
+    truncated_chunks = {
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", End::Fin, WireError::Cut
     },
-    reset_before_the_end = { b"HTTP/1.1 200 OK\r\n\r\nabc", End::Reset, WireError::Cut },
-    garbage = { b"\x00\x01\x02 none of it\r\n\r\n", End::Stays, WireError::Garbled },
+    reset_before_close = { b"HTTP/1.1 200 OK\r\n\r\nabc", End::Reset, WireError::Cut },
+    not_http = { b"\x00\x01\x02 none of it\r\n\r\n", End::StaysOpen, WireError::Garbled },
     two_lengths = {
-        b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", End::Stays,
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", End::StaysOpen,
         WireError::Garbled
     },
     length_and_chunks = {
-        b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", End::Stays,
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", End::StaysOpen,
         WireError::Garbled
     },
     bad_chunk = {
-        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n", End::Stays,
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n", End::StaysOpen,
         WireError::Garbled
     },
 )]
-fn an_answer_that_is_not_whole_is_none(bytes: &'static [u8], end: End, error: WireError) {
+fn incomplete_or_malformed_answer_is_an_error(bytes: &'static [u8], end: End, error: WireError) {
     let (answer, reusable) = block_on(exchange(bytes, end));
-    assert_eq!(answer.expect_err("there is no answer"), error);
+    assert_eq!(answer.expect_err("the exchange fails"), error);
     assert!(!reusable);
 }
 
 #[test]
-fn an_answer_before_the_body_was_taken_ends_the_connection() {
+fn early_answer_prevents_reuse_of_the_connection() {
     block_on(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-        let address = listener.local_addr().expect("it is bound");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port is available");
+        let address = listener.local_addr().expect("the listener is bound");
         tokio::spawn(async move {
-            let (mut stream, _) = listener.accept().await.expect("a connection comes");
+            let (mut stream, _) = listener.accept().await.expect("the client connects");
             let answer = b"HTTP/1.1 413 Too Large\r\nContent-Length: 2\r\n\r\nno";
             stream.write_all(answer).await.expect("the answer is sent");
             // The body is never read, so the writes of the client block.
@@ -137,21 +137,22 @@
         let request = Head::open("POST", "/x").finish(&vec![b'x'; 64 << 20]);
         let progress = Progress::default();
         let answer = conn.exchange(&request, false, &progress, |_| true).await;
-        assert_eq!(answer.expect("the early answer comes").status, 413);
+        assert_eq!(answer.expect("the early answer is received").status, 413);
         assert!(!conn.is_reusable());
     });
 }
 
 #[test]
-fn an_idle_connection_with_bytes_or_an_end_is_not_clean() {
+fn idle_connection_with_unread_bytes_or_closed_by_server_is_not_clean() {
     block_on(async {
-        for (bytes, end) in [(&b"HTTP/1.1 200 OK\r\n"[..], End::Stays), (&b""[..], End::Fin)] {
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-            let address = listener.local_addr().expect("it is bound");
+        for (bytes, end) in [(&b"HTTP/1.1 200 OK\r\n"[..], End::StaysOpen), (&b""[..], End::Fin)] {
+            let listener =
+                TcpListener::bind("127.0.0.1:0").await.expect("a free port is available");
+            let address = listener.local_addr().expect("the listener is bound");
             let conn = Conn::open(address).await.expect("the server listens");
             assert!(conn.is_clean());
-            let (mut stream, _) = listener.accept().await.expect("a connection comes");
-            stream.write_all(bytes).await.expect("it is sent");
+            let (mut stream, _) = listener.accept().await.expect("the client connects");
+            stream.write_all(bytes).await.expect("the bytes are sent");
             if let End::Fin = end {
                 drop(stream);
             }
@@ -163,65 +164,69 @@
 }
 
 #[test]
-fn a_head_is_shown_before_its_body_is_whole() {
+fn on_head_is_called_before_the_body_is_whole() {
     const CUT: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\nx-says: 1\r\n\r\nbody";
     block_on(async {
-        let mut conn = Conn::open(server(CUT, End::Fin).await).await.expect("the server listens");
-        let shown = std::cell::Cell::new(false);
+        let mut conn =
+            Conn::open(spawn_server(CUT, End::Fin).await).await.expect("the server listens");
+        let has_seen_head = std::cell::Cell::new(false);
         let on_head = |head: &Answer| {
-            shown.set(head.text("x-says") == Some("1") && head.body.is_empty());
+            has_seen_head.set(head.text("x-says") == Some("1") && head.body.is_empty());
             true
         };
         let request = Head::open("GET", "/x").finish(b"");
         let answer = conn.exchange(&request, false, &Progress::default(), on_head).await;
         assert_eq!(answer.err(), Some(WireError::Cut));
-        assert!(shown.get());
+        assert!(has_seen_head.get());
     });
 }
 
 /// Guards against a caller with a large upload that gets the answer to an earlier request. That answer
 /// arrives late on the reused connection, while the body is still being sent.
 #[test]
-fn an_answer_to_an_earlier_request_is_passed_over_while_the_body_is_sent() {
+fn answer_to_an_earlier_request_is_skipped_while_the_body_is_sent() {
     const BODY_BYTES: usize = 16 << 20;
     block_on(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-        let address = listener.local_addr().expect("it is bound");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port is available");
+        let address = listener.local_addr().expect("the listener is bound");
         tokio::spawn(async move {
-            let (mut stream, _) = listener.accept().await.expect("a connection comes");
+            let (mut stream, _) = listener.accept().await.expect("the client connects");
             let late = b"HTTP/1.1 200 OK\r\nx-id: other\r\ncontent-length: 5\r\n\r\nother";
-            stream.write_all(late).await.expect("it is sent");
+            stream.write_all(late).await.expect("the bytes are sent");
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
-            let (mut left, mut buffer) = (BODY_BYTES, vec![0; 64 << 10]);
-            while left > 0 {
-                left = left.saturating_sub(stream.read(&mut buffer).await.expect("bytes come"));
+            let (mut remaining, mut buffer) = (BODY_BYTES, vec![0; 64 << 10]);
+            while remaining > 0 {
+                remaining = remaining.saturating_sub(
+                    stream.read(&mut buffer).await.expect("the request body arrives"),
+                );
             }
             let own = b"HTTP/1.1 200 OK\r\nx-id: mine\r\ncontent-length: 4\r\n\r\nmine";
-            stream.write_all(own).await.expect("it is sent");
+            stream.write_all(own).await.expect("the bytes are sent");
             std::future::pending::<()>().await;
         });
         let mut conn = Conn::open(address).await.expect("the server listens");
         let mut head = Head::open("PUT", "/x");
         head.field("content-length", BODY_BYTES.to_string().as_bytes());
         let request = head.finish(&vec![7; BODY_BYTES]);
-        let is_mine = |answer: &Answer| answer.text("x-id").is_none_or(|id| id == "mine");
+        let is_own = |answer: &Answer| answer.text("x-id").is_none_or(|id| id == "mine");
         let progress = Progress::default();
-        let exchange = conn.exchange(&request, false, &progress, is_mine);
+        let exchange = conn.exchange(&request, false, &progress, is_own);
         let limit = std::time::Duration::from_secs(20);
-        let answer = tokio::time::timeout(limit, exchange).await.expect("it is answered");
-        assert_eq!(answer.expect("an answer comes").body.as_ref(), b"mine");
+        let answer =
+            tokio::time::timeout(limit, exchange).await.expect("the exchange ends in time");
+        assert_eq!(answer.expect("the answer is received").body.as_ref(), b"mine");
     });
 }
 
 #[test]
-fn an_answer_that_comes_slowly_is_read_and_a_silent_side_is_given_up() {
+fn slow_answer_is_read_and_a_stalled_one_times_out() {
     // Models the list of ten thousand backend servers, fetched over the slow and shared link of a VM.
     const PARTS: u64 = 30;
-    let slow = async |part_ms: u64, sent: u64| {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-        let address = listener.local_addr().expect("it is bound");
+    let exchange_slowly = async |part_ms: u64, sent: u64| {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port is available");
+        let address = listener.local_addr().expect("the listener is bound");
         tokio::spawn(async move {
-            let (mut stream, _) = listener.accept().await.expect("a connection comes");
+            let (mut stream, _) = listener.accept().await.expect("the client connects");
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {PARTS}\r\n\r\n");
             stream.write_all(head.as_bytes()).await.expect("the head is sent");
             for _ in 0..sent {
@@ -236,10 +241,12 @@
         conn.exchange(&request, false, &Progress::default(), |_| true).await
     };
     block_on(async {
-        let whole = slow(50, PARTS).await.expect("all of it comes, in longer than the limit");
+        let whole = exchange_slowly(50, PARTS)
+            .await
+            .expect("the whole answer is read, in longer than the timeout");
         assert_eq!(whole.body.len() as u64, PARTS);
         assert_eq!(
-            slow(1, PARTS - 1).await.expect_err("the last part never comes"),
+            exchange_slowly(1, PARTS - 1).await.expect_err("the last part never arrives"),
             WireError::Silent
         );
     });
