--- a/crates/leverstream-observe/src/lines.rs
+++ b/crates/leverstream-observe/src/lines.rs
@@ -8,10 +8,10 @@
 use tracing_subscriber::layer::SubscriberExt;
 
 /// The size of the buffer for unwritten log lines; at about 300 bytes a line, it holds thousands.
-const BUFFER_BYTES: usize = 1 << 20;
+const MAX_BUFFER_BYTES: usize = 1 << 20;
 
 /// How long lines are collected before they are written in one batch.
-const GATHER_MS: u64 = 100;
+const BATCH_INTERVAL_MS: u64 = 100;
 
 /// Writes structured log lines to standard output in the background.
 ///
@@ -30,7 +30,7 @@
     /// The unwritten lines.
     buffer: Mutex<Buffer>,
     /// Notified when the buffer is no longer empty.
-    filled: Condvar,
+    not_empty: Condvar,
 }
 
 /// The lines that are not written yet.
@@ -49,7 +49,7 @@
     pub fn open(level: LevelFilter) -> Lines {
         let lines = Lines { shared: Arc::default() };
         let writer = lines.clone();
-        std::thread::spawn(move || writer.run());
+        std::thread::spawn(move || writer.run_writer());
         let layer = tracing_subscriber::fmt::layer()
             .json()
             .flatten_event(true)
@@ -66,21 +66,21 @@
 
     /// Writes all buffered lines; called before the process ends.
     pub fn flush(&self) {
-        let _ = write_out(&self.take());
+        let _ = write_to_stdout(&self.take_batch());
     }
 
     /// Writes batches of lines until standard output is closed.
-    fn run(&self) {
+    fn run_writer(&self) {
         loop {
             {
                 let mut buffer = self.lock();
                 while buffer.bytes.is_empty() {
-                    let woken = self.shared.filled.wait(buffer);
+                    let woken = self.shared.not_empty.wait(buffer);
                     buffer = woken.unwrap_or_else(PoisonError::into_inner);
                 }
             }
-            std::thread::sleep(Duration::from_millis(GATHER_MS));
-            if write_out(&self.take()).is_err() {
+            std::thread::sleep(Duration::from_millis(BATCH_INTERVAL_MS));
+            if write_to_stdout(&self.take_batch()).is_err() {
                 // Standard output is closed, so the error cannot be reported.
                 return;
             }
@@ -88,7 +88,7 @@
     }
 
     /// Takes the buffered lines, followed by a line with the number of dropped ones, if any.
-    fn take(&self) -> Vec<u8> {
+    fn take_batch(&self) -> Vec<u8> {
         let mut buffer = self.lock();
         let dropped = std::mem::take(&mut buffer.dropped);
         let mut bytes = std::mem::take(&mut buffer.bytes);
@@ -112,7 +112,7 @@
 impl Write for Lines {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut buffer = self.lock();
-        if buffer.bytes.len() + line.len() > BUFFER_BYTES {
+        if buffer.bytes.len() + line.len() > MAX_BUFFER_BYTES {
             buffer.dropped += 1;
             return Ok(line.len());
         }
@@ -120,7 +120,7 @@
         buffer.bytes.extend_from_slice(line);
         drop(buffer);
         if was_empty {
-            self.shared.filled.notify_one();
+            self.shared.not_empty.notify_one();
         }
         Ok(line.len())
     }
@@ -139,7 +139,7 @@
 }
 
 /// Writes bytes to standard output.
-fn write_out(bytes: &[u8]) -> io::Result<()> {
+fn write_to_stdout(bytes: &[u8]) -> io::Result<()> {
     let mut out = io::stdout().lock();
     out.write_all(bytes)?;
     out.flush()
--- a/crates/leverstream-observe/src/trace.rs
+++ b/crates/leverstream-observe/src/trace.rs
@@ -31,12 +31,12 @@
 impl Traces {
     /// Starts the export of spans to an OTLP collector over gRPC.
     pub fn open(endpoint: &str, vm: &str) -> Result<Traces, TraceError> {
-        let failed = |error: &dyn std::error::Error| TraceError(error.to_string());
+        let trace_error = |error: &dyn std::error::Error| TraceError(error.to_string());
         let exporter = SpanExporter::builder()
             .with_tonic()
             .with_endpoint(endpoint)
             .build()
-            .map_err(|error| failed(&error))?;
+            .map_err(|error| trace_error(&error))?;
         let resource = Resource::builder()
             .with_service_name("leverstreamd")
             .with_attribute(opentelemetry::KeyValue::new("vm", vm.to_owned()))
@@ -48,7 +48,7 @@
         global::set_text_map_propagator(TraceContextPropagator::new());
         let layer = tracing_opentelemetry::layer().with_tracer(provider.tracer("leverstream"));
         let subscriber = tracing_subscriber::registry().with(layer);
-        tracing::subscriber::set_global_default(subscriber).map_err(|error| failed(&error))?;
+        tracing::subscriber::set_global_default(subscriber).map_err(|error| trace_error(&error))?;
         Ok(Traces { provider })
     }
 
