--- a/crates/leverstream-node/src/node.rs
+++ b/crates/leverstream-node/src/node.rs
@@ -105,17 +105,17 @@
         let proxy = Data::new(Proxy {
             snapshot: ArcSwap::from_pointee(Snapshot::default()),
             clock,
-            mint: TicketIssuer::new(identity.id, settings.times.ticket_ttl_ms, &mut rng),
+            ticket_issuer: TicketIssuer::new(identity.id, settings.times.ticket_ttl_ms, &mut rng),
             ledger: Ledger::new(LedgerSettings {
                 max_requests: settings.limits.ledger_entries,
                 max_answer_bytes: settings.limits.ledger_answer_bytes,
             }),
-            metrics: Metrics::open(&mut registry),
+            metrics: Metrics::new(&mut registry),
             picker: picker(&settings.traffic.picker).ok_or(NodeError::Plugin("traffic.picker"))?,
             settings: ProxySettings {
                 answer_holds_ms: settings.times.answer_holds_ms,
                 connect_timeout_ms: settings.times.connect_timeout_ms,
-                answer_limit_bytes: settings.limits.answer_bytes,
+                max_answer_bytes: settings.limits.answer_bytes,
             },
             observations: observation_sender,
             stem_requests: stem_sender,
--- a/crates/leverstream-node/src/peers.rs
+++ b/crates/leverstream-node/src/peers.rs
@@ -65,8 +65,8 @@
 impl Peer for PeerService {
     async fn stem(&self, request: Request<StemRequest>) -> Result<Response<StemReply>, Status> {
         self.check(&request)?;
-        let stem = self.proxy.mint.stem(self.proxy.now_ms()).to_bytes().to_vec();
-        Ok(Response::new(StemReply { stem, holds_ms: self.proxy.mint.ttl_ms() }))
+        let stem = self.proxy.ticket_issuer.stem(self.proxy.now_ms()).to_bytes().to_vec();
+        Ok(Response::new(StemReply { stem, holds_ms: self.proxy.ticket_issuer.ttl_ms() }))
     }
 
     async fn exchange(&self, request: Request<Digest>) -> Result<Response<Digest>, Status> {
--- a/crates/leverstream-proxy/src/ask.rs
+++ b/crates/leverstream-proxy/src/ask.rs
@@ -128,7 +128,7 @@
 fn entry(proxy: &Proxy, vm: &VmView, own_id: u64) -> Option<Entry> {
     let now_ms = proxy.now_ms();
     let (stem, holds_ms) = if vm.id == own_id {
-        (proxy.mint.stem(now_ms), proxy.mint.ttl_ms())
+        (proxy.ticket_issuer.stem(now_ms), proxy.ticket_issuer.ttl_ms())
     } else {
         let cached = *proxy.stems.lock().get(&vm.id)?;
         let age_ms = now_ms.saturating_sub(cached.fetched_ms);
--- a/crates/leverstream-proxy/src/at_most_once.rs
+++ b/crates/leverstream-proxy/src/at_most_once.rs
@@ -50,7 +50,9 @@
         let proxy = self.proxy.clone();
         let request_digest = self.message.request_digest();
         let clock = proxy.clock;
-        let begin = proxy.ledger.begin(&proxy.mint, ticket, key, request_digest, || clock.now_ms());
+        let begin = proxy
+            .ledger
+            .begin(&proxy.ticket_issuer, ticket, key, request_digest, || clock.now_ms());
         match begin {
             BeginOutcome::Refuse(kind) => Err(kind),
             BeginOutcome::Wait(waiter) => {
@@ -80,7 +82,7 @@
                 deadline_ms: self.deadline_ms,
             };
             let slot = acquire(&self.proxy, &self.service, slot_request).await?;
-            let read_mode = ReadMode::Whole(self.proxy.settings.answer_limit_bytes);
+            let read_mode = ReadMode::Whole(self.proxy.settings.max_answer_bytes);
             let AttemptResult { backend, result } =
                 attempt(&self.proxy, slot, &self.message, self.deadline_ms, false, read_mode).await;
             tried.push(backend);
--- a/crates/leverstream-proxy/src/metrics.rs
+++ b/crates/leverstream-proxy/src/metrics.rs
@@ -40,7 +40,7 @@
 
 impl Metrics {
     /// Creates the metrics and registers them.
-    pub fn open(registry: &mut Registry) -> Metrics {
+    pub fn new(registry: &mut Registry) -> Metrics {
         let metrics = Metrics {
             requests: Counter::default(),
             asks: Counter::default(),
--- a/crates/leverstream-proxy/src/proxy.rs
+++ b/crates/leverstream-proxy/src/proxy.rs
@@ -17,7 +17,7 @@
     /// The clock of the process.
     pub clock: Clock,
     /// Issues and checks the tickets of this process.
-    pub mint: TicketIssuer,
+    pub ticket_issuer: TicketIssuer,
     /// The requests that ran or run under tickets that are still valid.
     pub ledger: Arc<Ledger>,
     /// The metrics of the request path.
@@ -44,7 +44,7 @@
     /// The timeout for opening a connection.
     pub connect_timeout_ms: u64,
     /// The largest answer that is buffered whole for a request that must run at most once.
-    pub answer_limit_bytes: usize,
+    pub max_answer_bytes: usize,
 }
 
 impl Proxy {
--- a/crates/leverstream-proxy/src/serve.rs
+++ b/crates/leverstream-proxy/src/serve.rs
@@ -49,7 +49,7 @@
     };
     if request.headers().contains_key(RELAYED_HEADER) {
         let name = HeaderName::from_static(RELAYED_HEADER);
-        response.headers_mut().insert(name, process_id_value(proxy.mint.home()));
+        response.headers_mut().insert(name, process_id_value(proxy.ticket_issuer.home()));
     }
     response
 }
@@ -152,7 +152,7 @@
 
     /// Runs a request with a ticket at the ticket's home process: here, or on the VM it is relayed to.
     async fn run_keyed(mut self, ticket: &Ticket, key: &str) -> Result<Answer, Kind> {
-        if ticket.stem.home == self.proxy.mint.home() {
+        if ticket.stem.home == self.proxy.ticket_issuer.home() {
             self.serve_here().await?;
             return self.into_at_most_once().run_keyed(ticket, key).await;
         }
