--- a/crates/leverstream-node/src/service.rs
+++ b/crates/leverstream-node/src/service.rs
@@ -7,7 +7,7 @@
 };
 use leverstream_peer::{BackendDigest, ServiceDigest};
 use leverstream_proxy::{
-    BackendLive, BackendView, ServiceKey, ServiceLive, ServiceView, Serving, VmView,
+    BackendState, BackendView, ServiceKey, ServiceState, ServiceView, Serving, VmView,
 };
 use leverstream_table::{BackendRow, ServiceDoc};
 
@@ -28,7 +28,7 @@
     /// The health of its backend servers.
     pub health: Health,
     /// What traffic threads change.
-    pub live: Arc<ServiceLive>,
+    pub live: Arc<ServiceState>,
     /// Until when it is served although this VM no longer belongs to the service's set.
     pub kept_until_ms: Option<u64>,
     /// The backend servers, in the order of their keys.
@@ -44,7 +44,7 @@
     /// Its row, while it is in the table.
     row: Option<BackendRow>,
     /// What traffic threads change.
-    live: Arc<BackendLive>,
+    live: Arc<BackendState>,
     /// What there is to tell other VMs.
     digest: BackendDigest,
     /// When that last changed.
@@ -65,7 +65,7 @@
             doc: Arc::clone(doc),
             entry: Vec::new(),
             health: Health::open(settings, rule, now_ms),
-            live: ServiceLive::open(key, now_ms),
+            live: ServiceState::new(key, now_ms),
             kept_until_ms: None,
             backends: Vec::new(),
             by_name: HashMap::new(),
@@ -144,12 +144,12 @@
                     is_trial: fitness.is_trial && row.accepts_requests(),
                     others_in_flight: fitness.others_in_flight,
                     slow_ms: fitness.slow_ms,
-                    live: Arc::clone(&self.backends[key.0 as usize].live),
+                    state: Arc::clone(&self.backends[key.0 as usize].live),
                 }
             })
             .collect();
         let serving = Serving {
-            live: Arc::clone(&self.live),
+            state: Arc::clone(&self.live),
             backends,
             typical_ms: self.health.typical_ms(),
         };
--- a/crates/leverstream-node/src/survey.rs
+++ b/crates/leverstream-node/src/survey.rs
@@ -93,7 +93,7 @@
         let backends = view.serving.as_ref().map(|serving| &serving.backends);
         backends.map_or((0, 0), |backends| {
             let backend = &backends[index];
-            (backend.live.in_flight(), backend.others_in_flight)
+            (backend.state.in_flight(), backend.others_in_flight)
         })
     };
     let backends = service
--- a/crates/leverstream-proxy/src/acquire.rs
+++ b/crates/leverstream-proxy/src/acquire.rs
@@ -49,7 +49,7 @@
             return Err(Kind::NoBackend);
         }
         // Requests that already wait in the queue go first.
-        if (has_waited || serving.live.queued() == 0)
+        if (has_waited || serving.state.queued() == 0)
             && let Some((index, in_flight_request)) = try_pick(proxy, serving, slot_request.request)
         {
             return Ok(Slot { view: Arc::clone(&view), index, in_flight_request });
@@ -71,18 +71,25 @@
     let mut rng = rand::rng();
     for _ in 0..MAX_PICK_TRIES {
         let candidates: Vec<Candidate> = serving.backends.iter().map(candidate).collect();
-        let count = u64::from(serving.live.pick_count.fetch_add(1, Ordering::Relaxed));
+        let count = u64::from(serving.state.pick_count.fetch_add(1, Ordering::Relaxed));
         let mut context = PickContext { count, rng: &mut rng };
         let key: BackendKey = choose(proxy.picker, &candidates, request, &mut context)?;
         let index = serving.backends.iter().position(|backend| backend.key == key)?;
         let backend = &serving.backends[index];
-        let reserved = backend.live.try_reserve(backend.slots, backend.others_in_flight, now_ms);
+        let reserved = backend.state.try_reserve(backend.slots, backend.others_in_flight, now_ms);
         if let Some(entry_index) = reserved {
-            let (live, is_trial) = (&backend.live, backend.is_trial);
+            let (state, is_trial) = (&backend.state, backend.is_trial);
             let observations = &proxy.observations;
             return Some((
                 index,
-                InFlightRequest::new(&serving.live, key, live, entry_index, is_trial, observations),
+                InFlightRequest::new(
+                    &serving.state,
+                    key,
+                    state,
+                    entry_index,
+                    is_trial,
+                    observations,
+                ),
             ));
         }
     }
@@ -91,7 +98,7 @@
 
 /// Describes a backend server to the picker.
 fn candidate(backend: &crate::BackendView) -> Candidate {
-    let own = backend.live.in_flight();
+    let own = backend.state.in_flight();
     Candidate {
         key: backend.key,
         load: own + backend.others_in_flight,
@@ -118,7 +125,7 @@
     };
     let position = {
         let limit = view.doc.row.queue as usize;
-        let mut waiting = serving.live.waiting.lock();
+        let mut waiting = serving.state.waiting.lock();
         let (position, displaced) = waiting.queue.enter(arrival, limit, proxy.now_ms())?;
         if let Some(waker) = displaced.and_then(|position| waiting.wakers.remove(&position)) {
             let _ = waker.send(Wake::Displaced);
@@ -147,7 +154,7 @@
 
 impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        let mut waiting = self.serving.live.waiting.lock();
+        let mut waiting = self.serving.state.waiting.lock();
         waiting.queue.leave(self.position);
         waiting.wakers.remove(&self.position);
     }
--- a/crates/leverstream-proxy/src/admit.rs
+++ b/crates/leverstream-proxy/src/admit.rs
@@ -4,26 +4,26 @@
 use leverstream_error::Kind;
 use leverstream_table::ServiceRow;
 
-use crate::ServiceLive;
+use crate::ServiceState;
 
 /// Counts a request against the in-flight limit that its row sets for each VM, until dropped.
 pub(crate) struct AdmissionGuard {
     /// The state of the service.
-    live: Arc<ServiceLive>,
+    state: Arc<ServiceState>,
 }
 
 impl AdmissionGuard {
     /// Admits a request if the rate and in-flight limits of the row allow it.
     pub fn try_acquire(
         row: &ServiceRow,
-        live: &Arc<ServiceLive>,
+        state: &Arc<ServiceState>,
         now_ms: u64,
     ) -> Result<AdmissionGuard, Kind> {
-        if !live.try_take_rate(row.rate_per_s, now_ms) {
+        if !state.try_take_rate(row.rate_per_s, now_ms) {
             return Err(Kind::RateLimited);
         }
-        let before = live.in_flight.fetch_add(1, Ordering::AcqRel);
-        let guard = AdmissionGuard { live: Arc::clone(live) };
+        let before = state.in_flight.fetch_add(1, Ordering::AcqRel);
+        let guard = AdmissionGuard { state: Arc::clone(state) };
         if row.in_flight > 0 && before >= row.in_flight {
             return Err(Kind::RateLimited);
         }
@@ -33,6 +33,6 @@
 
 impl Drop for AdmissionGuard {
     fn drop(&mut self) {
-        self.live.in_flight.fetch_sub(1, Ordering::AcqRel);
+        self.state.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
 }
--- a/crates/leverstream-proxy/src/at_most_once.rs
+++ b/crates/leverstream-proxy/src/at_most_once.rs
@@ -108,7 +108,7 @@
     async fn run_admitted(&self) -> Result<Answer, Kind> {
         let serving = self.view.serving.as_ref().ok_or(Kind::RelayLoop)?;
         let now_ms = self.proxy.now_ms();
-        let _guard = AdmissionGuard::try_acquire(&self.view.doc.row, &serving.live, now_ms)?;
+        let _guard = AdmissionGuard::try_acquire(&self.view.doc.row, &serving.state, now_ms)?;
         self.run_single().await
     }
 
@@ -119,7 +119,7 @@
         let Some(serving) = &self.view.serving else { return false };
         offers < MAX_OFFERS
             && now_ms < self.deadline_ms
-            && serving.live.budget.lock().take(percent, now_ms)
+            && serving.state.budget.lock().take(percent, now_ms)
     }
 }
 
--- a/crates/leverstream-proxy/src/attempt.rs
+++ b/crates/leverstream-proxy/src/attempt.rs
@@ -100,7 +100,7 @@
     };
     proxy.metrics.attempts.inc();
     let key = backend.key;
-    let Some(connection_guard) = ConnectionGuard::try_acquire(&backend.live, backend.connections)
+    let Some(connection_guard) = ConnectionGuard::try_acquire(&backend.state, backend.connections)
     else {
         return AttemptResult { backend: key, result: Err(Kind::NoBackend) };
     };
--- a/crates/leverstream-proxy/src/in_flight.rs
+++ b/crates/leverstream-proxy/src/in_flight.rs
@@ -41,7 +41,7 @@
 }
 
 /// The mutable state of a service, shared by successive snapshots.
-pub struct ServiceLive {
+pub struct ServiceState {
     /// The index of the service.
     pub key: ServiceKey,
     /// Requests in flight on this VM.
@@ -76,7 +76,7 @@
 
 /// The mutable state of a backend server, shared by successive snapshots.
 #[derive(Default)]
-pub struct BackendLive {
+pub struct BackendState {
     /// This VM's requests in flight at the backend server.
     requests: Mutex<Slab<InFlightEntry>>,
     /// This VM's open connections to the backend server.
@@ -95,11 +95,11 @@
 /// A request in flight at a backend server; it holds a slot until it ends or is dropped.
 pub(crate) struct InFlightRequest {
     /// The state of the service.
-    service: Arc<ServiceLive>,
+    service: Arc<ServiceState>,
     /// The key of the backend server.
     backend: BackendKey,
     /// The state of the backend server.
-    live: Arc<BackendLive>,
+    state: Arc<BackendState>,
     /// The index of the request's entry in the state of the backend server.
     entry_index: usize,
     /// When it started, at a finer resolution than the milliseconds of its entry.
@@ -112,10 +112,10 @@
     result: Option<(RequestOutcome, f64)>,
 }
 
-impl ServiceLive {
+impl ServiceState {
     /// Creates the state of a service that was just added.
-    pub fn open(key: ServiceKey, now_ms: u64) -> Arc<ServiceLive> {
-        Arc::new(ServiceLive {
+    pub fn new(key: ServiceKey, now_ms: u64) -> Arc<ServiceState> {
+        Arc::new(ServiceState {
             key,
             in_flight: AtomicU32::new(0),
             pick_count: AtomicU32::new(0),
@@ -155,7 +155,7 @@
     }
 }
 
-impl BackendLive {
+impl BackendState {
     /// The number of this VM's requests in flight at the backend server.
     pub fn in_flight(&self) -> u32 {
         u32::try_from(self.requests.lock().len()).unwrap_or(u32::MAX)
@@ -185,11 +185,11 @@
 }
 
 impl InFlightRequest {
-    /// Wraps a slot that [`BackendLive::try_reserve`] returned.
+    /// Wraps a slot that [`BackendState::try_reserve`] returned.
     pub fn new(
-        service: &Arc<ServiceLive>,
+        service: &Arc<ServiceState>,
         backend: BackendKey,
-        live: &Arc<BackendLive>,
+        state: &Arc<BackendState>,
         entry_index: usize,
         is_trial: bool,
         observations: &mpsc::Sender<Observation>,
@@ -197,7 +197,7 @@
         InFlightRequest {
             service: Arc::clone(service),
             backend,
-            live: Arc::clone(live),
+            state: Arc::clone(state),
             entry_index,
             started: std::time::Instant::now(),
             is_trial,
@@ -220,7 +220,7 @@
 
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        let entry = self.live.requests.lock().try_remove(self.entry_index);
+        let entry = self.state.requests.lock().try_remove(self.entry_index);
         let (work, time_ms) = self.result.unwrap_or((RequestOutcome::NoEvidence, 0.0));
         let _ = self.observations.try_send(Observation::Finished {
             service: self.service.key,
@@ -237,21 +237,21 @@
 /// Counts one connection against the connection limit of a backend server until dropped.
 pub(crate) struct ConnectionGuard {
     /// The state of the backend server.
-    live: Arc<BackendLive>,
+    state: Arc<BackendState>,
 }
 
 impl ConnectionGuard {
     /// Counts one more connection if the limit allows it.
-    pub fn try_acquire(live: &Arc<BackendLive>, limit: u32) -> Option<ConnectionGuard> {
-        let taken = live.connections.fetch_update(Ordering::AcqRel, Ordering::Acquire, |count| {
+    pub fn try_acquire(state: &Arc<BackendState>, limit: u32) -> Option<ConnectionGuard> {
+        let taken = state.connections.fetch_update(Ordering::AcqRel, Ordering::Acquire, |count| {
             (count < limit).then_some(count + 1)
         });
-        taken.ok().map(|_| ConnectionGuard { live: Arc::clone(live) })
+        taken.ok().map(|_| ConnectionGuard { state: Arc::clone(state) })
     }
 }
 
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.live.connections.fetch_sub(1, Ordering::AcqRel);
+        self.state.connections.fetch_sub(1, Ordering::AcqRel);
     }
 }
--- a/crates/leverstream-proxy/src/lib.rs
+++ b/crates/leverstream-proxy/src/lib.rs
@@ -25,7 +25,7 @@
 pub use ask::{HeldStem, ServeRequest, StemRequest};
 pub use conn::{Conn, ExchangeError, Stage};
 pub use headers::{DRAINING_HEADER, PROBE_HEADER, RELAYED_HEADER};
-pub use in_flight::{BackendLive, InFlightEntry, Observation, ServiceKey, ServiceLive};
+pub use in_flight::{BackendState, InFlightEntry, Observation, ServiceKey, ServiceState};
 pub use leverstream_pace::Clock;
 pub use metrics::Metrics;
 pub use proxy::{Proxy, ProxySettings};
--- a/crates/leverstream-proxy/src/repeatable.rs
+++ b/crates/leverstream-proxy/src/repeatable.rs
@@ -65,7 +65,7 @@
     /// Starts retries and hedges as they become due until one attempt yields the answer.
     async fn run_attempts(self: Rc<Self>, attempts: &mut Attempts) -> Result<Answer, Kind> {
         let Some(serving) = &self.view.serving else { return Err(Kind::RelayLoop) };
-        serving.live.budget.lock().earn(self.view.doc.row.retry_budget_percent);
+        serving.state.budget.lock().earn(self.view.doc.row.retry_budget_percent);
         attempts.push(Box::pin(Rc::clone(&self).attempt_once()));
         let mut started = 1;
         let mut may_hedge = true;
@@ -150,7 +150,7 @@
     fn take_retry(&self) -> bool {
         let percent = self.view.doc.row.retry_budget_percent;
         let Some(serving) = &self.view.serving else { return false };
-        serving.live.budget.lock().take(percent, self.proxy.now_ms())
+        serving.state.budget.lock().take(percent, self.proxy.now_ms())
     }
 
     /// How long the first attempt may take before a hedge starts.
--- a/crates/leverstream-proxy/src/serve.rs
+++ b/crates/leverstream-proxy/src/serve.rs
@@ -137,7 +137,7 @@
         }
         let Some(serving) = &self.view.serving else { return self.relay(true).await };
         let _guard =
-            AdmissionGuard::try_acquire(&self.view.doc.row, &serving.live, self.proxy.now_ms())?;
+            AdmissionGuard::try_acquire(&self.view.doc.row, &serving.state, self.proxy.now_ms())?;
         let request = RepeatableRequest {
             proxy: self.proxy.clone(),
             service: self.service,
@@ -179,7 +179,7 @@
             Some(serving) => {
                 let _guard = AdmissionGuard::try_acquire(
                     &self.view.doc.row,
-                    &serving.live,
+                    &serving.state,
                     self.proxy.now_ms(),
                 )?;
                 self.into_at_most_once().run_single().await
--- a/crates/leverstream-proxy/src/snapshot.rs
+++ b/crates/leverstream-proxy/src/snapshot.rs
@@ -6,7 +6,7 @@
 use leverstream_member::{Member, MemberState, Placement, entry_set_size};
 use leverstream_table::{BackendRow, ServiceDoc};
 
-use crate::in_flight::{BackendLive, ServiceLive};
+use crate::in_flight::{BackendState, ServiceState};
 
 /// An immutable view of the fleet and the service table, which the control thread replaces.
 #[derive(Default)]
@@ -62,7 +62,7 @@
 /// What a VM needs to serve a service itself.
 pub struct Serving {
     /// The mutable state of the service.
-    pub live: Arc<ServiceLive>,
+    pub state: Arc<ServiceState>,
     /// The backend servers.
     pub backends: Vec<BackendView>,
     /// The typical duration of a request.
@@ -90,7 +90,7 @@
     /// The duration from which a request there counts as slow.
     pub slow_ms: f64,
     /// The mutable state of the backend server.
-    pub live: Arc<BackendLive>,
+    pub state: Arc<BackendState>,
 }
 
 impl Snapshot {
