--- a/crates/leverstream-node/src/control.rs
+++ b/crates/leverstream-node/src/control.rs
@@ -228,11 +228,18 @@
         for _ in 0..OBSERVATIONS_A_TICK {
             let Ok(observation) = self.observations.try_recv() else { return };
             match observation {
-                Observation::Finished { service, backend, work, time_ms, charged, is_trial } => {
+                Observation::Finished {
+                    service,
+                    backend,
+                    outcome,
+                    time_ms,
+                    charged_units,
+                    is_trial,
+                } => {
                     let Some(service) = by_key.get_mut(&service) else { continue };
-                    service.health.finish(backend, work, time_ms, charged);
+                    service.health.finish(backend, outcome, time_ms, charged_units);
                     if is_trial {
-                        service.health.finish_trial(backend, work, time_ms, now_ms);
+                        service.health.finish_trial(backend, outcome, time_ms, now_ms);
                     }
                 }
                 Observation::Draining { service, backend } => {
--- a/crates/leverstream-proxy/src/in_flight.rs
+++ b/crates/leverstream-proxy/src/in_flight.rs
@@ -23,11 +23,11 @@
         /// The backend server.
         backend: BackendKey,
         /// The outcome for the health of the backend server.
-        work: RequestOutcome,
+        outcome: RequestOutcome,
         /// How long the request took.
         time_ms: f64,
         /// The units of bad evidence already charged for the age of the request.
-        charged: u8,
+        charged_units: u8,
         /// Whether it was a trial request to an ejected backend server.
         is_trial: bool,
     },
@@ -89,7 +89,7 @@
     /// When the request took its slot.
     pub started_ms: u64,
     /// The units of bad evidence already charged for the age of the request.
-    pub charged: u8,
+    pub charged_units: u8,
 }
 
 /// A request in flight at a backend server; it holds a slot until it ends or is dropped.
@@ -168,8 +168,8 @@
         let mut requests = self.requests.lock();
         let charges = requests.iter_mut().map(|(_, entry)| {
             let total = units(now_ms.saturating_sub(entry.started_ms) as f64);
-            let added = total.saturating_sub(entry.charged);
-            entry.charged += added;
+            let added = total.saturating_sub(entry.charged_units);
+            entry.charged_units += added;
             added
         });
         charges.filter(|added| *added > 0).collect()
@@ -180,7 +180,7 @@
         let mut requests = self.requests.lock();
         let used = requests.len() as u64 + u64::from(others);
         (used < u64::from(slots))
-            .then(|| requests.insert(InFlightEntry { started_ms: now_ms, charged: 0 }))
+            .then(|| requests.insert(InFlightEntry { started_ms: now_ms, charged_units: 0 }))
     }
 }
 
@@ -221,13 +221,13 @@
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
         let entry = self.state.requests.lock().try_remove(self.entry_index);
-        let (work, time_ms) = self.result.unwrap_or((RequestOutcome::NoEvidence, 0.0));
+        let (outcome, time_ms) = self.result.unwrap_or((RequestOutcome::NoEvidence, 0.0));
         let _ = self.observations.try_send(Observation::Finished {
             service: self.service.key,
             backend: self.backend,
-            work,
+            outcome,
             time_ms,
-            charged: entry.map_or(0, |entry| entry.charged),
+            charged_units: entry.map_or(0, |entry| entry.charged_units),
             is_trial: self.is_trial,
         });
         self.service.wake(1);
