--- a/crates/leverstream-node/src/peers.rs
+++ b/crates/leverstream-node/src/peers.rs
@@ -9,7 +9,7 @@
     Buckets, Digest, FetchReply, FetchRequest, FleetKey, MembersReply, MembersRequest, Peer,
     PeerClient, ServiceVersion, StemReply, StemRequest, TOKEN_METADATA, Versions,
 };
-use leverstream_proxy::{HeldStem, Proxy, VmView};
+use leverstream_proxy::{CachedStem, Proxy, VmView};
 use leverstream_table::ServiceDoc;
 use leverstream_ticket::Stem;
 use tonic::metadata::MetadataValue;
@@ -223,7 +223,7 @@
     let reply = answer.into_inner();
     let stem = Stem::from_bytes(&reply.stem).filter(|stem| stem.home == vm.id);
     if let Some(stem) = stem {
-        let held = HeldStem { stem, holds_ms: reply.holds_ms, fetched_ms: asked_ms };
+        let held = CachedStem { stem, ttl_ms: reply.holds_ms, fetched_ms: asked_ms };
         proxy.stems.lock().insert(vm.id, held);
     }
 }
--- a/crates/leverstream-proxy/src/ask.rs
+++ b/crates/leverstream-proxy/src/ask.rs
@@ -15,11 +15,11 @@
 
 /// A cached ticket stem that another VM issued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldStem {
+pub struct CachedStem {
     /// The ticket stem.
     pub stem: Stem,
     /// How long it is valid after it was fetched.
-    pub holds_ms: u64,
+    pub ttl_ms: u64,
     /// When it was fetched, on the local clock.
     pub fetched_ms: u64,
 }
@@ -127,18 +127,18 @@
 /// The answer's entry for a VM, with a new ticket, if the stem of the VM is known.
 fn entry(proxy: &Proxy, vm: &VmView, own_id: u64) -> Option<Entry> {
     let now_ms = proxy.now_ms();
-    let (stem, holds_ms) = if vm.id == own_id {
+    let (stem, ttl_ms) = if vm.id == own_id {
         (proxy.ticket_issuer.stem(now_ms), proxy.ticket_issuer.ttl_ms())
     } else {
         let cached = *proxy.stems.lock().get(&vm.id)?;
         let age_ms = now_ms.saturating_sub(cached.fetched_ms);
-        (cached.stem, cached.holds_ms.checked_sub(age_ms).filter(|left_ms| *left_ms > 0)?)
+        (cached.stem, cached.ttl_ms.checked_sub(age_ms).filter(|left_ms| *left_ms > 0)?)
     };
     let ticket = Ticket { stem, nonce: rand::rng().random() };
     Some(Entry {
         address: vm.caller_address,
         hall: vm.hall.clone(),
         ticket: Some(ticket.to_string()),
-        ticket_holds_ms: Some(holds_ms),
+        ticket_holds_ms: Some(ttl_ms),
     })
 }
--- a/crates/leverstream-proxy/src/lib.rs
+++ b/crates/leverstream-proxy/src/lib.rs
@@ -22,7 +22,7 @@
 mod serve;
 mod snapshot;
 
-pub use ask::{HeldStem, ServeRequest, StemRequest};
+pub use ask::{CachedStem, ServeRequest, StemRequest};
 pub use conn::{Conn, ExchangeError, Stage};
 pub use headers::{DRAINING_HEADER, PROBE_HEADER, RELAYED_HEADER};
 pub use in_flight::{BackendState, InFlightEntry, Observation, ServiceKey, ServiceState};
--- a/crates/leverstream-proxy/src/proxy.rs
+++ b/crates/leverstream-proxy/src/proxy.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use tokio::sync::mpsc;
 
-use crate::ask::{HeldStem, ServeRequest, StemRequest};
+use crate::ask::{CachedStem, ServeRequest, StemRequest};
 use crate::{Clock, Metrics, Observation, Snapshot};
 
 /// The state that all traffic threads of a process share.
@@ -33,7 +33,7 @@
     /// Carries requests to serve a service that this VM does not serve yet to the control thread.
     pub serve_requests: mpsc::Sender<ServeRequest>,
     /// Ticket stems of other VMs, by the process id of the VM.
-    pub stems: Mutex<HashMap<u64, HeldStem>>,
+    pub stems: Mutex<HashMap<u64, CachedStem>>,
 }
 
 /// The timeouts and size limits of the request path.
