--- a/crates/leverstream-proxy/src/acquire.rs
+++ b/crates/leverstream-proxy/src/acquire.rs
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 use tracing::Instrument;
 
-use crate::in_flight::{InFlightRequest, Wake};
+use crate::flight::{InFlightRequest, Wake};
 use crate::{Proxy, ServiceView, Serving};
 
 /// How many times a pick is made before giving up when other threads take the chosen slots.
--- a/crates/leverstream-proxy/src/attempt.rs
+++ b/crates/leverstream-proxy/src/attempt.rs
@@ -13,8 +13,8 @@
 use crate::acquire::Slot;
 use crate::answer::{Answer, AnswerBody};
 use crate::conn::{Conn, ExchangeError, IncomingBody, Stage};
+use crate::flight::{ConnectionGuard, InFlightRequest};
 use crate::headers::DRAINING_HEADER;
-use crate::in_flight::{ConnectionGuard, InFlightRequest};
 use crate::message::{BODY_BUFFER_BYTES, Message};
 use crate::{Proxy, pool};
 
--- a/crates/leverstream-proxy/src/snapshot.rs
+++ b/crates/leverstream-proxy/src/snapshot.rs
@@ -6,7 +6,7 @@
 use leverstream_member::{Member, MemberState, Placement, entry_set_size};
 use leverstream_table::{BackendRow, ServiceDoc};
 
-use crate::in_flight::{BackendState, ServiceState};
+use crate::flight::{BackendState, ServiceState};
 
 /// An immutable view of the fleet and the service table, which the control thread replaces.
 #[derive(Default)]
