--- a/crates/leverstream-bench/src/capacity.rs
+++ b/crates/leverstream-bench/src/capacity.rs
@@ -303,9 +303,9 @@
         let swim = swim(0, nodes, TARGET.halls);
         let members = Members::new(swim.remembered().cloned().collect());
         let one_us = time_us(20, || {
-            std::hint::black_box(members.entry_of(&docs[7]));
+            std::hint::black_box(members.entry_vms_of(&docs[7]));
         });
-        let (placement, entry) = members.place(&docs[7]);
+        let (placement, entry) = members.placement_of(&docs[7]);
         let newcomer = member(nodes + 1, TARGET.halls);
         let look_us = time_us(20_000, || {
             std::hint::black_box(placement.is_moved_by(&newcomer));
--- a/crates/leverstream-node/src/control.rs
+++ b/crates/leverstream-node/src/control.rs
@@ -283,7 +283,7 @@
     /// Works out anew whether this VM serves a service.
     fn place_service(&mut self, doc: &Arc<ServiceDoc>, now_ms: u64) {
         let me = self.swim.me().identity.id;
-        let (placement, entry) = self.members.place(doc);
+        let (placement, entry) = self.members.placement_of(doc);
         self.placements.insert(doc.service.clone(), placement);
         let is_mine = !doc.removed && doc.row.taken_over && entry.iter().any(|vm| vm.id == me);
         if is_mine {
@@ -453,7 +453,7 @@
             .map(|(name, service)| (name.clone(), Arc::new(service.view(now_ms))))
             .collect();
         self.proxy.snapshot.store(Arc::new(Snapshot {
-            me: VmView::from(self.swim.me()),
+            own_vm: VmView::from(self.swim.me()),
             serving,
             docs: Arc::clone(self.book.docs()),
             members: Arc::clone(&self.members),
--- a/crates/leverstream-node/src/service.rs
+++ b/crates/leverstream-node/src/service.rs
@@ -155,7 +155,7 @@
         };
         ServiceView {
             doc: Arc::clone(&self.doc),
-            entry: self.entry.clone(),
+            entry_vms: self.entry.clone(),
             serving: Some(serving),
         }
     }
--- a/crates/leverstream-proxy/src/ask.rs
+++ b/crates/leverstream-proxy/src/ask.rs
@@ -95,13 +95,14 @@
 ///
 /// The order within a hall is random, which spreads the callers.
 async fn entries(proxy: &Proxy, view: &ServiceView, hall: Option<&str>) -> Vec<Entry> {
-    let me = proxy.snapshot.load().me.clone();
-    let mut vms: Vec<VmView> = view.entry.iter().filter(|vm| vm.takes_callers).cloned().collect();
-    let hall = hall.unwrap_or(&me.hall);
+    let own_vm = proxy.snapshot.load().own_vm.clone();
+    let mut vms: Vec<VmView> =
+        view.entry_vms.iter().filter(|vm| vm.takes_callers).cloned().collect();
+    let hall = hall.unwrap_or(&own_vm.hall);
     vms.shuffle(&mut rand::rng());
     vms.sort_by_key(|vm| vm.hall != hall);
-    fetch_missing_stems(proxy, &vms, me.id).await;
-    vms.iter().filter_map(|vm| entry(proxy, vm, me.id)).collect()
+    fetch_missing_stems(proxy, &vms, own_vm.id).await;
+    vms.iter().filter_map(|vm| entry(proxy, vm, own_vm.id)).collect()
 }
 
 /// Has the control thread fetch the stems that are missing or older than half their cache time.
--- a/crates/leverstream-proxy/src/relay.rs
+++ b/crates/leverstream-proxy/src/relay.rs
@@ -95,12 +95,12 @@
     let snapshot = proxy.snapshot.load();
     let Some(view) = snapshot.service(service) else { return Vec::new() };
     let mut vms: Vec<VmView> = view
-        .entry
+        .entry_vms
         .iter()
-        .filter(|vm| vm.takes_callers && vm.id != snapshot.me.id)
+        .filter(|vm| vm.takes_callers && vm.id != snapshot.own_vm.id)
         .cloned()
         .collect();
     vms.shuffle(&mut rand::rng());
-    vms.sort_by_key(|vm| vm.hall != snapshot.me.hall);
+    vms.sort_by_key(|vm| vm.hall != snapshot.own_vm.hall);
     vms
 }
--- a/crates/leverstream-proxy/src/snapshot.rs
+++ b/crates/leverstream-proxy/src/snapshot.rs
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub struct Snapshot {
     /// The VM of this process.
-    pub me: VmView,
+    pub own_vm: VmView,
     /// The services that this VM serves, by name.
     pub serving: HashMap<String, Arc<ServiceView>>,
     /// The whole table, by service name.
@@ -54,7 +54,7 @@
     /// Its document in the table.
     pub doc: Arc<ServiceDoc>,
     /// The VMs that serve it, its entry set.
-    pub entry: Vec<VmView>,
+    pub entry_vms: Vec<VmView>,
     /// The serving state, if this VM serves it.
     pub serving: Option<Serving>,
 }
@@ -100,8 +100,8 @@
             return Some(Arc::clone(view));
         }
         let doc = self.docs.get(name).filter(|doc| !doc.removed)?;
-        let entry = self.members.entry_of(doc);
-        Some(Arc::new(ServiceView { doc: Arc::clone(doc), entry, serving: None }))
+        let entry_vms = self.members.entry_vms_of(doc);
+        Some(Arc::new(ServiceView { doc: Arc::clone(doc), entry_vms, serving: None }))
     }
 
     /// Finds a VM by its process id.
@@ -128,12 +128,12 @@
     }
 
     /// The VMs that serve a service.
-    pub fn entry_of(&self, doc: &ServiceDoc) -> Vec<VmView> {
-        self.place(doc).1
+    pub fn entry_vms_of(&self, doc: &ServiceDoc) -> Vec<VmView> {
+        self.placement_of(doc).1
     }
 
     /// The VMs that serve a service, with the placement by which a later change of them is detected.
-    pub fn place(&self, doc: &ServiceDoc) -> (Placement, Vec<VmView>) {
+    pub fn placement_of(&self, doc: &ServiceDoc) -> (Placement, Vec<VmView>) {
         let slots = doc.backends.values().map(BackendRow::usable_slots).sum();
         let size = entry_set_size(doc.row.entry_vms, slots, self.halls);
         let (placement, set) = Placement::choose(&doc.service, &self.list, size);
