--- a/crates/leverstream-gateway/src/attempt.rs
+++ b/crates/leverstream-gateway/src/attempt.rs
@@ -252,8 +252,8 @@
     match error {
         WireError::Connect => Kind::ConnectFailed,
         WireError::Send => Kind::SendFailed,
-        WireError::Cut | WireError::Silent => Kind::AnswerCut,
-        WireError::Garbled => Kind::AnswerInvalid,
+        WireError::Truncated | WireError::TimedOut => Kind::AnswerCut,
+        WireError::Malformed => Kind::AnswerInvalid,
     }
 }
 
--- a/crates/leverstream-wire/src/conn.rs
+++ b/crates/leverstream-wire/src/conn.rs
@@ -55,11 +55,11 @@
     /// the connection broke while the request was sent
     Send,
     /// the connection ended before the answer did
-    Cut,
+    Truncated,
     /// the other side stopped sending
-    Silent,
+    TimedOut,
     /// the answer could not be read
-    Garbled,
+    Malformed,
 }
 
 impl std::error::Error for WireError {}
@@ -67,7 +67,7 @@
 impl WireError {
     /// Whether the other side has closed the connection after it was opened.
     pub fn is_broken(self) -> bool {
-        matches!(self, WireError::Send | WireError::Cut)
+        matches!(self, WireError::Send | WireError::Truncated)
     }
 }
 
@@ -175,7 +175,7 @@
                 continue;
             }
             if !self.read_available() {
-                return Err(WireError::Cut);
+                return Err(WireError::Truncated);
             }
             if let Some((answer, true)) = self.read_early_answer(is_head_request, on_head).await? {
                 return Ok(Some(answer));
@@ -229,7 +229,7 @@
                 return Ok((answer, is_own));
             }
             if head.status == 101 {
-                return Err(WireError::Garbled);
+                return Err(WireError::Malformed);
             }
         }
     }
@@ -244,7 +244,7 @@
                 return Ok(head);
             }
             if !self.fill().await? {
-                return Err(WireError::Cut);
+                return Err(WireError::Truncated);
             }
         }
     }
@@ -262,11 +262,11 @@
     /// Reads a body of a known length.
     async fn read_length(&mut self, length: usize) -> Result<Bytes, WireError> {
         if length > MAX_ANSWER_BYTES {
-            return Err(WireError::Garbled);
+            return Err(WireError::Malformed);
         }
         while self.buffer.len() < length {
             if !self.fill().await? {
-                return Err(WireError::Cut);
+                return Err(WireError::Truncated);
             }
         }
         Ok(self.buffer.split_to(length).freeze())
@@ -280,7 +280,7 @@
                 return Ok(body.into());
             }
             if !self.fill().await? {
-                return Err(WireError::Cut);
+                return Err(WireError::Truncated);
             }
         }
     }
@@ -294,21 +294,21 @@
     /// Reads more bytes into the buffer; false at the end of the connection.
     async fn fill(&mut self) -> Result<bool, WireError> {
         if self.buffer.len() > MAX_ANSWER_BYTES {
-            return Err(WireError::Garbled);
+            return Err(WireError::Malformed);
         }
         self.buffer.reserve(READ_RESERVE_BYTES);
         let read = self.stream.read_buf(&mut self.buffer);
         let read = match self.read_timeout {
             Some(read_timeout) => match tokio::time::timeout(read_timeout, read).await {
                 Ok(read) => read,
-                Err(_) => return Err(WireError::Silent),
+                Err(_) => return Err(WireError::TimedOut),
             },
             None => read.await,
         };
         match read {
             Ok(count) => Ok(count > 0),
-            Err(error) if error.kind() == io::ErrorKind::TimedOut => Err(WireError::Silent),
-            Err(_) => Err(WireError::Cut),
+            Err(error) if error.kind() == io::ErrorKind::TimedOut => Err(WireError::TimedOut),
+            Err(_) => Err(WireError::Truncated),
         }
     }
 }
--- a/crates/leverstream-wire/src/framing.rs
+++ b/crates/leverstream-wire/src/framing.rs
@@ -35,12 +35,12 @@
     let length = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(_) => return Err(WireError::Garbled),
+        Err(_) => return Err(WireError::Malformed),
     };
     let fields = head.headers.iter();
     Ok(Some(ParsedHead {
         length,
-        status: head.code.ok_or(WireError::Garbled)?,
+        status: head.code.ok_or(WireError::Malformed)?,
         fields: fields
             .map(|field| (field.name.to_ascii_lowercase(), field.value.to_vec()))
             .collect(),
@@ -59,14 +59,14 @@
     let length = lengths.next();
     let mut encodings = values("transfer-encoding");
     match (length, encodings.next()) {
-        (Some(_), Some(_)) => Err(WireError::Garbled),
-        _ if lengths.next().is_some() || encodings.next().is_some() => Err(WireError::Garbled),
+        (Some(_), Some(_)) => Err(WireError::Malformed),
+        _ if lengths.next().is_some() || encodings.next().is_some() => Err(WireError::Malformed),
         (None, None) => Ok(Framing::UntilClose),
         (None, Some(encoding)) if encoding.eq_ignore_ascii_case(b"chunked") => Ok(Framing::Chunked),
-        (None, Some(_)) => Err(WireError::Garbled),
+        (None, Some(_)) => Err(WireError::Malformed),
         (Some(length), None) => {
-            let text = std::str::from_utf8(length).map_err(|_| WireError::Garbled)?;
-            Ok(Framing::Length(text.trim().parse().map_err(|_| WireError::Garbled)?))
+            let text = std::str::from_utf8(length).map_err(|_| WireError::Malformed)?;
+            Ok(Framing::Length(text.trim().parse().map_err(|_| WireError::Malformed)?))
         }
     }
 }
@@ -87,9 +87,9 @@
         let (size_length, size) = match httparse::parse_chunk_size(&bytes[position..]) {
             Ok(httparse::Status::Complete(parsed)) => parsed,
             Ok(httparse::Status::Partial) => return Ok(Chunks::Partial),
-            Err(_) => return Err(WireError::Garbled),
+            Err(_) => return Err(WireError::Malformed),
         };
-        let size = usize::try_from(size).map_err(|_| WireError::Garbled)?;
+        let size = usize::try_from(size).map_err(|_| WireError::Malformed)?;
         let start = position + size_length;
         if size == 0 {
             return Ok(match trailers_length(&bytes[start..]) {
@@ -97,12 +97,12 @@
                 None => Chunks::Partial,
             });
         }
-        let end = start.checked_add(size).ok_or(WireError::Garbled)?;
+        let end = start.checked_add(size).ok_or(WireError::Malformed)?;
         let Some(chunk) = bytes.get(start..end) else { return Ok(Chunks::Partial) };
         match bytes.get(end..end + 2) {
             None => return Ok(Chunks::Partial),
             Some(b"\r\n") => {}
-            Some(_) => return Err(WireError::Garbled),
+            Some(_) => return Err(WireError::Malformed),
         }
         body.extend_from_slice(chunk);
         position = end + 2;
--- a/crates/leverstream-wire/tests/exchange.rs
+++ b/crates/leverstream-wire/tests/exchange.rs
@@ -94,25 +94,25 @@
 }
 
 #[parameterized(
-    no_bytes = { b"", End::Fin, WireError::Cut },
-    head_only = { b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", End::Fin, WireError::Cut },
-    truncated_body = { b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", End::Fin, WireError::Cut },
+    no_bytes = { b"", End::Fin, WireError::Truncated },
+    head_only = { b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", End::Fin, WireError::Truncated },
+    truncated_body = { b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", End::Fin, WireError::Truncated },
     truncated_chunks = {
-        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", End::Fin, WireError::Cut
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", End::Fin, WireError::Truncated
     },
-    reset_before_close = { b"HTTP/1.1 200 OK\r\n\r\nabc", End::Reset, WireError::Cut },
-    not_http = { b"\x00\x01\x02 none of it\r\n\r\n", End::StaysOpen, WireError::Garbled },
+    reset_before_close = { b"HTTP/1.1 200 OK\r\n\r\nabc", End::Reset, WireError::Truncated },
+    not_http = { b"\x00\x01\x02 none of it\r\n\r\n", End::StaysOpen, WireError::Malformed },
     two_lengths = {
         b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", End::StaysOpen,
-        WireError::Garbled
+        WireError::Malformed
     },
     length_and_chunks = {
         b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", End::StaysOpen,
-        WireError::Garbled
+        WireError::Malformed
     },
     bad_chunk = {
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n", End::StaysOpen,
-        WireError::Garbled
+        WireError::Malformed
     },
 )]
 fn incomplete_or_malformed_answer_is_an_error(bytes: &'static [u8], end: End, error: WireError) {
@@ -176,7 +176,7 @@
         };
         let request = Head::open("GET", "/x").finish(b"");
         let answer = conn.exchange(&request, false, &Progress::default(), on_head).await;
-        assert_eq!(answer.err(), Some(WireError::Cut));
+        assert_eq!(answer.err(), Some(WireError::Truncated));
         assert!(has_seen_head.get());
     });
 }
@@ -247,7 +247,7 @@
         assert_eq!(whole.body.len() as u64, PARTS);
         assert_eq!(
             exchange_slowly(1, PARTS - 1).await.expect_err("the last part never arrives"),
-            WireError::Silent
+            WireError::TimedOut
         );
     });
 }
--- a/tests/src/site.rs
+++ b/tests/src/site.rs
@@ -334,7 +334,9 @@
     let mut conn = Conn::open(address).await.map_err(|_| WireError::Connect)?;
     let progress = Progress::default();
     let exchange = conn.exchange(request, false, &progress, |_| true);
-    tokio::time::timeout(Duration::from_secs(20), exchange).await.unwrap_or(Err(WireError::Silent))
+    tokio::time::timeout(Duration::from_secs(20), exchange)
+        .await
+        .unwrap_or(Err(WireError::TimedOut))
 }
 
 /// A configuration with a safe and an unsafe route to the service `shop`.
