--- a/crates/leverstream-gateway/src/attempt.rs
+++ b/crates/leverstream-gateway/src/attempt.rs
@@ -122,7 +122,7 @@
     let answer = match answered {
         Ok(Ok(answer)) => answer,
         Ok(Err(error)) => {
-            if error.is_broken() && sent.has_ended(address).await {
+            if error.is_disconnect() && sent.has_ended(address).await {
                 inner.suspicions.note_end(request, &of, inner.now_ms());
                 inner.suspicions.note_refused(&of, inner.now_ms());
             }
--- a/crates/leverstream-gateway/src/inbound.rs
+++ b/crates/leverstream-gateway/src/inbound.rs
@@ -8,7 +8,7 @@
 use leverstream_error::Kind;
 use leverstream_platform::headers;
 use leverstream_suspect::{RequestDigest, RequestHasher, RequestIdentity};
-use leverstream_wire::Head;
+use leverstream_wire::RequestHead;
 use leverstream_workspace::{Credentials, KeyHasher};
 
 use crate::reply::is_hop_by_hop;
@@ -120,7 +120,7 @@
 
     /// Writes the request for one instance, with the time that is left.
     pub fn encode(&self, instance: &str, left_ms: u64) -> Vec<u8> {
-        let mut head = Head::open(self.method.as_str(), &self.target);
+        let mut head = RequestHead::new(self.method.as_str(), &self.target);
         for (name, value) in &self.fields {
             head.field(name, value);
         }
--- a/crates/leverstream-gateway/src/news.rs
+++ b/crates/leverstream-gateway/src/news.rs
@@ -20,7 +20,7 @@
 use leverstream_catalog::Catalog;
 use leverstream_core::{Delta, Fleet};
 use leverstream_peer::Standing;
-use leverstream_wire::{Conn, Head, Progress, WireError};
+use leverstream_wire::{Conn, Progress, RequestHead, WireError};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use tracing::{info, warn};
@@ -248,8 +248,8 @@
 async fn exchange(from: SocketAddr, path: &str) -> Result<Option<Bytes>, WireError> {
     let opened = tokio::time::timeout(Duration::from_millis(SILENCE_MS), Conn::open(from)).await;
     let mut conn = opened.map_err(|_| WireError::Connect)?.map_err(|_| WireError::Connect)?;
-    conn.limit_silence(SILENCE_MS);
-    let mut head = Head::open("GET", path);
+    conn.set_read_timeout(SILENCE_MS);
+    let mut head = RequestHead::new("GET", path);
     head.field("host", from.to_string().as_bytes());
     head.field("connection", b"close");
     let progress = Progress::default();
--- a/crates/leverstream-wire/src/answer.rs
+++ b/crates/leverstream-wire/src/answer.rs
@@ -29,7 +29,7 @@
     }
 
     /// Whether the sender announces that it closes the connection after this answer.
-    pub fn closes(&self) -> bool {
+    pub fn closes_connection(&self) -> bool {
         let lists_close =
             |value: &str| value.split(',').any(|part| part.trim().eq_ignore_ascii_case("close"));
         self.text("connection").is_some_and(lists_close)
--- a/crates/leverstream-wire/src/conn.rs
+++ b/crates/leverstream-wire/src/conn.rs
@@ -66,7 +66,7 @@
 
 impl WireError {
     /// Whether the other side has closed the connection after it was opened.
-    pub fn is_broken(self) -> bool {
+    pub fn is_disconnect(self) -> bool {
         matches!(self, WireError::Send | WireError::Truncated)
     }
 }
@@ -90,13 +90,13 @@
     /// Sets the longest time without received bytes while an answer is awaited.
     ///
     /// The whole answer may take longer, as a large one does over a slow link.
-    pub fn limit_silence(&mut self, ms: u64) {
+    pub fn set_read_timeout(&mut self, ms: u64) {
         self.read_timeout = Some(Duration::from_millis(ms));
     }
 
     /// Opens a connection that detects within seconds that the other side is unreachable, for calls
     /// that wait long for their answer.
-    pub async fn open_watched(address: SocketAddr) -> io::Result<Conn> {
+    pub async fn open_with_keepalive(address: SocketAddr) -> io::Result<Conn> {
         let conn = Conn::open(address).await?;
         let socket = SockRef::from(&conn.stream);
         socket.set_tcp_keepalive(
@@ -225,7 +225,8 @@
                 let mut answer = Answer { status, fields, body: Bytes::new() };
                 let is_own = on_head(&answer);
                 answer.body = self.read_body(framing).await?;
-                self.is_reusable = may_reuse && framing != Framing::UntilClose && !answer.closes();
+                self.is_reusable =
+                    may_reuse && framing != Framing::UntilClose && !answer.closes_connection();
                 return Ok((answer, is_own));
             }
             if head.status == 101 {
--- a/crates/leverstream-wire/src/lib.rs
+++ b/crates/leverstream-wire/src/lib.rs
@@ -12,4 +12,4 @@
 
 pub use answer::Answer;
 pub use conn::{Conn, Progress, WireError};
-pub use request::Head;
+pub use request::RequestHead;
--- a/crates/leverstream-wire/src/request.rs
+++ b/crates/leverstream-wire/src/request.rs
@@ -1,19 +1,19 @@
 /// Builds the head of a request.
 #[derive(Clone, Debug, Default)]
-pub struct Head {
+pub struct RequestHead {
     /// The encoded bytes so far.
     bytes: Vec<u8>,
 }
 
-impl Head {
+impl RequestHead {
     /// Starts a head with its request line.
-    pub fn open(method: &str, target: &str) -> Head {
+    pub fn new(method: &str, target: &str) -> RequestHead {
         let mut bytes = Vec::with_capacity(512);
         bytes.extend_from_slice(method.as_bytes());
         bytes.push(b' ');
         bytes.extend_from_slice(target.as_bytes());
         bytes.extend_from_slice(b" HTTP/1.1\r\n");
-        Head { bytes }
+        RequestHead { bytes }
     }
 
     /// Adds a header field. The value must not contain line breaks, as one from a parsed head.
--- a/crates/leverstream-wire/tests/exchange.rs
+++ b/crates/leverstream-wire/tests/exchange.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use leverstream_wire::{Answer, Conn, Head, Progress, WireError};
+use leverstream_wire::{Answer, Conn, Progress, RequestHead, WireError};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use yare::parameterized;
@@ -48,7 +48,7 @@
     let mut conn = Conn::open(spawn_server(bytes, end).await).await.expect("the server listens");
     let progress = Progress::default();
     assert!(!progress.is_sent());
-    let request = Head::open("GET", "/x").finish(b"");
+    let request = RequestHead::new("GET", "/x").finish(b"");
     let is_own = |answer: &Answer| answer.text("x-id").is_none_or(|id| id == "mine");
     let answer = conn.exchange(&request, false, &progress, is_own).await;
     assert!(progress.is_sent());
@@ -134,7 +134,7 @@
             std::future::pending::<()>().await;
         });
         let mut conn = Conn::open(address).await.expect("the server listens");
-        let request = Head::open("POST", "/x").finish(&vec![b'x'; 64 << 20]);
+        let request = RequestHead::new("POST", "/x").finish(&vec![b'x'; 64 << 20]);
         let progress = Progress::default();
         let answer = conn.exchange(&request, false, &progress, |_| true).await;
         assert_eq!(answer.expect("the early answer is received").status, 413);
@@ -174,7 +174,7 @@
             has_seen_head.set(head.text("x-says") == Some("1") && head.body.is_empty());
             true
         };
-        let request = Head::open("GET", "/x").finish(b"");
+        let request = RequestHead::new("GET", "/x").finish(b"");
         let answer = conn.exchange(&request, false, &Progress::default(), on_head).await;
         assert_eq!(answer.err(), Some(WireError::Truncated));
         assert!(has_seen_head.get());
@@ -205,7 +205,7 @@
             std::future::pending::<()>().await;
         });
         let mut conn = Conn::open(address).await.expect("the server listens");
-        let mut head = Head::open("PUT", "/x");
+        let mut head = RequestHead::new("PUT", "/x");
         head.field("content-length", BODY_BYTES.to_string().as_bytes());
         let request = head.finish(&vec![7; BODY_BYTES]);
         let is_own = |answer: &Answer| answer.text("x-id").is_none_or(|id| id == "mine");
@@ -236,8 +236,8 @@
             std::future::pending::<()>().await;
         });
         let mut conn = Conn::open(address).await.expect("the server listens");
-        conn.limit_silence(1_000);
-        let request = Head::open("GET", "/x").finish(b"");
+        conn.set_read_timeout(1_000);
+        let request = RequestHead::new("GET", "/x").finish(b"");
         conn.exchange(&request, false, &Progress::default(), |_| true).await
     };
     block_on(async {
--- a/tests/src/site.rs
+++ b/tests/src/site.rs
@@ -10,7 +10,7 @@
 use leverstream_platform::{READY_PATH, RESOLVE_PATH, Store, headers, standin};
 use leverstream_standin::origin::{Origin, Reply};
 use leverstream_standin::platform::Faults;
-use leverstream_wire::{Answer, Conn, Head, Progress, WireError};
+use leverstream_wire::{Answer, Conn, Progress, RequestHead, WireError};
 use rustix::process::Signal;
 use serde_json::Value;
 
@@ -294,7 +294,7 @@
 
     /// The request's bytes.
     pub fn bytes(&self) -> Vec<u8> {
-        let mut head = Head::open(self.method, &self.path);
+        let mut head = RequestHead::new(self.method, &self.path);
         head.field("host", HOST.as_bytes());
         head.field(headers::REQUEST_ID, self.id.as_bytes());
         head.field(headers::TIME_LEFT_MS, self.patience_ms.to_string().as_bytes());
@@ -324,7 +324,7 @@
 
 /// A request with nothing but its host.
 fn bare(method: &str, target: &str) -> Vec<u8> {
-    let mut head = Head::open(method, target);
+    let mut head = RequestHead::new(method, target);
     head.field("host", HOST.as_bytes());
     head.finish(b"")
 }
--- a/tests/src/soak/callers.rs
+++ b/tests/src/soak/callers.rs
@@ -89,7 +89,7 @@
     }
     let status = answer.as_ref().map(|answer| answer.status);
     calls.got.borrow_mut().push(Got { id: call.id, sent, is_once, status });
-    let may_stay = answer.is_some_and(|answer| !answer.closes()) && conn.is_reusable();
+    let may_stay = answer.is_some_and(|answer| !answer.closes_connection()) && conn.is_reusable();
     may_stay.then_some((address, conn))
 }
 
--- a/tests/tests/gateway.rs
+++ b/tests/tests/gateway.rs
@@ -7,7 +7,7 @@
 use leverstream_standin::origin::Reply;
 use leverstream_tests::site::{Call, HOST, ONCE, SAFE, Site, backend, catalog, route, send};
 use leverstream_tests::until;
-use leverstream_wire::{Conn, Head, Progress};
+use leverstream_wire::{Conn, Progress, RequestHead};
 use rustix::process::Signal;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -69,7 +69,7 @@
     assert_eq!(Call::new("/safe/x").send(vm).await.expect("an answer comes").status, 200);
     assert_eq!(Call::new("/safe").send(vm).await.expect("an answer comes").status, 404);
     let absolute = |authority: &str, host: &str| {
-        let mut head = Head::open("GET", &format!("http://{authority}/safe/y"));
+        let mut head = RequestHead::new("GET", &format!("http://{authority}/safe/y"));
         head.field("host", host.as_bytes());
         head.finish(b"")
     };
--- a/tests/tests/gateway_store.rs
+++ b/tests/tests/gateway_store.rs
@@ -177,7 +177,7 @@
         .await;
         // Those who still hold the old answer are served, and told to go.
         let late = Call::new(SAFE).send(vm).await.expect("an answer comes");
-        assert_eq!((late.status, late.closes()), (200, true));
+        assert_eq!((late.status, late.closes_connection()), (200, true));
     };
     let (answer, ()) = futures_util::future::join(call.send(vm), during).await;
     assert_eq!(answer.expect("an answer comes").status, 200);
