--- a/crates/leverstream-gateway/src/meters.rs
+++ b/crates/leverstream-gateway/src/meters.rs
@@ -3,7 +3,7 @@
 use leverstream_catalog::Notice;
 use leverstream_core::Census;
 use leverstream_error::Kind;
-use leverstream_observe::{Registry, register_count};
+use leverstream_observe::{Registry, register_counter};
 use leverstream_platform::{Call, Store};
 use leverstream_route::Headroom;
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
@@ -174,11 +174,11 @@
         let counts = [(Call::List, "store_lists"), (Call::Watch, "store_watches")];
         for (call, name) in counts {
             let calls = store.calls();
-            register_count(registry, name, "Calls to the store", move || calls.count(call));
+            register_counter(registry, name, "Calls to the store", move || calls.count(call));
         }
         let calls = store.calls();
         let help = "Calls to the store without a useful answer";
-        register_count(registry, "store_failures", help, move || calls.failures());
+        register_counter(registry, "store_failures", help, move || calls.failures());
         registry.register("requests", "Requests of callers", meters.requests.clone());
         registry.register("refusals", "Own answers by kind", meters.refusals.clone());
         registry.register("attempts", "Requests to backend servers", meters.attempts.clone());
--- a/crates/leverstream-node/src/node.rs
+++ b/crates/leverstream-node/src/node.rs
@@ -12,7 +12,7 @@
 use futures_util::stream;
 use leverstream_health::eject_rule;
 use leverstream_member::{Identity, Swim, SwimSettings};
-use leverstream_observe::{Registry, register_count};
+use leverstream_observe::{Registry, register_counter};
 use leverstream_peer::{FleetKey, PACKET_LIMIT_BYTES, PeerServer};
 use leverstream_platform::{Call, Store};
 use leverstream_proxy::{
@@ -229,7 +229,7 @@
     ];
     for (call, name) in counts {
         let calls = store.calls();
-        register_count(registry, name, "Calls to the platform", move || calls.count(call));
+        register_counter(registry, name, "Calls to the platform", move || calls.count(call));
     }
     Ok(store)
 }
--- a/crates/leverstream-observe/src/count.rs
+++ b/crates/leverstream-observe/src/count.rs
@@ -14,7 +14,7 @@
 }
 
 /// Registers a counter whose value another component holds; `read` is called on every scrape.
-pub fn register_count(
+pub fn register_counter(
     registry: &mut Registry,
     name: &'static str,
     help: &'static str,
--- a/crates/leverstream-observe/src/lib.rs
+++ b/crates/leverstream-observe/src/lib.rs
@@ -1,13 +1,13 @@
 //! The logs, metrics and traces of a process.
 
 mod count;
-mod lines;
+mod log_writer;
 mod logs;
 mod trace;
 
-pub use count::register_count;
-pub use lines::Lines;
-pub use logs::open_logs;
+pub use count::register_counter;
+pub use log_writer::LogWriter;
+pub use logs::init_stderr_log;
 pub use prometheus_client::registry::Registry;
 pub use trace::{TraceError, Traces, caller_span, traceparent};
 pub use tracing_subscriber::filter::LevelFilter;
--- a/crates/leverstream-observe/src/lines.rs
+++ b/crates/leverstream-observe/src/log_writer.rs
@@ -19,7 +19,7 @@
 /// reader never blocks the threads that log. Lines that arrive at a full buffer are dropped, and
 /// the number of dropped lines is logged with the next batch.
 #[derive(Clone)]
-pub struct Lines {
+pub struct LogWriter {
     /// The state shared with the writing thread.
     shared: Arc<Shared>,
 }
@@ -42,26 +42,26 @@
     dropped: u64,
 }
 
-impl Lines {
+impl LogWriter {
     /// Starts the writing thread and installs the global subscriber.
     ///
     /// Each event becomes a line of JSON with its time, level, target and fields.
-    pub fn open(level: LevelFilter) -> Lines {
-        let lines = Lines { shared: Arc::default() };
-        let writer = lines.clone();
+    pub fn start(level: LevelFilter) -> LogWriter {
+        let log_writer = LogWriter { shared: Arc::default() };
+        let writer = log_writer.clone();
         std::thread::spawn(move || writer.run_writer());
         let layer = tracing_subscriber::fmt::layer()
             .json()
             .flatten_event(true)
             .with_current_span(false)
             .with_span_list(false)
-            .with_writer(lines.clone());
+            .with_writer(log_writer.clone());
         // Events of libraries are left out: what they log about an invalid request, its answer says.
         let is_own = filter_fn(|metadata| metadata.target().starts_with("leverstream"));
         let subscriber = tracing_subscriber::registry().with(level).with(layer.with_filter(is_own));
         // Only tests install a second subscriber in one process; the first one stays.
         let _ = tracing::subscriber::set_global_default(subscriber);
-        lines
+        log_writer
     }
 
     /// Writes all buffered lines; called before the process ends.
@@ -109,7 +109,7 @@
     }
 }
 
-impl Write for Lines {
+impl Write for LogWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut buffer = self.lock();
         if buffer.bytes.len() + line.len() > MAX_BUFFER_BYTES {
@@ -130,10 +130,10 @@
     }
 }
 
-impl<'a> MakeWriter<'a> for Lines {
-    type Writer = Lines;
+impl<'a> MakeWriter<'a> for LogWriter {
+    type Writer = LogWriter;
 
-    fn make_writer(&'a self) -> Lines {
+    fn make_writer(&'a self) -> LogWriter {
         self.clone()
     }
 }
--- a/crates/leverstream-observe/src/logs.rs
+++ b/crates/leverstream-observe/src/logs.rs
@@ -5,7 +5,7 @@
 ///
 /// Each line has the time, the level and a message. Only the targets of leverstream and leverctl
 /// are logged.
-pub fn open_logs(level: LevelFilter) {
+pub fn init_stderr_log(level: LevelFilter) {
     let config = ConfigBuilder::new()
         .set_time_format_rfc3339()
         .set_thread_level(LevelFilter::Off)
--- a/crates/leverstream-observe/src/trace.rs
+++ b/crates/leverstream-observe/src/trace.rs
@@ -30,7 +30,7 @@
 
 impl Traces {
     /// Starts the export of spans to an OTLP collector over gRPC.
-    pub fn open(endpoint: &str, vm: &str) -> Result<Traces, TraceError> {
+    pub fn start(endpoint: &str, vm: &str) -> Result<Traces, TraceError> {
         let trace_error = |error: &dyn std::error::Error| TraceError(error.to_string());
         let exporter = SpanExporter::builder()
             .with_tonic()
--- a/crates/leverstreamd/src/gateway.rs
+++ b/crates/leverstreamd/src/gateway.rs
@@ -5,7 +5,7 @@
 
 use actix_rt::signal::unix::{Signal, SignalKind, signal};
 use leverstream_gateway::{Gateway, Settings};
-use leverstream_observe::{LevelFilter, Lines};
+use leverstream_observe::{LevelFilter, LogWriter};
 use tracing::{error, info, warn};
 
 use crate::{BAD_SETTINGS, BAD_START};
@@ -32,7 +32,7 @@
             return ExitCode::from(BAD_SETTINGS);
         }
     };
-    let lines = Lines::open(LevelFilter::INFO);
+    let log_writer = LogWriter::start(LevelFilter::INFO);
     let code = actix_rt::System::new().block_on(async move {
         let gateway = match Gateway::open(settings).await {
             Ok(gateway) => gateway,
@@ -43,7 +43,7 @@
         };
         serve(&gateway, file).await
     });
-    lines.flush();
+    log_writer.flush();
     code
 }
 
--- a/crates/leverstreamd/src/main.rs
+++ b/crates/leverstreamd/src/main.rs
@@ -8,7 +8,7 @@
 use actix_rt::signal::unix::{SignalKind, signal};
 use bpaf::Bpaf;
 use leverstream_node::{Node, Settings};
-use leverstream_observe::{Traces, open_logs};
+use leverstream_observe::{Traces, init_stderr_log};
 
 /// The exit code for a settings file that does not hold together.
 const BAD_SETTINGS: u8 = 2;
@@ -84,7 +84,7 @@
 
 /// Runs the daemon until it is told to stop.
 fn run(settings: Settings) -> ExitCode {
-    open_logs(settings.log.level.parse().unwrap_or(log::LevelFilter::Info));
+    init_stderr_log(settings.log.level.parse().unwrap_or(log::LevelFilter::Info));
     actix_rt::System::new().block_on(async move {
         let traces = match open_traces(&settings) {
             Ok(traces) => traces,
@@ -111,7 +111,7 @@
     if endpoint.is_empty() {
         return Ok(None);
     }
-    Traces::open(endpoint, &settings.vm).map(Some).map_err(|error| {
+    Traces::start(endpoint, &settings.vm).map(Some).map_err(|error| {
         log::error!("node: {error}.");
         ExitCode::from(BAD_START)
     })
