--- a/crates/leverstream-observe/src/log_writer.rs
+++ b/crates/leverstream-observe/src/log_writer.rs
@@ -56,7 +56,7 @@
             .with_current_span(false)
             .with_span_list(false)
             .with_writer(log_writer.clone());
-        // Events of libraries are left out: what they log about an invalid request, its answer says.
+        // Events of libraries are left out: the answer to an invalid request already reports it.
         let is_own = filter_fn(|metadata| metadata.target().starts_with("leverstream"));
         let subscriber = tracing_subscriber::registry().with(level).with(layer.with_filter(is_own));
         // Only tests install a second subscriber in one process; the first one stays.
@@ -102,8 +102,7 @@
         bytes
     }
 
-    /// Locks the buffer. A panic of another writer leaves at worst an incomplete line, so a poisoned
-    /// lock is ignored.
+    /// Locks the buffer, also after a panic of a writer, which leaves at worst an incomplete line.
     fn lock(&self) -> std::sync::MutexGuard<'_, Buffer> {
         self.shared.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/leverstream-proxy/src/acquire.rs
+++ b/crates/leverstream-proxy/src/acquire.rs
@@ -18,7 +18,7 @@
 pub(crate) struct SlotRequest<'a> {
     /// What the picker takes into account.
     pub request: Request<'a>,
-    /// Whether a request of higher priority may displace this one when the queue is full.
+    /// Whether it has low priority and is displaced by others when the queue is full.
     pub gives_way: bool,
     /// The deadline of the request.
     pub deadline_ms: u64,
--- a/crates/leverstream-proxy/src/ask.rs
+++ b/crates/leverstream-proxy/src/ask.rs
@@ -75,7 +75,8 @@
     })
 }
 
-/// The answer for a service that is still routed by scripts: their addresses without tickets.
+/// The answer for a service that is not taken over yet: the addresses of the scripts that still
+/// serve it, without tickets.
 fn script_answer(proxy: &Proxy, view: &ServiceView) -> AskAnswer {
     let entry = |address: SocketAddr| Entry {
         address,
@@ -105,7 +106,9 @@
     vms.iter().filter_map(|vm| entry(proxy, vm, own_vm.id)).collect()
 }
 
-/// Has the control thread fetch the stems that are missing or older than half their cache time.
+/// Has the control thread fetch the stems that are missing or too old.
+///
+/// A stem is too old after half the time for which callers may cache an answer.
 async fn fetch_missing_stems(proxy: &Proxy, vms: &[VmView], own_id: u64) {
     let now_ms = proxy.now_ms();
     let missing: Vec<VmView> = {
--- a/crates/leverstream-proxy/src/at_most_once.rs
+++ b/crates/leverstream-proxy/src/at_most_once.rs
@@ -37,7 +37,7 @@
     pub message: Rc<Message>,
     /// The deadline of the request.
     pub deadline_ms: u64,
-    /// Whether a request of higher priority may displace this one when the queue is full.
+    /// Whether it has low priority and is displaced by others when the queue is full.
     pub gives_way: bool,
 }
 
@@ -112,7 +112,7 @@
         self.run_single().await
     }
 
-    /// Whether a request that has certainly not run may go to another backend server.
+    /// Returns whether a request that has certainly not run may go to another backend server.
     fn may_offer_again(&self, offers: usize) -> bool {
         let percent = self.view.doc.row.retry_budget_percent;
         let now_ms = self.proxy.now_ms();
--- a/crates/leverstream-proxy/src/attempt.rs
+++ b/crates/leverstream-proxy/src/attempt.rs
@@ -218,7 +218,7 @@
     }
 }
 
-/// Whether a status means a fault of the backend server rather than of the request.
+/// Returns whether a status means a fault of the backend server rather than of the request.
 pub(crate) fn is_server_fault(status: StatusCode) -> bool {
     matches!(status.as_u16(), 500 | 502..=504)
 }
--- a/crates/leverstream-proxy/src/conn.rs
+++ b/crates/leverstream-proxy/src/conn.rs
@@ -65,7 +65,7 @@
         Ok(Conn { stream })
     }
 
-    /// Whether an idle connection is still open and has no unread bytes.
+    /// Returns whether an idle connection is still open and has no unread bytes.
     pub fn is_clean(&self) -> bool {
         let mut byte = [0];
         let read = self.stream.try_read(&mut byte);
@@ -74,8 +74,8 @@
 
     /// Sends a request and reads the head of its answer.
     ///
-    /// `stage` moves to [`Stage::Sent`] before the first byte is written to the socket, so that code
-    /// that drops this future knows whether the request may have run.
+    /// `stage` moves to [`Stage::Sent`] before the first byte is written to the socket, so that the
+    /// code that drops this future knows whether the request may have run.
     pub(crate) async fn exchange(
         self,
         message: Message,
--- a/crates/leverstream-proxy/src/flight.rs
+++ b/crates/leverstream-proxy/src/flight.rs
@@ -33,7 +33,7 @@
     },
     /// A backend server announces that it drains.
     Draining {
-        /// The service of the request.
+        /// The service of the backend server.
         service: ServiceKey,
         /// The backend server.
         backend: BackendKey,
@@ -70,7 +70,7 @@
 pub(crate) enum Wake {
     /// A slot may be free; the request picks again.
     Retry,
-    /// A request of higher priority has displaced it from the full queue.
+    /// Another request has displaced it from the full queue, as it has low priority.
     Displaced,
 }
 
@@ -163,7 +163,8 @@
 
     /// Charges each request in flight with the units of bad evidence that its age amounts to now.
     ///
-    /// `units` maps an age in milliseconds to units. Returns the newly charged units of each request.
+    /// `units` maps an age in milliseconds to units. Returns the units newly charged to each request
+    /// that has any.
     pub fn charge(&self, now_ms: u64, units: impl Fn(f64) -> u8) -> Vec<u8> {
         let mut requests = self.requests.lock();
         let charges = requests.iter_mut().map(|(_, entry)| {
--- a/crates/leverstream-proxy/src/lib.rs
+++ b/crates/leverstream-proxy/src/lib.rs
@@ -1,5 +1,6 @@
-//! The request path of a VM: answers where callers connect, queues requests, picks a backend
-//! server, exchanges, retries, hedges, relays to other VMs and stores the answers of keyed requests.
+//! The request path of a VM: tells callers where to connect, queues requests, picks a backend
+//! server, sends, retries and hedges the request, relays it to another VM, and stores the answers
+//! of requests that must run at most once.
 //!
 //! Traffic threads share one [`Proxy`]. They read its [`Snapshot`] without locks and report their
 //! observations over a channel to the control thread, which publishes the next snapshot.
--- a/crates/leverstream-proxy/src/message.rs
+++ b/crates/leverstream-proxy/src/message.rs
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Whether the whole body is buffered, so that the request can be sent again.
+    /// Returns whether the whole body is buffered, so that the request can be sent again.
     pub fn is_whole(&self) -> bool {
         self.body.rest.is_none()
     }
--- a/crates/leverstream-proxy/src/repeatable.rs
+++ b/crates/leverstream-proxy/src/repeatable.rs
@@ -39,7 +39,7 @@
     pub message: Message,
     /// The deadline of the request.
     pub deadline_ms: u64,
-    /// Whether a request of higher priority may displace this one when the queue is full.
+    /// Whether it has low priority and is displaced by others when the queue is full.
     pub gives_way: bool,
     /// The backend servers tried so far.
     pub tried: RefCell<Vec<BackendKey>>,
@@ -49,7 +49,7 @@
 type Attempts = FuturesUnordered<LocalBoxFuture<'static, Result<Answer, Kind>>>;
 
 impl RepeatableRequest {
-    /// Runs the request until an attempt yields an answer, within the retry budget and the deadline.
+    /// Runs the request until an attempt yields an answer, within the retry budget and deadline.
     ///
     /// Fails as soon as no further attempt is allowed, without waiting for the deadline.
     pub async fn run(self) -> Result<Answer, Kind> {
@@ -107,8 +107,8 @@
 
     /// Lets a slow attempt continue after the request is answered, one at a time on each thread.
     ///
-    /// A cancelled attempt would only show that another one was faster. An attempt that continues to
-    /// stall adds evidence against its backend server.
+    /// A cancelled attempt would only show that another one was faster. An attempt that continues
+    /// to stall adds evidence against its backend server.
     fn detach_attempts(&self, mut attempts: Attempts) {
         if attempts.is_empty() || !MAY_DETACH.replace(false) {
             return;
@@ -137,7 +137,7 @@
         result
     }
 
-    /// Whether a failed attempt may be retried; takes the retry from the budget if so.
+    /// Returns whether a failed attempt may be retried; takes the retry from the budget if so.
     fn may_retry(&self, last_failure: Option<&Result<Answer, Kind>>) -> bool {
         let is_final = matches!(
             last_failure,
--- a/crates/leverstream-proxy/src/serve.rs
+++ b/crates/leverstream-proxy/src/serve.rs
@@ -105,7 +105,7 @@
     message: Message,
     /// The deadline of the request.
     deadline_ms: u64,
-    /// Whether a request of higher priority may displace this one when the queue is full.
+    /// Whether it has low priority and is displaced by others when the queue is full.
     gives_way: bool,
     /// Whether another VM has relayed the request to this one.
     is_relayed: bool,
@@ -150,7 +150,7 @@
         request.run().await
     }
 
-    /// Runs a request with a ticket at the ticket's home process: here, or on the VM it is relayed to.
+    /// Runs a request with a ticket if this process is the ticket's home, or relays it to its home.
     async fn run_keyed(mut self, ticket: &Ticket, key: &str) -> Result<Answer, Kind> {
         if ticket.stem.home == self.proxy.ticket_issuer.home() {
             self.serve_here().await?;
--- a/crates/leverstream-proxy/src/snapshot.rs
+++ b/crates/leverstream-proxy/src/snapshot.rs
@@ -132,7 +132,7 @@
         self.placement_of(doc).1
     }
 
-    /// The VMs that serve a service, with the placement by which a later change of them is detected.
+    /// The VMs that serve a service, and the placement, by which later changes are detected.
     pub fn placement_of(&self, doc: &ServiceDoc) -> (Placement, Vec<VmView>) {
         let slots = doc.backends.values().map(BackendRow::usable_slots).sum();
         let size = entry_set_size(doc.row.entry_vms, slots, self.halls);
--- a/crates/leverstream-wire/src/answer.rs
+++ b/crates/leverstream-wire/src/answer.rs
@@ -28,7 +28,7 @@
         matching.map(|(_, value)| value.as_slice())
     }
 
-    /// Whether the sender announces that it closes the connection after this answer.
+    /// Returns whether the sender announces that it closes the connection after this answer.
     pub fn closes_connection(&self) -> bool {
         let lists_close =
             |value: &str| value.split(',').any(|part| part.trim().eq_ignore_ascii_case("close"));
--- a/crates/leverstream-wire/src/conn.rs
+++ b/crates/leverstream-wire/src/conn.rs
@@ -36,7 +36,7 @@
     buffer: BytesMut,
     /// Whether another exchange may follow on the connection.
     is_reusable: bool,
-    /// The longest time without received bytes while an answer is awaited; none waits without limit.
+    /// The longest time without received bytes while an answer is awaited, if limited.
     read_timeout: Option<Duration>,
 }
 
@@ -65,14 +65,14 @@
 impl std::error::Error for WireError {}
 
 impl WireError {
-    /// Whether the other side has closed the connection after it was opened.
+    /// Returns whether the other side has closed the connection after it was opened.
     pub fn is_disconnect(self) -> bool {
         matches!(self, WireError::Send | WireError::Truncated)
     }
 }
 
 impl Progress {
-    /// Whether bytes of the request may have been sent.
+    /// Returns whether bytes of the request may have been sent.
     pub fn is_sent(&self) -> bool {
         self.sent.get()
     }
@@ -109,7 +109,7 @@
         Ok(conn)
     }
 
-    /// Whether an idle connection is still open, reusable and without unread bytes.
+    /// Returns whether an idle connection is still open, reusable and without unread bytes.
     pub fn is_clean(&self) -> bool {
         let mut byte = [0];
         let read = self.stream.try_read(&mut byte);
@@ -118,7 +118,7 @@
             && matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Whether another exchange may follow the last one.
+    /// Returns whether another exchange may follow the last one.
     pub fn is_reusable(&self) -> bool {
         self.is_reusable && self.buffer.is_empty()
     }
@@ -126,7 +126,7 @@
     /// Sends a request and reads answers until one belongs to the request.
     ///
     /// `on_head` receives each answer without its body as soon as the head is read, and returns
-    /// whether it belongs to the request. An answer to an earlier request on the connection is skipped.
+    /// whether it belongs to the request. Answers to earlier requests on the connection are skipped.
     pub async fn exchange(
         &mut self,
         request: &[u8],
--- a/crates/leverstream-wire/tests/exchange.rs
+++ b/crates/leverstream-wire/tests/exchange.rs
@@ -181,8 +181,8 @@
     });
 }
 
-/// Guards against a caller with a large upload that gets the answer to an earlier request. That answer
-/// arrives late on the reused connection, while the body is still being sent.
+/// Guards against a caller with a large upload that gets the answer to an earlier request: that
+/// answer arrives late on the reused connection, while the body is still being sent.
 #[test]
 fn answer_to_an_earlier_request_is_skipped_while_the_body_is_sent() {
     const BODY_BYTES: usize = 16 << 20;
@@ -220,7 +220,7 @@
 
 #[test]
 fn slow_answer_is_read_and_a_stalled_one_times_out() {
-    // Models the list of ten thousand backend servers, fetched over the slow and shared link of a VM.
+    // Models the list of ten thousand backend servers, fetched over a VM's slow and shared link.
     const PARTS: u64 = 30;
     let exchange_slowly = async |part_ms: u64, sent: u64| {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port is available");
