--- a/crates/leverstream-proxy/src/serve.rs
+++ b/crates/leverstream-proxy/src/serve.rs
@@ -93,7 +93,7 @@
     }
 }
 
-/// A request whose head is parsed and checked.
+/// A parsed and checked request of a caller.
 struct IncomingRequest<'a> {
     /// The state that traffic threads share.
     proxy: &'a Data<Proxy>,
