--- a/crates/leverstream-observe/src/count.rs
+++ b/crates/leverstream-observe/src/count.rs
@@ -1,3 +1,5 @@
+//! Registers counters whose values other components hold.
+
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::{DescriptorEncoder, EncodeMetric};
 use prometheus_client::metrics::counter::ConstCounter;
--- a/crates/leverstream-observe/src/log_writer.rs
+++ b/crates/leverstream-observe/src/log_writer.rs
@@ -1,3 +1,5 @@
+//! Structured logs on standard output, written in the background.
+
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
--- a/crates/leverstream-observe/src/logs.rs
+++ b/crates/leverstream-observe/src/logs.rs
@@ -1,3 +1,5 @@
+//! Plain text logs on standard error.
+
 use log::LevelFilter;
 use simplelog::{ConfigBuilder, WriteLogger};
 
--- a/crates/leverstream-observe/src/trace.rs
+++ b/crates/leverstream-observe/src/trace.rs
@@ -1,3 +1,5 @@
+//! The export of traces to an OTLP collector, and the propagation of trace context.
+
 use std::collections::HashMap;
 
 use opentelemetry::global;
--- a/crates/leverstream-proxy/src/acquire.rs
+++ b/crates/leverstream-proxy/src/acquire.rs
@@ -1,3 +1,5 @@
+//! Takes a slot at a backend server for a request, waiting in the queue of the service if needed.
+
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
--- a/crates/leverstream-proxy/src/admit.rs
+++ b/crates/leverstream-proxy/src/admit.rs
@@ -1,3 +1,5 @@
+//! Enforces the rate and in-flight limits that the row of a service sets for each VM.
+
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
--- a/crates/leverstream-proxy/src/answer.rs
+++ b/crates/leverstream-proxy/src/answer.rs
@@ -1,3 +1,5 @@
+//! The answers to callers: those of backend servers, and the errors that leverstream itself gives.
+
 use actix_http::StatusCode;
 use actix_http::body::SizedStream;
 use actix_web::HttpResponse;
--- a/crates/leverstream-proxy/src/ask.rs
+++ b/crates/leverstream-proxy/src/ask.rs
@@ -1,3 +1,5 @@
+//! Tells callers where to connect, and issues the tickets for requests that must run at most once.
+
 use std::net::SocketAddr;
 
 use actix_web::HttpResponse;
--- a/crates/leverstream-proxy/src/at_most_once.rs
+++ b/crates/leverstream-proxy/src/at_most_once.rs
@@ -1,3 +1,5 @@
+//! Runs requests that must run at most once, and stores the answers of those with a ticket.
+
 use std::rc::Rc;
 use std::sync::Arc;
 
--- a/crates/leverstream-proxy/src/attempt.rs
+++ b/crates/leverstream-proxy/src/attempt.rs
@@ -1,3 +1,5 @@
+//! Makes one attempt at a backend server and reports its outcome for the health of that server.
+
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/leverstream-proxy/src/conn.rs
+++ b/crates/leverstream-proxy/src/conn.rs
@@ -1,3 +1,5 @@
+//! An HTTP/1.1 connection that reports how far an exchange came and detects truncated answers.
+
 use std::cell::Cell;
 use std::future::poll_fn;
 use std::net::SocketAddr;
--- a/crates/leverstream-proxy/src/flight.rs
+++ b/crates/leverstream-proxy/src/flight.rs
@@ -1,3 +1,5 @@
+//! The requests in flight, and the state of services and backend servers between snapshots.
+
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
--- a/crates/leverstream-proxy/src/headers.rs
+++ b/crates/leverstream-proxy/src/headers.rs
@@ -1,3 +1,5 @@
+//! The headers that leverstream sets itself, and the headers that it forwards.
+
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
 
 /// Marks a request that another VM has relayed, so that it is not relayed again. In the answer it
--- a/crates/leverstream-proxy/src/message.rs
+++ b/crates/leverstream-proxy/src/message.rs
@@ -1,3 +1,5 @@
+//! A request with its body, buffered up to a limit or streamed from the caller.
+
 use std::cell::RefCell;
 use std::rc::Rc;
 
--- a/crates/leverstream-proxy/src/metrics.rs
+++ b/crates/leverstream-proxy/src/metrics.rs
@@ -1,3 +1,5 @@
+//! The metrics of the request path.
+
 use leverstream_error::Kind;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
--- a/crates/leverstream-proxy/src/pool.rs
+++ b/crates/leverstream-proxy/src/pool.rs
@@ -1,3 +1,5 @@
+//! A pool of idle connections for each traffic thread.
+
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/leverstream-proxy/src/proxy.rs
+++ b/crates/leverstream-proxy/src/proxy.rs
@@ -1,3 +1,5 @@
+//! The state and settings that all traffic threads of a process share.
+
 use std::collections::HashMap;
 use std::sync::Arc;
 
--- a/crates/leverstream-proxy/src/relay.rs
+++ b/crates/leverstream-proxy/src/relay.rs
@@ -1,3 +1,5 @@
+//! Relays requests to other VMs.
+
 use actix_web::web::Data;
 use leverstream_ask::SERVICE_HEADER;
 use leverstream_error::Kind;
--- a/crates/leverstream-proxy/src/repeatable.rs
+++ b/crates/leverstream-proxy/src/repeatable.rs
@@ -1,3 +1,5 @@
+//! Runs repeatable requests with retries and hedges, within the retry budget of the service.
+
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::sync::Arc;
--- a/crates/leverstream-proxy/src/serve.rs
+++ b/crates/leverstream-proxy/src/serve.rs
@@ -1,3 +1,5 @@
+//! Handles the requests on the callers' listener.
+
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::Arc;
--- a/crates/leverstream-proxy/src/snapshot.rs
+++ b/crates/leverstream-proxy/src/snapshot.rs
@@ -1,3 +1,5 @@
+//! The immutable view of the fleet and the service table that traffic threads read.
+
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/leverstream-wire/src/answer.rs
+++ b/crates/leverstream-wire/src/answer.rs
@@ -1,3 +1,5 @@
+//! An HTTP answer with its header fields and body.
+
 use bytes::Bytes;
 
 /// A whole HTTP answer.
--- a/crates/leverstream-wire/src/conn.rs
+++ b/crates/leverstream-wire/src/conn.rs
@@ -1,3 +1,5 @@
+//! A connection that sends requests and reads whole answers.
+
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/leverstream-wire/src/request.rs
+++ b/crates/leverstream-wire/src/request.rs
@@ -1,3 +1,5 @@
+//! Encodes the head of a request.
+
 /// Builds the head of a request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestHead {
