--- a/crates/leverstream-gateway/src/attempt.rs
+++ b/crates/leverstream-gateway/src/attempt.rs
@@ -131,7 +131,7 @@
     let answer = match answered {
         Ok(Ok(answer)) => answer,
         Ok(Err(error)) => {
-            if error.is_broken() && attempt.has_ended(address).await {
+            if error.is_disconnect() && attempt.has_ended(address).await {
                 inner.suspect_tracker.note_end(request, &incarnation, inner.now_ms());
                 inner.suspect_tracker.note_refused_connection(&incarnation, inner.now_ms());
             }
@@ -276,8 +276,8 @@
     match error {
         WireError::Connect => Kind::ConnectFailed,
         WireError::Send => Kind::SendFailed,
-        WireError::Cut | WireError::Silent => Kind::AnswerCut,
-        WireError::Garbled => Kind::AnswerInvalid,
+        WireError::Truncated | WireError::TimedOut => Kind::AnswerCut,
+        WireError::Malformed => Kind::AnswerInvalid,
     }
 }
 
--- a/crates/leverstream-node/src/control.rs
+++ b/crates/leverstream-node/src/control.rs
@@ -236,11 +236,18 @@
         for _ in 0..MAX_OBSERVATIONS_PER_TICK {
             let Ok(observation) = self.observations.try_recv() else { return };
             match observation {
-                Observation::Finished { service, backend, work, time_ms, charged, is_trial } => {
+                Observation::Finished {
+                    service,
+                    backend,
+                    outcome,
+                    time_ms,
+                    charged_units,
+                    is_trial,
+                } => {
                     let Some(service) = by_key.get_mut(&service) else { continue };
-                    service.health.finish(backend, work, time_ms, charged);
+                    service.health.finish(backend, outcome, time_ms, charged_units);
                     if is_trial {
-                        service.health.finish_trial(backend, work, time_ms, now_ms);
+                        service.health.finish_trial(backend, outcome, time_ms, now_ms);
                     }
                 }
                 Observation::Draining { service, backend } => {
@@ -289,7 +296,7 @@
     /// Recomputes the placement of a service and whether this VM serves it.
     fn update_placement(&mut self, doc: &Arc<ServiceDoc>, now_ms: u64) {
         let me = self.swim.me().identity.id;
-        let (placement, entry) = self.members.place(doc);
+        let (placement, entry) = self.members.placement_of(doc);
         self.placements.insert(doc.service.clone(), placement);
         let is_served_here =
             !doc.removed && doc.row.taken_over && entry.iter().any(|vm| vm.id == me);
@@ -484,7 +491,7 @@
             .map(|(name, service)| (name.clone(), Arc::new(service.view(now_ms))))
             .collect();
         self.proxy.snapshot.store(Arc::new(Snapshot {
-            me: VmView::from(self.swim.me()),
+            own_vm: VmView::from(self.swim.me()),
             serving,
             docs: Arc::clone(self.replica.docs()),
             members: Arc::clone(&self.members),
--- a/crates/leverstream-node/src/node.rs
+++ b/crates/leverstream-node/src/node.rs
@@ -14,7 +14,7 @@
 use futures_util::stream;
 use leverstream_health::eject_rule;
 use leverstream_member::{Identity, Swim, SwimSettings};
-use leverstream_observe::{Registry, register_count};
+use leverstream_observe::{Registry, register_counter};
 use leverstream_peer::{FleetKey, PACKET_LIMIT_BYTES, PeerServer};
 use leverstream_platform::{Call, Store};
 use leverstream_proxy::{
@@ -107,18 +107,18 @@
         let proxy = Data::new(Proxy {
             snapshot: ArcSwap::from_pointee(Snapshot::default()),
             clock,
-            mint: TicketIssuer::new(identity.id, settings.times.ticket_ttl_ms, &mut rng),
+            ticket_issuer: TicketIssuer::new(identity.id, settings.times.ticket_ttl_ms, &mut rng),
             ledger: Ledger::new(LedgerSettings {
                 max_requests: settings.limits.ledger_entries,
                 max_answer_bytes: settings.limits.ledger_answer_bytes,
             }),
-            metrics: Metrics::open(&mut registry),
+            metrics: Metrics::new(&mut registry),
             picker: picker(&settings.traffic.picker)
                 .ok_or(NodeError::UnsupportedSetting("traffic.picker"))?,
             settings: ProxySettings {
                 answer_holds_ms: settings.times.answer_holds_ms,
                 connect_timeout_ms: settings.times.connect_timeout_ms,
-                answer_limit_bytes: settings.limits.answer_bytes,
+                max_answer_bytes: settings.limits.answer_bytes,
             },
             observations: observation_sender,
             stem_requests: stem_sender,
@@ -235,7 +235,7 @@
     ];
     for (call, name) in counts {
         let calls = store.calls();
-        register_count(registry, name, "Calls to the platform", move || calls.count(call));
+        register_counter(registry, name, "Calls to the platform", move || calls.count(call));
     }
     Ok(store)
 }
--- a/crates/leverstream-node/src/peers.rs
+++ b/crates/leverstream-node/src/peers.rs
@@ -11,7 +11,7 @@
     Buckets, Digest, FetchReply, FetchRequest, FleetKey, MembersReply, MembersRequest, Peer,
     PeerClient, ServiceVersion, StemReply, StemRequest, TOKEN_METADATA, Versions,
 };
-use leverstream_proxy::{HeldStem, Proxy, VmView};
+use leverstream_proxy::{CachedStem, Proxy, VmView};
 use leverstream_table::ServiceDoc;
 use leverstream_ticket::Stem;
 use tonic::metadata::MetadataValue;
@@ -69,8 +69,8 @@
 impl Peer for PeerService {
     async fn stem(&self, request: Request<StemRequest>) -> Result<Response<StemReply>, Status> {
         self.check_token(&request)?;
-        let stem = self.proxy.mint.stem(self.proxy.now_ms()).to_bytes().to_vec();
-        Ok(Response::new(StemReply { stem, holds_ms: self.proxy.mint.ttl_ms() }))
+        let stem = self.proxy.ticket_issuer.stem(self.proxy.now_ms()).to_bytes().to_vec();
+        Ok(Response::new(StemReply { stem, holds_ms: self.proxy.ticket_issuer.ttl_ms() }))
     }
 
     async fn exchange(&self, request: Request<Digest>) -> Result<Response<Digest>, Status> {
@@ -246,7 +246,7 @@
     let reply = answer.into_inner();
     let stem = Stem::from_bytes(&reply.stem).filter(|stem| stem.home == vm.id);
     if let Some(stem) = stem {
-        let held = HeldStem { stem, holds_ms: reply.holds_ms, fetched_ms: requested_ms };
+        let held = CachedStem { stem, ttl_ms: reply.holds_ms, fetched_ms: requested_ms };
         proxy.stems.lock().insert(vm.id, held);
     }
 }
--- a/crates/leverstream-node/src/service.rs
+++ b/crates/leverstream-node/src/service.rs
@@ -9,7 +9,7 @@
 };
 use leverstream_peer::{BackendDigest, ServiceDigest};
 use leverstream_proxy::{
-    BackendLive, BackendView, ServiceKey, ServiceLive, ServiceView, Serving, VmView,
+    BackendState, BackendView, ServiceKey, ServiceState, ServiceView, Serving, VmView,
 };
 use leverstream_table::{BackendRow, ServiceDoc};
 
@@ -30,7 +30,7 @@
     /// The health of its backend servers.
     pub health: Health,
     /// The counters that traffic threads update.
-    pub live: Arc<ServiceLive>,
+    pub live: Arc<ServiceState>,
     /// Until when this VM serves the service although it is not among its entry VMs.
     pub serves_until_ms: Option<u64>,
     /// All backend servers since the start, indexed by key.
@@ -46,7 +46,7 @@
     /// The row, as long as the table has one.
     row: Option<BackendRow>,
     /// The counters that traffic threads update.
-    live: Arc<BackendLive>,
+    live: Arc<BackendState>,
     /// The digest for other VMs.
     digest: BackendDigest,
     /// When the digest last changed.
@@ -67,7 +67,7 @@
             doc: Arc::clone(doc),
             entry_vms: Vec::new(),
             health: Health::open(settings, rule, now_ms),
-            live: ServiceLive::open(key, now_ms),
+            live: ServiceState::new(key, now_ms),
             serves_until_ms: None,
             backends: Vec::new(),
             by_name: HashMap::new(),
@@ -146,18 +146,18 @@
                     is_trial: fitness.is_trial && row.accepts_requests(),
                     others_in_flight: fitness.others_in_flight,
                     slow_ms: fitness.slow_ms,
-                    live: Arc::clone(&self.backends[key.0 as usize].live),
+                    state: Arc::clone(&self.backends[key.0 as usize].live),
                 }
             })
             .collect();
         let serving = Serving {
-            live: Arc::clone(&self.live),
+            state: Arc::clone(&self.live),
             backends,
             typical_ms: self.health.typical_ms(),
         };
         ServiceView {
             doc: Arc::clone(&self.doc),
-            entry: self.entry_vms.clone(),
+            entry_vms: self.entry_vms.clone(),
             serving: Some(serving),
         }
     }
--- a/crates/leverstream-proxy/src/acquire.rs
+++ b/crates/leverstream-proxy/src/acquire.rs
@@ -1,3 +1,5 @@
+//! Takes a slot at a backend server for a request, waiting in the queue of the service if needed.
+
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
@@ -7,38 +9,38 @@
 use tokio::sync::oneshot;
 use tracing::Instrument;
 
-use crate::flight::{Flight, Wake};
+use crate::flight::{InFlightRequest, Wake};
 use crate::{Proxy, ServiceView, Serving};
 
-/// How often a pick is made anew after losing its slot to another thread.
-const PICK_TRIES: u32 = 4;
+/// How many times a pick is made before giving up when other threads take the chosen slots.
+const MAX_PICK_TRIES: u32 = 4;
 
-/// What a request needs to know to wait for a slot.
+/// The parameters of a request that needs a slot.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Wanted<'a> {
-    /// What pickers are told.
+pub(crate) struct SlotRequest<'a> {
+    /// What the picker takes into account.
     pub request: Request<'a>,
-    /// Whether it gives way to others when the queue is full.
+    /// Whether it has low priority and is displaced by others when the queue is full.
     pub gives_way: bool,
-    /// When it must have been answered.
+    /// The deadline of the request.
     pub deadline_ms: u64,
 }
 
-/// A slot at a backend server.
+/// A slot taken at a backend server.
 pub(crate) struct Slot {
     /// The service as it was when the slot was taken.
     pub view: Arc<ServiceView>,
-    /// The backend server's index in the view.
+    /// The index of the backend server in the view.
     pub index: usize,
-    /// The slot.
-    pub flight: Flight,
+    /// The request that holds the slot.
+    pub in_flight_request: InFlightRequest,
 }
 
-/// Takes a slot at a fit backend server, waiting in the queue while none is free.
+/// Takes a slot at an eligible backend server, waiting in the queue while none is free.
 pub(crate) async fn acquire(
     proxy: &Proxy,
     service: &str,
-    wanted: Wanted<'_>,
+    slot_request: SlotRequest<'_>,
 ) -> Result<Slot, Kind> {
     let mut has_waited = false;
     loop {
@@ -48,46 +50,57 @@
         if !serving.backends.iter().any(|backend| backend.weight > 0.0 || backend.is_trial) {
             return Err(Kind::NoBackend);
         }
-        // Whoever waits already goes first.
-        if (has_waited || serving.live.queued() == 0)
-            && let Some((index, flight)) = try_pick(proxy, serving, wanted.request)
+        // Requests that already wait in the queue go first.
+        if (has_waited || serving.state.queued() == 0)
+            && let Some((index, in_flight_request)) = try_pick(proxy, serving, slot_request.request)
         {
-            return Ok(Slot { view: Arc::clone(&view), index, flight });
+            return Ok(Slot { view: Arc::clone(&view), index, in_flight_request });
         }
         let span = tracing::trace_span!("queue");
-        wait(proxy, &view, serving, wanted).instrument(span).await?;
+        wait(proxy, &view, serving, slot_request).instrument(span).await?;
         has_waited = true;
     }
 }
 
-/// Takes a slot if one is free now.
-fn try_pick(proxy: &Proxy, serving: &Serving, request: Request<'_>) -> Option<(usize, Flight)> {
+/// Takes a slot without waiting, if one is free.
+fn try_pick(
+    proxy: &Proxy,
+    serving: &Serving,
+    request: Request<'_>,
+) -> Option<(usize, InFlightRequest)> {
     let _span = tracing::trace_span!("pick").entered();
     let now_ms = proxy.now_ms();
     let mut rng = rand::rng();
-    for _ in 0..PICK_TRIES {
+    for _ in 0..MAX_PICK_TRIES {
         let candidates: Vec<Candidate> = serving.backends.iter().map(candidate).collect();
-        let count = u64::from(serving.live.turn.fetch_add(1, Ordering::Relaxed));
-        let mut turn = PickContext { count, rng: &mut rng };
-        let key: BackendKey = choose(proxy.picker, &candidates, request, &mut turn)?;
+        let count = u64::from(serving.state.pick_count.fetch_add(1, Ordering::Relaxed));
+        let mut context = PickContext { count, rng: &mut rng };
+        let key: BackendKey = choose(proxy.picker, &candidates, request, &mut context)?;
         let index = serving.backends.iter().position(|backend| backend.key == key)?;
         let backend = &serving.backends[index];
-        let begun = backend.live.begin(backend.slots, backend.others_in_flight, now_ms);
-        if let Some(mark) = begun {
-            let (live, is_trial) = (&backend.live, backend.is_trial);
+        let reserved = backend.state.try_reserve(backend.slots, backend.others_in_flight, now_ms);
+        if let Some(entry_index) = reserved {
+            let (state, is_trial) = (&backend.state, backend.is_trial);
             let observations = &proxy.observations;
             return Some((
                 index,
-                Flight::open(&serving.live, key, live, mark, is_trial, observations),
+                InFlightRequest::new(
+                    &serving.state,
+                    key,
+                    state,
+                    entry_index,
+                    is_trial,
+                    observations,
+                ),
             ));
         }
     }
     None
 }
 
-/// A backend server as pickers see it.
+/// Describes a backend server to the picker.
 fn candidate(backend: &crate::BackendView) -> Candidate {
-    let own = backend.live.in_flight();
+    let own = backend.state.in_flight();
     Candidate {
         key: backend.key,
         load: own + backend.others_in_flight,
@@ -98,53 +111,53 @@
     }
 }
 
-/// Waits in the service's queue until it is time to try again.
+/// Waits in the queue of the service until a slot may be free.
 async fn wait(
     proxy: &Proxy,
     view: &ServiceView,
     serving: &Serving,
-    wanted: Wanted<'_>,
+    slot_request: SlotRequest<'_>,
 ) -> Result<(), Kind> {
     let (waker, woken) = oneshot::channel();
     let arrival = Arrival {
-        deadline_ms: wanted.deadline_ms,
-        gives_way: wanted.gives_way,
+        deadline_ms: slot_request.deadline_ms,
+        gives_way: slot_request.gives_way,
         typical_ms: serving.typical_ms,
         slots: serving.backends.iter().map(|backend| backend.slots).sum(),
     };
-    let place = {
+    let position = {
         let limit = view.doc.row.queue as usize;
-        let mut waiting = serving.live.waiting.lock();
-        let (place, displaced) = waiting.queue.enter(arrival, limit, proxy.now_ms())?;
-        if let Some(waker) = displaced.and_then(|place| waiting.wakers.remove(&place)) {
-            let _ = waker.send(Wake::GiveWay);
+        let mut waiting = serving.state.waiting.lock();
+        let (position, displaced) = waiting.queue.enter(arrival, limit, proxy.now_ms())?;
+        if let Some(waker) = displaced.and_then(|position| waiting.wakers.remove(&position)) {
+            let _ = waker.send(Wake::Displaced);
         }
-        waiting.wakers.insert(place, waker);
-        place
+        waiting.wakers.insert(position, waker);
+        position
     };
-    let leave = Leave { serving, place };
-    let deadline = proxy.clock.instant_at(wanted.deadline_ms).into();
+    let queue_guard = QueueGuard { serving, position };
+    let deadline = proxy.clock.instant_at(slot_request.deadline_ms).into();
     let woken = tokio::time::timeout_at(deadline, woken).await;
-    drop(leave);
+    drop(queue_guard);
     match woken {
-        Ok(Ok(Wake::Try)) => Ok(()),
-        Ok(Ok(Wake::GiveWay) | Err(_)) => Err(Kind::QueueFull),
+        Ok(Ok(Wake::Retry)) => Ok(()),
+        Ok(Ok(Wake::Displaced) | Err(_)) => Err(Kind::QueueFull),
         Err(_) => Err(Kind::DeadlinePassed),
     }
 }
 
-/// Takes a place out of the queue, also when the caller goes away while it waits.
-struct Leave<'a> {
-    /// The service.
+/// Removes a request from the queue when dropped, also when its caller disconnects meanwhile.
+struct QueueGuard<'a> {
+    /// The service with the queue.
     serving: &'a Serving,
-    /// The place.
-    place: leverstream_route::QueuePosition,
+    /// The position in the queue.
+    position: leverstream_route::QueuePosition,
 }
 
-impl Drop for Leave<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        let mut waiting = self.serving.live.waiting.lock();
-        waiting.queue.leave(self.place);
-        waiting.wakers.remove(&self.place);
+        let mut waiting = self.serving.state.waiting.lock();
+        waiting.queue.leave(self.position);
+        waiting.wakers.remove(&self.position);
     }
 }
--- a/crates/leverstream-proxy/src/answer.rs
+++ b/crates/leverstream-proxy/src/answer.rs
@@ -1,3 +1,5 @@
+//! The answers to callers: those of backend servers, and the errors that leverstream itself gives.
+
 use actix_http::StatusCode;
 use actix_http::body::SizedStream;
 use actix_web::HttpResponse;
@@ -7,15 +9,15 @@
 use leverstream_error::{KIND_HEADER, Kind, OUTCOME_HEADER, RETRY_AFTER_HEADER};
 use serde::Serialize;
 
-use crate::attempt::Tail;
+use crate::attempt::BodyRest;
 use crate::headers;
-use crate::metrics::InFlight;
+use crate::metrics::InFlightGuard;
 
-/// An answer on its way to the caller.
+/// An answer to send to the caller.
 pub(crate) struct Answer {
-    /// The status.
+    /// The status code.
     pub status: StatusCode,
-    /// The headers that go on.
+    /// The headers, before hop-by-hop ones are removed.
     pub headers: HeaderMap,
     /// The body.
     pub body: AnswerBody,
@@ -23,35 +25,35 @@
 
 /// The body of an answer.
 pub(crate) enum AnswerBody {
-    /// All of it.
+    /// The whole body.
     Whole(Bytes),
-    /// Its start, with the rest still arriving.
+    /// The start of a body whose rest is still arriving.
     Streaming {
-        /// What has arrived.
+        /// The part that has arrived.
         start: Bytes,
-        /// What is still to come.
-        tail: Box<Tail>,
-        /// The whole length, if it is known.
+        /// Reads the rest.
+        rest: Box<BodyRest>,
+        /// The length of the whole body in bytes, if known.
         length: Option<u64>,
     },
 }
 
-/// What an answer of leverstream's own says, besides its headers.
+/// The JSON body of an answer that leverstream itself gives.
 #[derive(Debug, Serialize)]
 struct ErrorBody {
-    /// The kind's name.
+    /// The name of the error kind.
     error: String,
-    /// What became of the request.
+    /// Whether the request ran.
     outcome: String,
     /// What the caller may do next.
     next: String,
-    /// When to come back.
+    /// After how long to retry.
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_after_ms: Option<u32>,
 }
 
-/// Writes an answer of leverstream's own.
-pub(crate) fn refuse(kind: Kind) -> HttpResponse {
+/// Builds the error response for a kind.
+pub(crate) fn error_response(kind: Kind) -> HttpResponse {
     let answer = kind.answer();
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = HttpResponse::build(status);
@@ -70,42 +72,42 @@
 }
 
 impl Answer {
-    /// Writes the answer to the caller; it counts as under way until all of it has gone out.
-    pub fn respond(self, counted: InFlight) -> HttpResponse {
+    /// Builds the caller's response; the request counts as in flight until all of it is sent.
+    pub fn respond(self, in_flight_guard: InFlightGuard) -> HttpResponse {
         let mut response = HttpResponse::build(self.status);
         for (name, value) in &headers::forwarded(&self.headers) {
             response.append_header((name.clone(), value.clone()));
         }
         match self.body {
             AnswerBody::Whole(body) => response.body(body),
-            AnswerBody::Streaming { start, tail, length: Some(length) } => {
-                response.body(SizedStream::new(length, parts(start, tail, counted)))
+            AnswerBody::Streaming { start, rest, length: Some(length) } => {
+                response.body(SizedStream::new(length, stream_body(start, rest, in_flight_guard)))
             }
-            AnswerBody::Streaming { start, tail, length: None } => {
-                response.streaming(parts(start, tail, counted))
+            AnswerBody::Streaming { start, rest, length: None } => {
+                response.streaming(stream_body(start, rest, in_flight_guard))
             }
         }
     }
 }
 
-/// The parts of a body as they arrive; an error ends the caller's connection without a clean end.
-fn parts(
+/// Streams a body as it arrives; an error closes the caller's connection without a clean end.
+fn stream_body(
     start: Bytes,
-    tail: Box<Tail>,
-    counted: InFlight,
+    rest: Box<BodyRest>,
+    in_flight_guard: InFlightGuard,
 ) -> impl futures_util::Stream<Item = Result<Bytes, std::io::Error>> {
-    let left = (Some(start), Some(tail), counted);
-    stream::unfold(left, |(start, tail, counted)| async move {
+    let state = (Some(start), Some(rest), in_flight_guard);
+    stream::unfold(state, |(start, rest, in_flight_guard)| async move {
         if let Some(start) = start.filter(|start| !start.is_empty()) {
-            return Some((Ok(start), (None, tail, counted)));
+            return Some((Ok(start), (None, rest, in_flight_guard)));
         }
-        let mut tail = tail?;
-        match tail.next().await {
-            Ok(Some(part)) => Some((Ok(part), (None, Some(tail), counted))),
+        let mut rest = rest?;
+        match rest.next().await {
+            Ok(Some(part)) => Some((Ok(part), (None, Some(rest), in_flight_guard))),
             Ok(None) => None,
-            Err(broken) => {
-                let error = std::io::Error::other(broken.kind.to_string());
-                Some((Err(error), (None, None, counted)))
+            Err(error) => {
+                let error = std::io::Error::other(error.kind.to_string());
+                Some((Err(error), (None, None, in_flight_guard)))
             }
         }
     })
--- a/crates/leverstream-proxy/src/ask.rs
+++ b/crates/leverstream-proxy/src/ask.rs
@@ -1,3 +1,5 @@
+//! Tells callers where to connect, and issues the tickets for requests that must run at most once.
+
 use std::net::SocketAddr;
 
 use actix_web::HttpResponse;
@@ -10,44 +12,44 @@
 use serde::Deserialize;
 use tokio::sync::oneshot;
 
-use crate::answer::refuse;
+use crate::answer::error_response;
 use crate::{Proxy, ServiceView, VmView};
 
-/// A stem made by another VM.
+/// A cached ticket stem that another VM issued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldStem {
-    /// The stem.
+pub struct CachedStem {
+    /// The ticket stem.
     pub stem: Stem,
-    /// How long it holds from when it was fetched.
-    pub holds_ms: u64,
+    /// How long it is valid after it was fetched.
+    pub ttl_ms: u64,
     /// When it was fetched, on the local clock.
     pub fetched_ms: u64,
 }
 
-/// Asks the control thread to fetch stems of other VMs.
+/// Asks the control thread to fetch the ticket stems of other VMs.
 pub struct StemRequest {
-    /// The VMs.
+    /// The VMs whose stems are missing.
     pub vms: Vec<VmView>,
-    /// Told when the fetches have ended, well or not.
+    /// Signals that all fetches have ended, successfully or not.
     pub done: oneshot::Sender<()>,
 }
 
-/// Asks the control thread to serve a service here although this VM is not of its set.
+/// Asks the control thread to serve a service on this VM although it is not in the entry set.
 pub struct ServeRequest {
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// Told when it is served, or cannot be.
+    /// Signals that the service is served, or cannot be.
     pub done: oneshot::Sender<()>,
 }
 
-/// What a caller may say when it asks.
+/// The query parameters of a caller that asks where to connect.
 #[derive(Debug, Deserialize)]
 pub(crate) struct AskQuery {
-    /// The hall that the caller is nearest to.
+    /// The data hall nearest to the caller.
     hall: Option<String>,
 }
 
-/// Answers where to connect for a service.
+/// Answers where callers of a service connect.
 pub(crate) async fn ask(
     proxy: Data<Proxy>,
     service: Path<String>,
@@ -56,16 +58,16 @@
     proxy.metrics.asks.inc();
     let view = proxy.snapshot.load().service(&service);
     let Some(view) = view else {
-        proxy.metrics.refuse(Kind::ServiceUnknown);
-        return refuse(Kind::ServiceUnknown);
+        proxy.metrics.count_refusal(Kind::ServiceUnknown);
+        return error_response(Kind::ServiceUnknown);
     };
     if !view.doc.row.taken_over {
-        return HttpResponse::Ok().json(scripts(&proxy, &view));
+        return HttpResponse::Ok().json(script_answer(&proxy, &view));
     }
     let entries = entries(&proxy, &view, query.hall.as_deref()).await;
     if entries.is_empty() {
-        proxy.metrics.refuse(Kind::NoBackend);
-        return refuse(Kind::NoBackend);
+        proxy.metrics.count_refusal(Kind::NoBackend);
+        return error_response(Kind::NoBackend);
     }
     HttpResponse::Ok().json(AskAnswer {
         service: view.doc.service.clone(),
@@ -75,8 +77,9 @@
     })
 }
 
-/// The answer for a service that the scripts still serve.
-fn scripts(proxy: &Proxy, view: &ServiceView) -> AskAnswer {
+/// The answer for a service that is not taken over yet: the addresses of the scripts that still
+/// serve it, without tickets.
+fn script_answer(proxy: &Proxy, view: &ServiceView) -> AskAnswer {
     let entry = |address: SocketAddr| Entry {
         address,
         hall: String::new(),
@@ -91,21 +94,24 @@
     }
 }
 
-/// The service's VMs that take callers and have given a stem, nearest first.
+/// The entry VMs that accept callers and whose ticket stem is known, nearest hall first.
 ///
-/// Within a hall chance decides the order, which spreads the callers.
+/// The order within a hall is random, which spreads the callers.
 async fn entries(proxy: &Proxy, view: &ServiceView, hall: Option<&str>) -> Vec<Entry> {
-    let me = proxy.snapshot.load().me.clone();
-    let mut vms: Vec<VmView> = view.entry.iter().filter(|vm| vm.takes_callers).cloned().collect();
-    let hall = hall.unwrap_or(&me.hall);
+    let own_vm = proxy.snapshot.load().own_vm.clone();
+    let mut vms: Vec<VmView> =
+        view.entry_vms.iter().filter(|vm| vm.takes_callers).cloned().collect();
+    let hall = hall.unwrap_or(&own_vm.hall);
     vms.shuffle(&mut rand::rng());
     vms.sort_by_key(|vm| vm.hall != hall);
-    fetch_missing(proxy, &vms, me.id).await;
-    vms.iter().filter_map(|vm| entry(proxy, vm, me.id)).collect()
+    fetch_missing_stems(proxy, &vms, own_vm.id).await;
+    vms.iter().filter_map(|vm| entry(proxy, vm, own_vm.id)).collect()
 }
 
-/// Has the control thread fetch the stems that are not at hand.
-async fn fetch_missing(proxy: &Proxy, vms: &[VmView], me: u64) {
+/// Has the control thread fetch the stems that are missing or too old.
+///
+/// A stem is too old after half the time for which callers may cache an answer.
+async fn fetch_missing_stems(proxy: &Proxy, vms: &[VmView], own_id: u64) {
     let now_ms = proxy.now_ms();
     let missing: Vec<VmView> = {
         let stems = proxy.stems.lock();
@@ -113,7 +119,7 @@
             let stem = stems.get(&vm.id);
             stem.is_some_and(|stem| now_ms - stem.fetched_ms < proxy.settings.answer_holds_ms / 2)
         };
-        vms.iter().filter(|vm| vm.id != me && !is_fresh(vm)).cloned().collect()
+        vms.iter().filter(|vm| vm.id != own_id && !is_fresh(vm)).cloned().collect()
     };
     if missing.is_empty() {
         return;
@@ -124,21 +130,21 @@
     }
 }
 
-/// An entry of the answer with a ticket of its own, if the VM's stem is at hand.
-fn entry(proxy: &Proxy, vm: &VmView, me: u64) -> Option<Entry> {
+/// The answer's entry for a VM, with a new ticket, if the stem of the VM is known.
+fn entry(proxy: &Proxy, vm: &VmView, own_id: u64) -> Option<Entry> {
     let now_ms = proxy.now_ms();
-    let (stem, holds_ms) = if vm.id == me {
-        (proxy.mint.stem(now_ms), proxy.mint.ttl_ms())
+    let (stem, ttl_ms) = if vm.id == own_id {
+        (proxy.ticket_issuer.stem(now_ms), proxy.ticket_issuer.ttl_ms())
     } else {
-        let held = *proxy.stems.lock().get(&vm.id)?;
-        let age_ms = now_ms.saturating_sub(held.fetched_ms);
-        (held.stem, held.holds_ms.checked_sub(age_ms).filter(|left_ms| *left_ms > 0)?)
+        let cached = *proxy.stems.lock().get(&vm.id)?;
+        let age_ms = now_ms.saturating_sub(cached.fetched_ms);
+        (cached.stem, cached.ttl_ms.checked_sub(age_ms).filter(|left_ms| *left_ms > 0)?)
     };
     let ticket = Ticket { stem, nonce: rand::rng().random() };
     Some(Entry {
         address: vm.caller_address,
         hall: vm.hall.clone(),
         ticket: Some(ticket.to_string()),
-        ticket_holds_ms: Some(holds_ms),
+        ticket_holds_ms: Some(ttl_ms),
     })
 }
--- a/crates/leverstream-proxy/src/attempt.rs
+++ b/crates/leverstream-proxy/src/attempt.rs
@@ -1,3 +1,5 @@
+//! Makes one attempt at a backend server and reports its outcome for the health of that server.
+
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,59 +14,59 @@
 
 use crate::acquire::Slot;
 use crate::answer::{Answer, AnswerBody};
-use crate::conn::{Broken, Conn, Incoming, Stage};
-use crate::flight::{Counted, Flight};
+use crate::conn::{Conn, ExchangeError, IncomingBody, Stage};
+use crate::flight::{ConnectionGuard, InFlightRequest};
 use crate::headers::DRAINING_HEADER;
-use crate::message::{BUFFERED_BYTES, Message};
+use crate::message::{BODY_BUFFER_BYTES, Message};
 use crate::{Proxy, pool};
 
-/// How much of an answer is read before it goes on to the caller.
+/// How much of an answer is read before it is passed on to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reading {
-    /// Up to the buffer's size; the rest goes on as it arrives.
-    Start,
-    /// All of it, up to a limit in bytes.
+pub(crate) enum ReadMode {
+    /// Up to [`BODY_BUFFER_BYTES`]; the rest is streamed as it arrives.
+    Buffered,
+    /// The whole answer, up to a limit in bytes.
     Whole(usize),
 }
 
-/// What an attempt at a backend server came to.
-pub(crate) struct Tried {
-    /// Where it was made.
+/// The result of an attempt at a backend server.
+pub(crate) struct AttemptResult {
+    /// The backend server that was tried.
     pub backend: BackendKey,
-    /// The answer, or why there is none.
+    /// The answer, or the failure.
     pub result: Result<Answer, Kind>,
 }
 
-/// Where an exchange goes and by when.
+/// The destination and deadline of an exchange.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Target {
-    /// The address.
+    /// The address to connect to.
     pub address: SocketAddr,
-    /// When the answer must be whole.
+    /// The deadline for the whole answer.
     pub deadline_ms: u64,
-    /// Whether a connection that was used before will do.
+    /// Whether an idle connection may be reused.
     pub may_reuse: bool,
 }
 
-/// The rest of a body, still arriving.
-pub(crate) struct Tail {
-    /// The connection.
-    incoming: Incoming,
-    /// Where it goes once it is free.
+/// The rest of an answer's body, which is still arriving.
+pub(crate) struct BodyRest {
+    /// The body on its connection.
+    incoming: IncomingBody,
+    /// The address under which the connection returns to the pool.
     address: SocketAddr,
-    /// When the body must have ended.
+    /// The deadline for the end of the body.
     deadline: std::time::Instant,
-    /// The process's clock.
+    /// The clock of the process.
     clock: crate::Clock,
-    /// The slot that the request holds, if it went to a backend server.
-    held: Option<(Flight, Counted)>,
+    /// The slot and connection count of the request; none for an answer of another VM.
+    slot: Option<(InFlightRequest, ConnectionGuard)>,
 }
 
-impl Tail {
-    /// Reads the next part; none at the true end.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, Broken> {
+impl BodyRest {
+    /// Reads the next part; returns none only at the end that the framing marks.
+    pub async fn next(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         let part = tokio::time::timeout_at(self.deadline.into(), self.incoming.next()).await;
-        let part = part.unwrap_or(Err(Broken { kind: Kind::AnswerTimeout }));
+        let part = part.unwrap_or(Err(ExchangeError { kind: Kind::AnswerTimeout }));
         match &part {
             Ok(Some(_)) => {}
             Ok(None) => self.end(RequestOutcome::Good),
@@ -73,13 +75,13 @@
         part
     }
 
-    /// Tells how the work ended and keeps the connection if it is fit.
-    fn end(&mut self, work: RequestOutcome) {
+    /// Reports the outcome of the request and returns a reusable connection to the pool.
+    fn end(&mut self, outcome: RequestOutcome) {
         if let Some(conn) = self.incoming.take_reusable() {
             pool::put(self.address, conn, self.clock.now_ms());
         }
-        if let Some((flight, _)) = self.held.take() {
-            flight.end(work);
+        if let Some((in_flight_request, _)) = self.slot.take() {
+            in_flight_request.finish(outcome);
         }
     }
 }
@@ -91,17 +93,18 @@
     message: &Message,
     deadline_ms: u64,
     may_reuse: bool,
-    reading: Reading,
-) -> Tried {
-    let Slot { view, index, flight } = slot;
+    read_mode: ReadMode,
+) -> AttemptResult {
+    let Slot { view, index, in_flight_request } = slot;
     let Some(backend) = view.serving.as_ref().and_then(|serving| serving.backends.get(index))
     else {
-        return Tried { backend: BackendKey(u32::MAX), result: Err(Kind::NoBackend) };
+        return AttemptResult { backend: BackendKey(u32::MAX), result: Err(Kind::NoBackend) };
     };
     proxy.metrics.attempts.inc();
     let key = backend.key;
-    let Some(counted) = Counted::open(&backend.live, backend.connections) else {
-        return Tried { backend: key, result: Err(Kind::NoBackend) };
+    let Some(connection_guard) = ConnectionGuard::try_acquire(&backend.state, backend.connections)
+    else {
+        return AttemptResult { backend: key, result: Err(Kind::NoBackend) };
     };
     let target = Target { address: backend.address, deadline_ms, may_reuse };
     let span = tracing::trace_span!("attempt", backend = %backend.name);
@@ -109,40 +112,40 @@
     let (head_status, headers, incoming) = match exchanged {
         Ok(parts) => parts,
         Err(kind) => {
-            flight.end(work_of(kind));
-            return Tried { backend: key, result: Err(kind) };
+            in_flight_request.finish(outcome_of(kind));
+            return AttemptResult { backend: key, result: Err(kind) };
         }
     };
     if headers.contains_key(DRAINING_HEADER) {
-        flight.drain();
+        in_flight_request.report_draining();
     }
     if view.doc.row.shed_statuses.contains(&head_status.as_u16()) {
-        flight.end(RequestOutcome::NoEvidence);
-        return Tried { backend: key, result: Err(Kind::Shed) };
+        in_flight_request.finish(RequestOutcome::NoEvidence);
+        return AttemptResult { backend: key, result: Err(Kind::Shed) };
     }
-    let mut tail = Tail {
+    let mut rest = BodyRest {
         incoming,
         address: backend.address,
         deadline: proxy.clock.instant_at(deadline_ms),
         clock: proxy.clock,
-        held: Some((flight, counted)),
+        slot: Some((in_flight_request, connection_guard)),
     };
     let is_fault = is_server_fault(head_status);
-    if is_fault && let Some((flight, _)) = tail.held.take() {
-        flight.end(RequestOutcome::Failed);
+    if is_fault && let Some((in_flight_request, _)) = rest.slot.take() {
+        in_flight_request.finish(RequestOutcome::Failed);
     }
     let span = tracing::trace_span!("last-byte");
-    let read = read_body(tail, &headers, reading).instrument(span).await;
+    let read = read_body(rest, &headers, read_mode).instrument(span).await;
     let result = read.map(|body| Answer { status: head_status, headers, body });
-    Tried { backend: key, result: result.map_err(|broken| broken.kind) }
+    AttemptResult { backend: key, result: result.map_err(|error| error.kind) }
 }
 
-/// Sends a request and reads the head of its answer, by the deadline.
+/// Sends a request and reads the head of its answer before the deadline.
 pub(crate) async fn exchange(
     proxy: &Proxy,
     target: Target,
     mut message: Message,
-) -> Result<(StatusCode, HeaderMap, Incoming), Kind> {
+) -> Result<(StatusCode, HeaderMap, IncomingBody), Kind> {
     let stage = Rc::new(Cell::new(Stage::Unsent));
     let whole = async {
         let conn = connect(proxy, target).await?;
@@ -152,7 +155,7 @@
             message.set("traceparent", &traceparent);
         }
         let span = tracing::trace_span!("exchange");
-        conn.exchange(message, &stage).instrument(span).await.map_err(|broken| broken.kind)
+        conn.exchange(message, &stage).instrument(span).await.map_err(|error| error.kind)
     };
     let deadline = proxy.clock.instant_at(target.deadline_ms).into();
     match tokio::time::timeout_at(deadline, whole).await {
@@ -167,7 +170,7 @@
     }
 }
 
-/// Takes an idle connection or opens one.
+/// Takes an idle connection from the pool or opens a new one.
 async fn connect(proxy: &Proxy, target: Target) -> Result<Conn, Kind> {
     if target.may_reuse
         && let Some(conn) = pool::take(target.address, proxy.now_ms())
@@ -182,48 +185,48 @@
     }
 }
 
-/// Reads as much of a body as is wanted before the answer goes on.
+/// Reads as much of a body as `read_mode` asks for before the answer is passed on.
 pub(crate) async fn read_body(
-    mut tail: Tail,
+    mut rest: BodyRest,
     headers: &HeaderMap,
-    reading: Reading,
-) -> Result<AnswerBody, Broken> {
-    let limit = match reading {
-        Reading::Start => BUFFERED_BYTES,
-        Reading::Whole(limit) => limit,
+    read_mode: ReadMode,
+) -> Result<AnswerBody, ExchangeError> {
+    let limit = match read_mode {
+        ReadMode::Buffered => BODY_BUFFER_BYTES,
+        ReadMode::Whole(limit) => limit,
     };
     let length = content_length(headers);
     let mut start = BytesMut::new();
     while start.len() <= limit {
-        match tail.next().await? {
+        match rest.next().await? {
             Some(part) => start.extend_from_slice(&part),
             None => return Ok(AnswerBody::Whole(start.freeze())),
         }
     }
-    if let Reading::Whole(_) = reading {
-        return Err(Broken { kind: Kind::AnswerInvalid });
+    if let ReadMode::Whole(_) = read_mode {
+        return Err(ExchangeError { kind: Kind::AnswerInvalid });
     }
-    Ok(AnswerBody::Streaming { start: start.freeze(), tail: Box::new(tail), length })
+    Ok(AnswerBody::Streaming { start: start.freeze(), rest: Box::new(rest), length })
 }
 
-/// The rest of an answer that comes from another VM.
-pub(crate) fn relayed_tail(proxy: &Proxy, target: Target, incoming: Incoming) -> Tail {
-    Tail {
+/// Wraps the body of an answer from another VM, which holds no slot.
+pub(crate) fn relayed_body(proxy: &Proxy, target: Target, incoming: IncomingBody) -> BodyRest {
+    BodyRest {
         incoming,
         address: target.address,
         deadline: proxy.clock.instant_at(target.deadline_ms),
         clock: proxy.clock,
-        held: None,
+        slot: None,
     }
 }
 
-/// Tells whether a status speaks of a fault of the backend server rather than of the request.
+/// Returns whether a status means a fault of the backend server rather than of the request.
 pub(crate) fn is_server_fault(status: StatusCode) -> bool {
     matches!(status.as_u16(), 500 | 502..=504)
 }
 
-/// What a failure tells of the backend server's health.
-fn work_of(kind: Kind) -> RequestOutcome {
+/// The outcome that a failure counts as for the health of the backend server.
+fn outcome_of(kind: Kind) -> RequestOutcome {
     match kind {
         Kind::ConnectFailed => RequestOutcome::ConnectFailed,
         Kind::SendFailed | Kind::AnswerTimeout | Kind::AnswerCut | Kind::AnswerInvalid => {
@@ -233,7 +236,7 @@
     }
 }
 
-/// The length that an answer tells.
+/// The value of the `Content-Length` header, if it is valid.
 fn content_length(headers: &HeaderMap) -> Option<u64> {
     headers.get("content-length")?.to_str().ok()?.parse().ok()
 }
--- a/crates/leverstream-proxy/src/pool.rs
+++ b/crates/leverstream-proxy/src/pool.rs
@@ -1,33 +1,35 @@
+//! A pool of idle connections for each traffic thread.
+
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use crate::conn::Conn;
 
-/// How long an idle connection is kept, in milliseconds; less than most servers keep theirs.
-const IDLE_LIMIT_MS: u64 = 4_000;
+/// How long an idle connection is kept; shorter than the idle timeout of most servers.
+const MAX_IDLE_MS: u64 = 4_000;
 
-/// The most idle connections to one address that a thread keeps.
-const IDLE_LIMIT: usize = 32;
+/// The most idle connections to one address in the pool of a thread.
+const MAX_IDLE_CONNECTIONS: usize = 32;
 
 thread_local! {
-    /// The thread's idle connections.
+    /// The idle connections of this thread.
     static POOL: RefCell<Pool> = RefCell::default();
 }
 
-/// Idle connections by address, each with when it became idle.
+/// A pool of idle connections.
 #[derive(Default)]
 struct Pool {
-    /// The connections, the last idle at the end.
+    /// The connections by address, each with the time it became idle, the latest last.
     idle: HashMap<SocketAddr, Vec<(u64, Conn)>>,
 }
 
-/// Takes a clean idle connection of this thread.
+/// Takes an idle connection of this thread that is still usable.
 pub(crate) fn take(address: SocketAddr, now_ms: u64) -> Option<Conn> {
     POOL.with_borrow_mut(|pool| {
         let idle = pool.idle.get_mut(&address)?;
         while let Some((since_ms, conn)) = idle.pop() {
-            if now_ms.saturating_sub(since_ms) < IDLE_LIMIT_MS && conn.is_clean() {
+            if now_ms.saturating_sub(since_ms) < MAX_IDLE_MS && conn.is_clean() {
                 return Some(conn);
             }
         }
@@ -36,12 +38,12 @@
     })
 }
 
-/// Keeps a connection for this thread's next exchange.
+/// Returns a connection to the pool of this thread.
 pub(crate) fn put(address: SocketAddr, conn: Conn, now_ms: u64) {
     POOL.with_borrow_mut(|pool| {
         let idle = pool.idle.entry(address).or_default();
-        idle.retain(|(since_ms, _)| now_ms.saturating_sub(*since_ms) < IDLE_LIMIT_MS);
-        if idle.len() < IDLE_LIMIT {
+        idle.retain(|(since_ms, _)| now_ms.saturating_sub(*since_ms) < MAX_IDLE_MS);
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push((now_ms, conn));
         }
     });
--- a/crates/leverstream-proxy/src/serve.rs
+++ b/crates/leverstream-proxy/src/serve.rs
@@ -1,3 +1,5 @@
+//! Handles the requests on the callers' listener.
+
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -13,27 +15,27 @@
 use tokio::sync::oneshot;
 use tracing::Instrument;
 
-use crate::admit::Admitted;
-use crate::answer::{Answer, refuse};
+use crate::admit::AdmissionGuard;
+use crate::answer::{Answer, error_response};
 use crate::ask::{ServeRequest, ask};
-use crate::headers::{RELAYED_HEADER, text, vm_value};
-use crate::message::{BUFFERED_BYTES, Message};
-use crate::metrics::InFlight;
-use crate::once::{KEY_LIMIT_BYTES, Once};
+use crate::at_most_once::{AtMostOnceRequest, MAX_KEY_BYTES};
+use crate::headers::{RELAYED_HEADER, process_id_value, text};
+use crate::message::{BODY_BUFFER_BYTES, Message};
+use crate::metrics::InFlightGuard;
 use crate::relay;
-use crate::repeat::Repeat;
+use crate::repeatable::RepeatableRequest;
 use crate::{Proxy, ServiceView};
 
-/// Sets up the callers' listener.
+/// Registers the routes of the callers' listener.
 pub fn configure(config: &mut ServiceConfig) {
     config.route("/v1/connect/{service}", web::get().to(ask)).default_service(web::to(serve));
 }
 
-/// Answers a caller's request.
+/// Answers a request of a caller and counts it in the metrics.
 async fn serve(proxy: Data<Proxy>, request: HttpRequest, payload: Payload) -> HttpResponse {
     let started = std::time::Instant::now();
     proxy.metrics.requests.inc();
-    let counted = InFlight::open(&proxy.metrics);
+    let in_flight_guard = InFlightGuard::new(&proxy.metrics);
     let span = leverstream_observe::caller_span(
         request.method().as_str(),
         text(request.headers(), "traceparent"),
@@ -41,26 +43,26 @@
     let result = handle(&proxy, &request, payload).instrument(span).await;
     proxy.metrics.seconds.observe(started.elapsed().as_secs_f64());
     let mut response = match result {
-        Ok(answer) => answer.respond(counted),
+        Ok(answer) => answer.respond(in_flight_guard),
         Err(kind) => {
-            proxy.metrics.refuse(kind);
-            refuse(kind)
+            proxy.metrics.count_refusal(kind);
+            error_response(kind)
         }
     };
     if request.headers().contains_key(RELAYED_HEADER) {
         let name = HeaderName::from_static(RELAYED_HEADER);
-        response.headers_mut().insert(name, vm_value(proxy.mint.home()));
+        response.headers_mut().insert(name, process_id_value(proxy.ticket_issuer.home()));
     }
     response
 }
 
-/// Finds the service of a request and runs it the way its row says.
+/// Finds the service of a request and runs the request as the service's row in the table says.
 async fn handle(
     proxy: &Data<Proxy>,
     request: &HttpRequest,
     payload: Payload,
 ) -> Result<Answer, Kind> {
-    let service = service_of(request).ok_or(Kind::BadRequest)?;
+    let service = service_name(request).ok_or(Kind::BadRequest)?;
     let view = proxy.snapshot.load().service(&service);
     let view = view.ok_or(Kind::ServiceUnknown)?;
     let row = &view.doc.row;
@@ -70,14 +72,14 @@
     let deadline_ms = deadline_of(proxy, request, &view)?;
     let (method, path) = (request.method().as_str(), request.path());
     let is_repeatable = row.is_repeatable(method, path);
-    let keyed = if is_repeatable { None } else { Some(keys_of(request)?) };
+    let keyed = if is_repeatable { None } else { Some(parse_ticket_and_key(request)?) };
     let limit = if is_repeatable {
-        BUFFERED_BYTES
+        BODY_BUFFER_BYTES
     } else {
         usize::try_from(row.body_limit_bytes).unwrap_or(usize::MAX)
     };
     let message = Message::read(request, payload, limit, is_repeatable).await?;
-    let arrived = Arrived {
+    let incoming = IncomingRequest {
         proxy,
         gives_way: row.gives_way(method, path),
         is_relayed: request.headers().contains_key(RELAYED_HEADER),
@@ -87,35 +89,35 @@
         deadline_ms,
     };
     match keyed {
-        None => arrived.run_repeatable().await,
-        Some(Some((ticket, key))) => arrived.run_keyed(&ticket, &key).await,
-        Some(None) => arrived.run_unkeyed().await,
+        None => incoming.run_repeatable().await,
+        Some(Some((ticket, key))) => incoming.run_keyed(&ticket, &key).await,
+        Some(None) => incoming.run_unkeyed().await,
     }
 }
 
-/// A request that was read and understood.
-struct Arrived<'a> {
-    /// What traffic threads share.
+/// A parsed and checked request of a caller.
+struct IncomingRequest<'a> {
+    /// The state that traffic threads share.
     proxy: &'a Data<Proxy>,
-    /// The service's name.
+    /// The name of the service.
     service: String,
-    /// The service.
+    /// The service as the current snapshot has it.
     view: Arc<ServiceView>,
-    /// The request.
+    /// The head and body of the request.
     message: Message,
-    /// When it must have been answered.
+    /// The deadline of the request.
     deadline_ms: u64,
-    /// Whether it gives way to others when the queue is full.
+    /// Whether it has low priority and is displaced by others when the queue is full.
     gives_way: bool,
-    /// Whether another VM has passed it on.
+    /// Whether another VM has relayed the request to this one.
     is_relayed: bool,
 }
 
-impl Arrived<'_> {
-    /// Has the service served here, if it is not, for a request that may go nowhere else.
+impl IncomingRequest<'_> {
+    /// Makes this VM serve the service if it does not yet, for a request that no other VM may run.
     ///
-    /// VMs learn of each other's coming and going at different moments, so one may be sent work
-    /// of a service that it does not hold for its own.
+    /// VMs learn of membership changes at different moments, so a VM may receive requests of a
+    /// service that is not placed on it in its own view.
     async fn serve_here(&mut self) -> Result<(), Kind> {
         if self.view.serving.is_some() {
             return Ok(());
@@ -130,14 +132,15 @@
         Ok(())
     }
 
-    /// Runs a request that may run more than once.
+    /// Runs a repeatable request, or relays it to a VM that serves its service.
     async fn run_repeatable(mut self) -> Result<Answer, Kind> {
         if self.is_relayed {
             self.serve_here().await?;
         }
         let Some(serving) = &self.view.serving else { return self.relay(true).await };
-        let _admitted = Admitted::take(&self.view.doc.row, &serving.live, self.proxy.now_ms())?;
-        let repeat = Repeat {
+        let _guard =
+            AdmissionGuard::try_acquire(&self.view.doc.row, &serving.state, self.proxy.now_ms())?;
+        let request = RepeatableRequest {
             proxy: self.proxy.clone(),
             service: self.service,
             view: Arc::clone(&self.view),
@@ -146,14 +149,14 @@
             gives_way: self.gives_way,
             tried: RefCell::default(),
         };
-        repeat.run().await
+        request.run().await
     }
 
-    /// Runs a request with a ticket, here if this process is its home, else there.
+    /// Runs a request with a ticket if this process is the ticket's home, or relays it to its home.
     async fn run_keyed(mut self, ticket: &Ticket, key: &str) -> Result<Answer, Kind> {
-        if ticket.stem.home == self.proxy.mint.home() {
+        if ticket.stem.home == self.proxy.ticket_issuer.home() {
             self.serve_here().await?;
-            return self.once().run_keyed(ticket, key).await;
+            return self.into_at_most_once().run_keyed(ticket, key).await;
         }
         let home = self.proxy.snapshot.load().vm(ticket.stem.home);
         match home {
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Runs a request that must run at most once but has no ticket, as its row says.
+    /// Runs a request that must run at most once but has no ticket, if the row allows that.
     async fn run_unkeyed(mut self) -> Result<Answer, Kind> {
         if self.view.doc.row.unkeyed == Unkeyed::Refuse {
             return Err(Kind::TicketMissing);
@@ -176,22 +179,25 @@
         match &self.view.serving {
             None => self.relay(false).await,
             Some(serving) => {
-                let _admitted =
-                    Admitted::take(&self.view.doc.row, &serving.live, self.proxy.now_ms())?;
-                self.once().run_single().await
+                let _guard = AdmissionGuard::try_acquire(
+                    &self.view.doc.row,
+                    &serving.state,
+                    self.proxy.now_ms(),
+                )?;
+                self.into_at_most_once().run_single().await
             }
         }
     }
 
-    /// Passes the request to a VM that serves its service.
+    /// Relays the request to a VM that serves its service.
     async fn relay(&self, is_repeatable: bool) -> Result<Answer, Kind> {
         let (service, message) = (&self.service, &self.message);
-        relay::to_entry(self.proxy, service, message, is_repeatable, self.deadline_ms).await
+        relay::to_entry_vm(self.proxy, service, message, is_repeatable, self.deadline_ms).await
     }
 
-    /// The request as one that must run at most once.
-    fn once(self) -> Once {
-        Once {
+    /// Converts the request into one that must run at most once.
+    fn into_at_most_once(self) -> AtMostOnceRequest {
+        AtMostOnceRequest {
             proxy: self.proxy.clone(),
             service: self.service,
             view: self.view,
@@ -202,8 +208,8 @@
     }
 }
 
-/// The service that a request names, by its header or its host.
-fn service_of(request: &HttpRequest) -> Option<String> {
+/// The service that a request names in its service header or, without one, in `Host`.
+fn service_name(request: &HttpRequest) -> Option<String> {
     if let Some(name) = text(request.headers(), SERVICE_HEADER) {
         return Some(name.to_owned());
     }
@@ -212,25 +218,25 @@
     host.host().map(str::to_owned)
 }
 
-/// When a request must have been answered: the row's time or the caller's, if that is shorter.
+/// The deadline of a request: the limit of the row or that of the caller, whichever is shorter.
 fn deadline_of(proxy: &Proxy, request: &HttpRequest, view: &ServiceView) -> Result<u64, Kind> {
     let row_ms = view.doc.row.deadline_ms;
-    let asked_ms = match text(request.headers(), DEADLINE_HEADER) {
+    let requested_ms = match text(request.headers(), DEADLINE_HEADER) {
         Some(text) => text.parse().map_err(|_| Kind::BadRequest)?,
         None => row_ms,
     };
-    if asked_ms == 0 {
+    if requested_ms == 0 {
         return Err(Kind::DeadlinePassed);
     }
-    Ok(proxy.now_ms() + row_ms.min(asked_ms))
+    Ok(proxy.now_ms() + row_ms.min(requested_ms))
 }
 
-/// The ticket and key of a request, if it has both.
-fn keys_of(request: &HttpRequest) -> Result<Option<(Ticket, String)>, Kind> {
+/// The ticket and idempotency key of a request, if it has both.
+fn parse_ticket_and_key(request: &HttpRequest) -> Result<Option<(Ticket, String)>, Kind> {
     let ticket = text(request.headers(), TICKET_HEADER);
     let key = text(request.headers(), KEY_HEADER);
     let (Some(ticket), Some(key)) = (ticket, key) else { return Ok(None) };
-    if key.is_empty() || key.len() > KEY_LIMIT_BYTES {
+    if key.is_empty() || key.len() > MAX_KEY_BYTES {
         return Err(Kind::BadRequest);
     }
     let ticket = Ticket::parse(ticket).ok_or(Kind::TicketInvalid)?;
--- a/crates/leverstream-wire/src/conn.rs
+++ b/crates/leverstream-wire/src/conn.rs
@@ -1,3 +1,5 @@
+//! A connection that sends requests and reads whole answers.
+
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
@@ -12,42 +14,42 @@
 use crate::Answer;
 use crate::framing::{Chunks, Framing, ParsedHead, decode_chunks, framing, parse_head};
 
-/// After how long without traffic a connection is probed, and how often, in seconds.
-const KEEP_ALIVE_S: u64 = 1;
+/// The idle time before the first TCP keep-alive probe, and the interval between probes.
+const KEEP_ALIVE_INTERVAL_S: u64 = 1;
 
-/// After how many unanswered probes a connection is given up.
+/// The number of unanswered TCP keep-alive probes after which a connection is closed.
 const KEEP_ALIVE_PROBES: u32 = 3;
 
-/// How long sent bytes may stay unacknowledged before a connection is given up.
-const UNACKNOWLEDGED_MS: u64 = 3_000;
+/// How long sent bytes may stay unacknowledged before a connection is closed.
+const ACK_TIMEOUT_MS: u64 = 3_000;
 
-/// The room made for each read, in bytes.
-const READ_BYTES: usize = 4 << 10;
+/// The buffer space reserved for each read.
+const READ_RESERVE_BYTES: usize = 4 << 10;
 
-/// The largest answer that is read, in bytes.
-const ANSWER_LIMIT_BYTES: usize = 64 << 20;
+/// The largest answer that is accepted.
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
 /// One connection, owned by one exchange at a time.
 #[derive(Debug)]
 pub struct Conn {
-    /// The connection.
+    /// The TCP stream.
     stream: TcpStream,
-    /// What was read and not yet used.
-    read: BytesMut,
-    /// Whether another exchange may follow.
+    /// Bytes that were read but not consumed yet.
+    buffer: BytesMut,
+    /// Whether another exchange may follow on the connection.
     is_reusable: bool,
-    /// For how long the other side may send nothing while its answer is waited for, if that is bounded.
-    silence: Option<Duration>,
+    /// The longest time without received bytes while an answer is awaited, if limited.
+    read_timeout: Option<Duration>,
 }
 
-/// How far an exchange has come, for whoever drops it before its end.
+/// The progress of an exchange, readable after its future is dropped.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Whether bytes of the request may have left.
+    /// Whether bytes of the request may have been sent.
     sent: Cell<bool>,
 }
 
-/// Why an exchange gave no whole answer.
+/// The error of an exchange without a whole answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum WireError {
     /// the connection could not be opened
@@ -55,76 +57,78 @@
     /// the connection broke while the request was sent
     Send,
     /// the connection ended before the answer did
-    Cut,
-    /// the other side has gone silent
-    Silent,
+    Truncated,
+    /// the other side stopped sending
+    TimedOut,
     /// the answer could not be read
-    Garbled,
+    Malformed,
 }
 
 impl std::error::Error for WireError {}
 
 impl WireError {
-    /// Tells whether the other side has ended the connection after it was opened.
-    pub fn is_broken(self) -> bool {
-        matches!(self, WireError::Send | WireError::Cut)
+    /// Returns whether the other side has closed the connection after it was opened.
+    pub fn is_disconnect(self) -> bool {
+        matches!(self, WireError::Send | WireError::Truncated)
     }
 }
 
 impl Progress {
-    /// Tells whether bytes of the request may have left.
+    /// Returns whether bytes of the request may have been sent.
     pub fn is_sent(&self) -> bool {
         self.sent.get()
     }
 }
 
 impl Conn {
-    /// Opens a connection. A silent other side is waited for: whoever uses it has a deadline, and
-    /// what a cut path holds back may yet come.
+    /// Opens a connection without a read timeout: its users have a deadline of their own, and
+    /// packets that a broken network path delays may still arrive.
     pub async fn open(address: SocketAddr) -> io::Result<Conn> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        Ok(Conn { stream, read: BytesMut::new(), is_reusable: true, silence: None })
+        Ok(Conn { stream, buffer: BytesMut::new(), is_reusable: true, read_timeout: None })
     }
 
-    /// Bounds for how long the other side may send nothing while its answer is waited for: a large one may take long.
-    pub fn limit_silence(&mut self, ms: u64) {
-        self.silence = Some(Duration::from_millis(ms));
+    /// Sets the longest time without received bytes while an answer is awaited.
+    ///
+    /// The whole answer may take longer, as a large one does over a slow link.
+    pub fn set_read_timeout(&mut self, ms: u64) {
+        self.read_timeout = Some(Duration::from_millis(ms));
     }
 
-    /// Opens a connection that notices within seconds when the other side has vanished, for calls
-    /// that wait long.
-    pub async fn open_watched(address: SocketAddr) -> io::Result<Conn> {
+    /// Opens a connection that detects within seconds that the other side is unreachable, for calls
+    /// that wait long for their answer.
+    pub async fn open_with_keepalive(address: SocketAddr) -> io::Result<Conn> {
         let conn = Conn::open(address).await?;
         let socket = SockRef::from(&conn.stream);
         socket.set_tcp_keepalive(
             &TcpKeepalive::new()
-                .with_time(Duration::from_secs(KEEP_ALIVE_S))
-                .with_interval(Duration::from_secs(KEEP_ALIVE_S))
+                .with_time(Duration::from_secs(KEEP_ALIVE_INTERVAL_S))
+                .with_interval(Duration::from_secs(KEEP_ALIVE_INTERVAL_S))
                 .with_retries(KEEP_ALIVE_PROBES),
         )?;
-        socket.set_tcp_user_timeout(Some(Duration::from_millis(UNACKNOWLEDGED_MS)))?;
+        socket.set_tcp_user_timeout(Some(Duration::from_millis(ACK_TIMEOUT_MS)))?;
         Ok(conn)
     }
 
-    /// Tells whether an idle connection is still open and has sent nothing unasked.
+    /// Returns whether an idle connection is still open, reusable and without unread bytes.
     pub fn is_clean(&self) -> bool {
         let mut byte = [0];
         let read = self.stream.try_read(&mut byte);
         self.is_reusable
-            && self.read.is_empty()
+            && self.buffer.is_empty()
             && matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Tells whether another exchange may follow the last one.
+    /// Returns whether another exchange may follow the last one.
     pub fn is_reusable(&self) -> bool {
-        self.is_reusable && self.read.is_empty()
+        self.is_reusable && self.buffer.is_empty()
     }
 
-    /// Sends a request and reads answers until one is the request's own.
+    /// Sends a request and reads answers until one belongs to the request.
     ///
-    /// `on_head` is shown each answer as soon as its head is read, without its body, and tells whether it is the
-    /// request's own. One that belongs to an earlier request on this connection is passed over.
+    /// `on_head` receives each answer without its body as soon as the head is read, and returns
+    /// whether it belongs to the request. Answers to earlier requests on the connection are skipped.
     pub async fn exchange(
         &mut self,
         request: &[u8],
@@ -138,16 +142,17 @@
             return Ok(early);
         }
         loop {
-            let (answer, is_mine) = self.read_answer(is_head_request, true, &on_head).await?;
-            if is_mine {
+            let (answer, is_own) = self.read_answer(is_head_request, true, &on_head).await?;
+            if is_own {
                 return Ok(answer);
             }
             self.is_reusable = false;
         }
     }
 
-    /// Sends a request; its answer is returned if that comes before all of it was taken. One to an earlier request on this
-    /// connection is passed over here too.
+    /// Sends a request; returns its answer if that arrives before the whole request is sent.
+    ///
+    /// An answer to an earlier request on the connection is skipped.
     async fn send(
         &mut self,
         request: &[u8],
@@ -165,146 +170,148 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) => return Err(WireError::Send),
             }
-            // A write that waits must not keep an early answer from being read.
+            // Wait for reads too, so that a blocked write does not delay an early answer.
             let ready = self.stream.ready(Interest::READABLE | Interest::WRITABLE).await;
             let is_readable = ready.is_ok_and(Ready::is_readable);
             if !is_readable {
                 continue;
             }
-            if !self.reads_before_sent() {
-                return Err(WireError::Cut);
+            if !self.read_available() {
+                return Err(WireError::Truncated);
             }
-            if let Some((answer, true)) = self.early_answer(is_head_request, on_head).await? {
+            if let Some((answer, true)) = self.read_early_answer(is_head_request, on_head).await? {
                 return Ok(Some(answer));
             }
         }
         Ok(None)
     }
 
-    /// Takes in what arrived while the request was still being sent; false at the end.
-    fn reads_before_sent(&mut self) -> bool {
-        self.read.reserve(READ_BYTES);
-        match self.stream.try_read_buf(&mut self.read) {
+    /// Reads bytes that arrive while the request is being sent; false at the end of the connection.
+    fn read_available(&mut self) -> bool {
+        self.buffer.reserve(READ_RESERVE_BYTES);
+        match self.stream.try_read_buf(&mut self.buffer) {
             Ok(0) => false,
             Ok(_) => true,
             Err(error) => error.kind() == io::ErrorKind::WouldBlock,
         }
     }
 
-    /// Reads an answer that came before all of the request was sent, with what `on_head` says of it; the connection ends with
-    /// it if it is the request's own.
-    async fn early_answer(
+    /// Reads an answer that arrives before the whole request is sent, and the result of `on_head`.
+    ///
+    /// If the answer belongs to the request, the connection is not reused.
+    async fn read_early_answer(
         &mut self,
-        is_head: bool,
+        is_head_request: bool,
         on_head: &impl Fn(&Answer) -> bool,
     ) -> Result<Option<(Answer, bool)>, WireError> {
-        if parse_head(&self.read)?.is_none() {
+        if parse_head(&self.buffer)?.is_none() {
             return Ok(None);
         }
-        let early = self.read_answer(is_head, false, on_head).await?;
+        let early = self.read_answer(is_head_request, false, on_head).await?;
         self.is_reusable = false;
         Ok(Some(early))
     }
 
-    /// Reads one whole answer, informational ones passed over, and what `on_head` says of it.
+    /// Reads one whole answer and the result of `on_head`; skips informational answers.
     async fn read_answer(
         &mut self,
-        is_head: bool,
+        is_head_request: bool,
         may_reuse: bool,
         on_head: &impl Fn(&Answer) -> bool,
     ) -> Result<(Answer, bool), WireError> {
         loop {
             let head = self.read_head().await?;
             if head.status >= 200 {
-                let framing = framing(&head, is_head)?;
+                let framing = framing(&head, is_head_request)?;
                 let ParsedHead { status, fields, .. } = head;
                 let mut answer = Answer { status, fields, body: Bytes::new() };
-                let is_mine = on_head(&answer);
+                let is_own = on_head(&answer);
                 answer.body = self.read_body(framing).await?;
-                self.is_reusable = may_reuse && framing != Framing::Close && !answer.closes();
-                return Ok((answer, is_mine));
+                self.is_reusable =
+                    may_reuse && framing != Framing::UntilClose && !answer.closes_connection();
+                return Ok((answer, is_own));
             }
             if head.status == 101 {
-                return Err(WireError::Garbled);
+                return Err(WireError::Malformed);
             }
         }
     }
 
-    /// Reads one head.
+    /// Reads the head of an answer.
     async fn read_head(&mut self) -> Result<ParsedHead, WireError> {
         loop {
-            if !self.read.is_empty()
-                && let Some(head) = parse_head(&self.read)?
+            if !self.buffer.is_empty()
+                && let Some(head) = parse_head(&self.buffer)?
             {
-                let _ = self.read.split_to(head.length);
+                let _ = self.buffer.split_to(head.length);
                 return Ok(head);
             }
             if !self.fill().await? {
-                return Err(WireError::Cut);
+                return Err(WireError::Truncated);
             }
         }
     }
 
-    /// Reads a body.
+    /// Reads a body up to the end that its framing marks.
     async fn read_body(&mut self, framing: Framing) -> Result<Bytes, WireError> {
         match framing {
             Framing::Empty => Ok(Bytes::new()),
             Framing::Length(length) => self.read_length(length).await,
             Framing::Chunked => self.read_chunks().await,
-            Framing::Close => self.read_to_end().await,
+            Framing::UntilClose => self.read_to_end().await,
         }
     }
 
     /// Reads a body of a known length.
     async fn read_length(&mut self, length: usize) -> Result<Bytes, WireError> {
-        if length > ANSWER_LIMIT_BYTES {
-            return Err(WireError::Garbled);
+        if length > MAX_ANSWER_BYTES {
+            return Err(WireError::Malformed);
         }
-        while self.read.len() < length {
+        while self.buffer.len() < length {
             if !self.fill().await? {
-                return Err(WireError::Cut);
+                return Err(WireError::Truncated);
             }
         }
-        Ok(self.read.split_to(length).freeze())
+        Ok(self.buffer.split_to(length).freeze())
     }
 
-    /// Reads a body in chunks.
+    /// Reads a chunked body.
     async fn read_chunks(&mut self) -> Result<Bytes, WireError> {
         loop {
-            if let Chunks::Whole(body, length) = decode_chunks(&self.read)? {
-                let _ = self.read.split_to(length);
+            if let Chunks::Whole(body, length) = decode_chunks(&self.buffer)? {
+                let _ = self.buffer.split_to(length);
                 return Ok(body.into());
             }
             if !self.fill().await? {
-                return Err(WireError::Cut);
+                return Err(WireError::Truncated);
             }
         }
     }
 
-    /// Reads a body that ends with the connection; one that is reset is not whole.
+    /// Reads a body that ends with the connection; a reset is an error.
     async fn read_to_end(&mut self) -> Result<Bytes, WireError> {
         while self.fill().await? {}
-        Ok(self.read.split().freeze())
+        Ok(self.buffer.split().freeze())
     }
 
-    /// Reads more; false at the end of the connection.
+    /// Reads more bytes into the buffer; false at the end of the connection.
     async fn fill(&mut self) -> Result<bool, WireError> {
-        if self.read.len() > ANSWER_LIMIT_BYTES {
-            return Err(WireError::Garbled);
+        if self.buffer.len() > MAX_ANSWER_BYTES {
+            return Err(WireError::Malformed);
         }
-        self.read.reserve(READ_BYTES);
-        let read = self.stream.read_buf(&mut self.read);
-        let read = match self.silence {
-            Some(silence) => match tokio::time::timeout(silence, read).await {
+        self.buffer.reserve(READ_RESERVE_BYTES);
+        let read = self.stream.read_buf(&mut self.buffer);
+        let read = match self.read_timeout {
+            Some(read_timeout) => match tokio::time::timeout(read_timeout, read).await {
                 Ok(read) => read,
-                Err(_) => return Err(WireError::Silent),
+                Err(_) => return Err(WireError::TimedOut),
             },
             None => read.await,
         };
         match read {
             Ok(count) => Ok(count > 0),
-            Err(error) if error.kind() == io::ErrorKind::TimedOut => Err(WireError::Silent),
-            Err(_) => Err(WireError::Cut),
+            Err(error) if error.kind() == io::ErrorKind::TimedOut => Err(WireError::TimedOut),
+            Err(_) => Err(WireError::Truncated),
         }
     }
 }
--- a/crates/leverstream-wire/src/framing.rs
+++ b/crates/leverstream-wire/src/framing.rs
@@ -1,53 +1,53 @@
-//! Where a body ends.
+//! Parses the head of an answer and finds the end of its body.
 
 use crate::WireError;
 
-/// The most header fields in one head.
-const FIELDS_LIMIT: usize = 100;
+/// The most header fields that a head may have.
+const MAX_FIELDS: usize = 100;
 
-/// How the end of a body is told.
+/// How the end of a body is marked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Framing {
     /// There is no body.
     Empty,
-    /// It has so many bytes.
+    /// The body has a known length in bytes.
     Length(usize),
-    /// It comes in chunks.
+    /// The body is chunked.
     Chunked,
-    /// It ends with the connection.
-    Close,
+    /// The body ends with the connection.
+    UntilClose,
 }
 
-/// A parsed head.
+/// The parsed head of an answer.
 pub(crate) struct ParsedHead {
-    /// Its length in bytes.
+    /// The length of the head in bytes.
     pub length: usize,
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The header fields, names in lower case.
+    /// The header fields, with names in lower case.
     pub fields: Vec<(String, Vec<u8>)>,
 }
 
-/// Parses a head, if all of it has arrived.
+/// Parses a head; none if it has not arrived completely.
 pub(crate) fn parse_head(bytes: &[u8]) -> Result<Option<ParsedHead>, WireError> {
-    let mut space = [httparse::EMPTY_HEADER; FIELDS_LIMIT];
-    let mut head = httparse::Response::new(&mut space);
+    let mut storage = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    let mut head = httparse::Response::new(&mut storage);
     let length = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(_) => return Err(WireError::Garbled),
+        Err(_) => return Err(WireError::Malformed),
     };
     let fields = head.headers.iter();
     Ok(Some(ParsedHead {
         length,
-        status: head.code.ok_or(WireError::Garbled)?,
+        status: head.code.ok_or(WireError::Malformed)?,
         fields: fields
             .map(|field| (field.name.to_ascii_lowercase(), field.value.to_vec()))
             .collect(),
     }))
 }
 
-/// Tells how the body behind a head ends (RFC 9112, section 6.3).
+/// Determines how the body after a head ends (RFC 9112, section 6.3).
 pub(crate) fn framing(head: &ParsedHead, is_head_request: bool) -> Result<Framing, WireError> {
     if is_head_request || matches!(head.status, 204 | 304) {
         return Ok(Framing::Empty);
@@ -59,60 +59,60 @@
     let length = lengths.next();
     let mut encodings = values("transfer-encoding");
     match (length, encodings.next()) {
-        (Some(_), Some(_)) => Err(WireError::Garbled),
-        _ if lengths.next().is_some() || encodings.next().is_some() => Err(WireError::Garbled),
-        (None, None) => Ok(Framing::Close),
+        (Some(_), Some(_)) => Err(WireError::Malformed),
+        _ if lengths.next().is_some() || encodings.next().is_some() => Err(WireError::Malformed),
+        (None, None) => Ok(Framing::UntilClose),
         (None, Some(encoding)) if encoding.eq_ignore_ascii_case(b"chunked") => Ok(Framing::Chunked),
-        (None, Some(_)) => Err(WireError::Garbled),
+        (None, Some(_)) => Err(WireError::Malformed),
         (Some(length), None) => {
-            let text = std::str::from_utf8(length).map_err(|_| WireError::Garbled)?;
-            Ok(Framing::Length(text.trim().parse().map_err(|_| WireError::Garbled)?))
+            let text = std::str::from_utf8(length).map_err(|_| WireError::Malformed)?;
+            Ok(Framing::Length(text.trim().parse().map_err(|_| WireError::Malformed)?))
         }
     }
 }
 
-/// A body in chunks, decoded as far as it has arrived.
+/// The result of decoding a chunked body.
 pub(crate) enum Chunks {
-    /// More has to arrive.
+    /// The body has not arrived completely.
     Partial,
-    /// All of it, and how many bytes of the buffer it took.
+    /// The decoded body, and its encoded length in the buffer.
     Whole(Vec<u8>, usize),
 }
 
-/// Decodes a body in chunks from its start.
+/// Decodes a chunked body from its start.
 pub(crate) fn decode_chunks(bytes: &[u8]) -> Result<Chunks, WireError> {
     let mut body = Vec::new();
-    let mut at = 0;
+    let mut position = 0;
     loop {
-        let (size_length, size) = match httparse::parse_chunk_size(&bytes[at..]) {
+        let (size_length, size) = match httparse::parse_chunk_size(&bytes[position..]) {
             Ok(httparse::Status::Complete(parsed)) => parsed,
             Ok(httparse::Status::Partial) => return Ok(Chunks::Partial),
-            Err(_) => return Err(WireError::Garbled),
+            Err(_) => return Err(WireError::Malformed),
         };
-        let size = usize::try_from(size).map_err(|_| WireError::Garbled)?;
-        let start = at + size_length;
+        let size = usize::try_from(size).map_err(|_| WireError::Malformed)?;
+        let start = position + size_length;
         if size == 0 {
-            return Ok(match trailers_end(&bytes[start..]) {
+            return Ok(match trailers_length(&bytes[start..]) {
                 Some(length) => Chunks::Whole(body, start + length),
                 None => Chunks::Partial,
             });
         }
-        let end = start.checked_add(size).ok_or(WireError::Garbled)?;
+        let end = start.checked_add(size).ok_or(WireError::Malformed)?;
         let Some(chunk) = bytes.get(start..end) else { return Ok(Chunks::Partial) };
         match bytes.get(end..end + 2) {
             None => return Ok(Chunks::Partial),
             Some(b"\r\n") => {}
-            Some(_) => return Err(WireError::Garbled),
+            Some(_) => return Err(WireError::Malformed),
         }
         body.extend_from_slice(chunk);
-        at = end + 2;
+        position = end + 2;
     }
 }
 
-/// The length of the trailers behind the last chunk, with the empty line that ends them.
-fn trailers_end(bytes: &[u8]) -> Option<usize> {
+/// The length of the trailers after the last chunk, including the empty line that ends them.
+fn trailers_length(bytes: &[u8]) -> Option<usize> {
     if bytes.starts_with(b"\r\n") {
         return Some(2);
     }
-    bytes.windows(4).position(|window| window == b"\r\n\r\n").map(|at| at + 4)
+    bytes.windows(4).position(|window| window == b"\r\n\r\n").map(|start| start + 4)
 }
