--- a/crates/leverstream-gateway/src/emptied.rs
+++ b/crates/leverstream-gateway/src/emptied.rs
@@ -30,7 +30,7 @@
     let mut link = Link::open("emptied data halls");
     until_due(&inner).await;
     loop {
-        let Listing { items, mut revision } = match store.list_emptied().await {
+        let Listing { items, mut revision } = match store.list_halls_to_empty().await {
             Ok(listing) => listing,
             Err(error) => {
                 link.fail(&inner, &error).await;
@@ -44,7 +44,7 @@
         let mut is_broken = false;
         while !is_broken && inner.mesh.watches() {
             let watched = tokio::select! {
-                watched = store.watch_emptied(revision, WATCH_MS) => watched,
+                watched = store.watch_halls_to_empty(revision, WATCH_MS) => watched,
                 () = inner.mesh.until_watches(false) => break,
             };
             match watched {
--- a/crates/leverstream-gateway/src/follow.rs
+++ b/crates/leverstream-gateway/src/follow.rs
@@ -449,14 +449,14 @@
             warn!(kind = self.kind, %error, "store lost");
         }
         self.failures += 1;
-        let is_mere_end = matches!(error, StoreError::Cut | StoreError::HistoryGone);
+        let is_mere_end = matches!(error, StoreError::Disconnected | StoreError::HistoryExpired);
         self.is_away |= self.failures > 1 || !is_mere_end;
         if self.is_away {
             inner.mesh.set_lost_store(inner, true);
         }
         // A connection that could not be opened costs nothing; any other call is paid for.
         let backoff = match error {
-            StoreError::Away => &mut self.away,
+            StoreError::Unreachable => &mut self.away,
             _ => &mut self.refused,
         };
         let wait_ms = backoff.next_delay_ms(&mut rand::rng());
--- a/crates/leverstream-gateway/src/gateway.rs
+++ b/crates/leverstream-gateway/src/gateway.rs
@@ -118,7 +118,7 @@
         let clock = Clock::start();
         let bind = |place| move |error| GatewayError::Bind { place, error };
         let mesh = Mesh::open(&settings, clock.now_ms()).await.map_err(bind("listen.peers"))?;
-        let store = Store::open(settings.store.address);
+        let store = Store::new(settings.store.address);
         let mut fleet = Fleet::default();
         fleet.set_last_resort(settings.leaving.serves_on_ms());
         let inner = Rc::new(Inner {
--- a/crates/leverstream-gateway/src/inbound.rs
+++ b/crates/leverstream-gateway/src/inbound.rs
@@ -54,7 +54,7 @@
         }
         let authority = uri.authority().map(actix_http::uri::Authority::as_str);
         let host = request_host(authority, text(fields, "host")).ok_or(Kind::BadRequest)?;
-        let patience_ms = match text(fields, headers::TIME_LEFT_MS) {
+        let patience_ms = match text(fields, headers::REMAINING_MS) {
             Some(text) => Some(text.trim().parse().map_err(|_| Kind::BadRequest)?),
             None => None,
         };
@@ -127,7 +127,7 @@
         if let Some(id) = &self.id {
             head.field(headers::REQUEST_ID, id.as_bytes());
         }
-        head.field(headers::TIME_LEFT_MS, left_ms.to_string().as_bytes());
+        head.field(headers::REMAINING_MS, left_ms.to_string().as_bytes());
         head.field(headers::EXPECTED_INSTANCE, instance.as_bytes());
         if let Some(workspace) = &self.workspace {
             head.field(headers::WORKSPACE, workspace.as_bytes());
@@ -150,7 +150,7 @@
         .collect();
     let set_anew = [
         headers::REQUEST_ID,
-        headers::TIME_LEFT_MS,
+        headers::REMAINING_MS,
         headers::EXPECTED_INSTANCE,
         headers::WORKSPACE,
         "expect",
--- a/crates/leverstream-gateway/src/listeners.rs
+++ b/crates/leverstream-gateway/src/listeners.rs
@@ -11,7 +11,7 @@
 use actix_http::{HttpService, KeepAlive, Request, Response, StatusCode};
 use actix_service::{Service, ServiceFactory, fn_service};
 use leverstream_catalog::Limits;
-use leverstream_platform::{READY_PATH, RESOLVE_PATH, Resolve, resolve_answer};
+use leverstream_platform::{READY_PATH, RESOLVE_PATH, ResolveQuery, resolve_answer};
 use tokio::net::{TcpListener, TcpStream};
 use tracing::{info, warn};
 
@@ -55,7 +55,8 @@
             return reply::empty(StatusCode::NOT_FOUND);
         }
         inner.meters.questions.inc();
-        let query = Resolve::parse(request.uri().query().unwrap_or_default()).unwrap_or_default();
+        let query =
+            ResolveQuery::parse(request.uri().query().unwrap_or_default()).unwrap_or_default();
         let addresses = crate::directory::addresses(&inner, &query.hall);
         if addresses.is_empty() {
             inner.has_caller.set(true);
--- a/crates/leverstream-gateway/src/meters.rs
+++ b/crates/leverstream-gateway/src/meters.rs
@@ -4,7 +4,7 @@
 use leverstream_core::Census;
 use leverstream_error::Kind;
 use leverstream_observe::{Registry, register_count};
-use leverstream_platform::{Call, Store};
+use leverstream_platform::{CallKind, Store};
 use leverstream_route::Room;
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::counter::Counter;
@@ -171,7 +171,7 @@
             waited_seconds: Histogram::new(buckets()),
         };
         let registry = &mut meters.registry;
-        let counts = [(Call::List, "store_lists"), (Call::Watch, "store_watches")];
+        let counts = [(CallKind::List, "store_lists"), (CallKind::Watch, "store_watches")];
         for (call, name) in counts {
             let calls = store.calls();
             register_count(registry, name, "Calls to the store", move || calls.count(call));
--- a/crates/leverstream-node/src/edit.rs
+++ b/crates/leverstream-node/src/edit.rs
@@ -50,13 +50,13 @@
             Ok(Step::Again) => {}
             Err(Problem::Refused(failure)) => return Err(failure),
             Err(Problem::Platform(error)) => {
-                if error.may_have_landed() && !may_have_landed {
+                if error.may_have_taken_effect() && !may_have_landed {
                     may_have_landed = true;
                     until_ms += RESOLVE_MS;
                 }
                 let is_over = clock.now_ms() + AGAIN_MS >= until_ms;
-                let is_away =
-                    matches!(error, StoreError::Away | StoreError::Refused) && !may_have_landed;
+                let is_away = matches!(error, StoreError::Unreachable | StoreError::Unavailable)
+                    && !may_have_landed;
                 if is_over || is_away {
                     return Err(given_up(may_have_landed, &error));
                 }
@@ -64,7 +64,7 @@
             }
         }
         if clock.now_ms() >= until_ms {
-            return Err(given_up(may_have_landed, &StoreError::Unanswered));
+            return Err(given_up(may_have_landed, &StoreError::Timeout));
         }
     }
 }
@@ -98,7 +98,9 @@
     // A read changes nothing, so its failure never means that the edit may have landed.
     let read = store.read(TABLE_KIND, service).await;
     let object = read.map_err(|error| match error {
-        StoreError::Away | StoreError::Refused | StoreError::OverBudget => Problem::Platform(error),
+        StoreError::Unreachable | StoreError::Unavailable | StoreError::OverBudget => {
+            Problem::Platform(error)
+        }
         _ => Problem::Platform(StoreError::OverBudget),
     })?;
     let read = |content: &Result<_, StoreError>| {
--- a/crates/leverstream-node/src/node.rs
+++ b/crates/leverstream-node/src/node.rs
@@ -14,7 +14,7 @@
 use leverstream_member::{Identity, Swim, SwimSettings};
 use leverstream_observe::{Registry, register_count};
 use leverstream_peer::{FleetKey, PACKET_LIMIT_BYTES, PeerServer};
-use leverstream_platform::{Call, Store};
+use leverstream_platform::{CallKind, Store};
 use leverstream_proxy::{
     Clock, Metrics, Proxy, ProxySettings, ServeRequest, Snapshot, StemRequest,
 };
@@ -220,12 +220,12 @@
 fn open_platform(settings: &Settings, registry: &mut Registry) -> Result<Store, NodeError> {
     let platform = &settings.platform;
     let address = platform.address().ok_or(NodeError::Plugin("platform.url"))?;
-    let store = Store::open_bounded(address, platform.timeout_ms, platform.calls_per_s);
+    let store = Store::with_limits(address, platform.timeout_ms, platform.calls_per_s);
     let counts = [
-        (Call::Get, "platform_get_calls"),
-        (Call::List, "platform_list_calls"),
-        (Call::Put, "platform_put_calls"),
-        (Call::Watch, "platform_watch_calls"),
+        (CallKind::Get, "platform_get_calls"),
+        (CallKind::List, "platform_list_calls"),
+        (CallKind::Put, "platform_put_calls"),
+        (CallKind::Watch, "platform_watch_calls"),
     ];
     for (call, name) in counts {
         let calls = store.calls();
--- a/crates/leverstream-standin/src/origin.rs
+++ b/crates/leverstream-standin/src/origin.rs
@@ -264,7 +264,7 @@
     let unframed = format!(
         "HTTP/1.1 200 OK\r\n{}: {id}\r\n{}: {instance}\r\n\r\nunframed",
         headers::REQUEST_ID,
-        headers::STAMP
+        headers::INSTANCE_STAMP
     );
     match reply {
         Reply::After(ms) => {
@@ -341,7 +341,7 @@
     let mut head = format!(
         "HTTP/1.1 {status} Status\r\n{}: {id}\r\n{}: {instance}\r\ncontent-length: {}\r\n",
         headers::REQUEST_ID,
-        headers::STAMP,
+        headers::INSTANCE_STAMP,
         body.len()
     );
     for (name, value) in more {
--- a/tests/src/fleet.rs
+++ b/tests/src/fleet.rs
@@ -190,7 +190,7 @@
     /// The table's document of a service, as the platform holds it.
     pub async fn doc(&self, service: &str) -> Option<ServiceDoc> {
         let client = client();
-        let path = leverstream_platform::objects::path("table", Some(service));
+        let path = leverstream_platform::objects::object_path("table", Some(service));
         let url = format!("http://{}{path}", self.address);
         let mut response = client.get(url).send().await.ok()?;
         let object: leverstream_platform::objects::Object = response.json().await.ok()?;
--- a/tests/src/flow.rs
+++ b/tests/src/flow.rs
@@ -134,7 +134,7 @@
 ///
 /// The limit of each moment is the one of the last arrival before it; where it changed within a window the largest counts.
 pub fn limited(arrivals: &[(usize, Seen)], is_excused: impl Fn(usize, Instant) -> bool) -> Limited {
-    let limit = |seen: &Seen| says(seen, headers::LIMIT);
+    let limit = |seen: &Seen| says(seen, headers::RATE_LIMIT);
     let Some(first) = arrivals.iter().position(|(_, seen)| limit(seen).is_some()) else {
         return Limited::default();
     };
--- a/tests/src/notices.rs
+++ b/tests/src/notices.rs
@@ -164,7 +164,7 @@
             State::Works if rng.random_bool(0.5) => {
                 let for_ms = rng.random_range(4_000..9_000_u64);
                 let per_s = rng.random_range(0.0..5.0_f64);
-                origin.say(&[(headers::LIMIT, &format!("{per_s:.2}"))]);
+                origin.say(&[(headers::RATE_LIMIT, &format!("{per_s:.2}"))]);
                 self.states[at] = State::Limited(Instant::now() + Duration::from_millis(for_ms));
                 self.harm.tell(&format!("{instance} takes {per_s:.2} a second for {for_ms} ms"));
             }
@@ -183,7 +183,7 @@
             }
             State::Limited(until) if until > Instant::now() + Duration::from_secs(3) => {
                 let per_s = rng.random_range(0.0..5.0_f64);
-                origin.say(&[(headers::LIMIT, &format!("{per_s:.2}"))]);
+                origin.say(&[(headers::RATE_LIMIT, &format!("{per_s:.2}"))]);
                 self.harm.tell(&format!("{instance} takes {per_s:.2} a second now"));
             }
             State::Leaves(_) | State::Full(_) | State::Limited(_) => {}
--- a/tests/src/site.rs
+++ b/tests/src/site.rs
@@ -67,7 +67,7 @@
     /// Starts a store, some backend servers and some VMs of one hall, and waits until all are ready.
     pub async fn start(vms: usize, origins: usize) -> Site {
         let platform = Platform::start();
-        let store = Store::open(platform.address);
+        let store = Store::new(platform.address);
         let mut site =
             Site { platform, store, origins: Vec::new(), vms: Vec::new(), catalog: catalog(1) };
         site.put_catalog(1).await;
@@ -112,7 +112,7 @@
 
     /// Writes a configuration as it is given.
     pub async fn put_config(&self, spec: Value) {
-        let (kind, name) = standin::CONFIG;
+        let (kind, name) = standin::CONFIG_KEY;
         self.put(kind, name, spec).await;
     }
 
@@ -126,17 +126,17 @@
 
     /// Lists a backend server, or changes its entry.
     pub async fn list_backend(&self, entry: &Backend) {
-        self.put(standin::BACKENDS, &entry.instance, standin::backend(entry)).await;
+        self.put(standin::BACKENDS_KIND, &entry.instance, standin::backend(entry)).await;
     }
 
     /// Takes a backend server off the list.
     pub async fn unlist_backend(&self, instance: &str) {
-        self.unput(standin::BACKENDS, instance).await;
+        self.unput(standin::BACKENDS_KIND, instance).await;
     }
 
     /// Removes an object.
     pub async fn unput(&self, kind: &str, name: &str) {
-        let path = leverstream_platform::objects::path(kind, Some(name));
+        let path = leverstream_platform::objects::object_path(kind, Some(name));
         let request = bare("DELETE", &path);
         let answer = send(self.platform.address, &request).await.expect("the store answers");
         assert_eq!(answer.status, 200);
@@ -147,7 +147,7 @@
         let away = Faults { away: true, deaf_watches: true, ..Faults::default() };
         self.platform.set_faults(&away).await;
         for instance in instances {
-            self.platform.lapse(standin::BACKENDS, instance).await;
+            self.platform.lapse(standin::BACKENDS_KIND, instance).await;
         }
     }
 
@@ -297,7 +297,7 @@
         let mut head = Head::open(self.method, &self.path);
         head.field("host", HOST.as_bytes());
         head.field(headers::REQUEST_ID, self.id.as_bytes());
-        head.field(headers::TIME_LEFT_MS, self.patience_ms.to_string().as_bytes());
+        head.field(headers::REMAINING_MS, self.patience_ms.to_string().as_bytes());
         for (name, value) in &self.fields {
             head.field(name, value.as_bytes());
         }
--- a/tests/src/soak.rs
+++ b/tests/src/soak.rs
@@ -340,7 +340,7 @@
         let entry = entries.choose(&mut self.rng).expect("there are entries").clone();
         self.with_store_up().await;
         self.tell(&format!("an entry that others wrote: {entry}"));
-        self.site.put(standin::BACKENDS, "i-foreign", entry).await;
+        self.site.put(standin::BACKENDS_KIND, "i-foreign", entry).await;
     }
 
     /// Has a backend server say that it leaves; another comes at its address soon.
--- a/tests/src/soak/callers.rs
+++ b/tests/src/soak/callers.rs
@@ -95,7 +95,7 @@
 
 /// Checks that an answer is the request's own and whole.
 fn check(calls: &Calls, call: &Call, answer: &Answer) {
-    let stamp = answer.text(headers::STAMP);
+    let stamp = answer.text(headers::INSTANCE_STAMP);
     let id = answer.text(headers::REQUEST_ID);
     let is_own = id.is_none_or(|id| id == call.id);
     let whole = format!("{} {}", stamp.unwrap_or_default(), call.id);
--- a/tests/tests/gateway.rs
+++ b/tests/tests/gateway.rs
@@ -29,7 +29,7 @@
     };
     let answer = call.send(vm).await.expect("an answer comes");
     assert_eq!(answer.status, 200);
-    assert_eq!(answer.text(headers::STAMP), Some("i-0"));
+    assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-0"));
     assert_eq!(answer.text(headers::REQUEST_ID), Some(call.id.as_str()));
     assert_eq!(answer.body, format!("i-0 {}", call.id));
     let seen = site.origin(0).seen().remove(0);
@@ -41,7 +41,7 @@
     assert_eq!(seen.field(headers::REQUEST_ID), Some(call.id.as_str()));
     assert_eq!(seen.field(headers::EXPECTED_INSTANCE), Some("i-0"));
     let left_ms: u64 =
-        seen.field(headers::TIME_LEFT_MS).expect("it is set").parse().expect("a number");
+        seen.field(headers::REMAINING_MS).expect("it is set").parse().expect("a number");
     assert!((1..=1_000).contains(&left_ms), "the route's time bounds the caller's: {left_ms}");
 }
 
@@ -100,7 +100,7 @@
     site.origin(0).rename("i-new");
     for _ in 0..8 {
         let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
-        assert_eq!(answer.text(headers::STAMP), Some("i-1"));
+        assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-1"));
     }
     assert!(site.origin(0).seen().len() <= 1);
 }
@@ -336,7 +336,7 @@
     let before = site.origin(0).seen().len();
     for _ in 0..10 {
         let answer = Call::new(ONCE).send(vm).await.expect("an answer comes");
-        assert_eq!(answer.text(headers::STAMP), Some("i-1"));
+        assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-1"));
     }
     assert_eq!(site.origin(0).seen().len(), before);
 }
--- a/tests/tests/gateway_emptied.rs
+++ b/tests/tests/gateway_emptied.rs
@@ -39,7 +39,7 @@
     let began = Instant::now();
     flow.run(&site, Duration::from_millis(1_500)).await;
     assert!(arrived(&flow, &site, began) > 0, "it has work before");
-    site.put(standin::EMPTIED, OTHER_HALL, json!({})).await;
+    site.put(standin::EVACUATIONS_KIND, OTHER_HALL, json!({})).await;
     flow.run(&site, KNOWN_WITHIN).await;
     let known = Instant::now();
     // It holds for a VM that starts while the store is away, and hears it from the others.
@@ -54,7 +54,7 @@
     let share = served(&flow.answers().await);
     assert_eq!(arrived(&flow, &site, known), 0);
     assert!(share >= 0.97, "{share} served");
-    site.unput(standin::EMPTIED, OTHER_HALL).await;
+    site.unput(standin::EVACUATIONS_KIND, OTHER_HALL).await;
     let back = Instant::now();
     flow.run(&site, Duration::from_millis(2_500)).await;
     flow.answers().await;
--- a/tests/tests/gateway_return.rs
+++ b/tests/tests/gateway_return.rs
@@ -96,14 +96,14 @@
     .await;
     until("it knows who is gone", || async {
         let answer = Call::new(SAFE).send(frozen).await.ok()?;
-        (answer.text(headers::STAMP) == Some("i-1") && frozen.has_logged("backend gone"))
+        (answer.text(headers::INSTANCE_STAMP) == Some("i-1") && frozen.has_logged("backend gone"))
             .then_some(())
     })
     .await;
     assert!(woken.elapsed() < CAUGHT_UP_WITHIN, "{:?}", woken.elapsed());
     for _ in 0..6 {
         let answer = Call::new(ONCE).send(frozen).await.expect("an answer comes");
-        assert_eq!((answer.status, answer.text(headers::STAMP)), (200, Some("i-1")));
+        assert_eq!((answer.status, answer.text(headers::INSTANCE_STAMP)), (200, Some("i-1")));
     }
 }
 
--- a/tests/tests/gateway_store.rs
+++ b/tests/tests/gateway_store.rs
@@ -76,7 +76,7 @@
     until("the VM knows", || async { vm.has_logged("missing from the list").then_some(()) }).await;
     assert!(started.elapsed() < Duration::from_secs(2));
     let answer = Call::new(ONCE).send(vm).await.expect("an answer comes");
-    assert_eq!(answer.text(headers::STAMP), Some("i-1"));
+    assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-1"));
 }
 
 #[actix_rt::test]
@@ -96,7 +96,7 @@
     assert!(returned.elapsed() < Duration::from_secs(4), "{:?}", returned.elapsed());
     for _ in 0..6 {
         let answer = Call::new(ONCE).send(vm).await.expect("an answer comes");
-        assert_eq!(answer.text(headers::STAMP), Some("i-1"));
+        assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-1"));
     }
 }
 
@@ -254,7 +254,7 @@
 #[actix_rt::test]
 async fn entries_that_others_wrote_name_nobody_and_the_rest_hold() {
     let mut site = Site::start(1, 2).await;
-    let put = async |name: &str, spec| site.put(standin::BACKENDS, name, spec).await;
+    let put = async |name: &str, spec| site.put(standin::BACKENDS_KIND, name, spec).await;
     put("x-1", serde_json::json!({ "service": 5 })).await;
     put("x-2", serde_json::json!("text")).await;
     put("i-1", serde_json::json!({ "state": "ready" })).await;
@@ -268,13 +268,13 @@
         }
         for _ in 0..10 {
             let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
-            assert_eq!(answer.text(headers::STAMP), Some("i-0"));
+            assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-0"));
         }
     }
     site.list_backend(&backend("i-1", site.origin(1).address)).await;
     until("it is back", || async {
         let answer = Call::new(ONCE).send(&site.vms[0]).await.ok()?;
-        (answer.text(headers::STAMP) == Some("i-1")).then_some(())
+        (answer.text(headers::INSTANCE_STAMP) == Some("i-1")).then_some(())
     })
     .await;
 }
@@ -299,7 +299,7 @@
     for vm in &site.vms {
         until("it gets work from every VM", || async {
             let answer = Call::new(ONCE).send(vm).await.ok()?;
-            (answer.text(headers::STAMP) == Some("i-1")).then_some(())
+            (answer.text(headers::INSTANCE_STAMP) == Some("i-1")).then_some(())
         })
         .await;
     }
