--- a/crates/leverstream-standin/src/origin.rs
+++ b/crates/leverstream-standin/src/origin.rs
@@ -26,28 +26,28 @@
     /// A failure that it ran into.
     Failure,
     /// It is full and did not run the request.
-    Full,
+    Rejection,
     /// It runs the request and then says nothing.
-    Silence,
+    NoAnswer,
     /// It runs the request and resets the connection.
     Reset,
     /// It runs the request and ends the connection in the middle of the answer.
-    Cut,
+    Truncated,
     /// Bytes that are no answer.
-    Garbage,
+    Malformed,
     /// An answer to another request comes first.
-    LateOneFirst,
+    StaleAnswerFirst,
     /// Another answer follows the right one.
-    Surplus,
+    ExtraAnswer,
     /// An answer without a length, ended by the connection's end.
-    Unframed,
+    WithoutLength,
     /// The same, ended by a reset.
-    UnframedReset,
+    WithoutLengthReset,
 }
 
 /// What a backend server saw of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// When it arrived.
     pub at: Instant,
     /// The request line.
@@ -61,10 +61,10 @@
     /// The number of the connection it came on.
     pub connection: u64,
     /// What the backend server says of itself in the answer.
-    pub said: Vec<(&'static str, String)>,
+    pub notice_fields: Vec<(&'static str, String)>,
 }
 
-impl Seen {
+impl ReceivedRequest {
     /// The value of a header field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|(field, _)| field == name).map(|(_, value)| value.as_str())
@@ -88,7 +88,7 @@
     /// How it answers.
     reply: Mutex<Reply>,
     /// What it saw.
-    seen: Mutex<Vec<Seen>>,
+    seen: Mutex<Vec<ReceivedRequest>>,
     /// Requests whose callers left before the answer, by path.
     left: Mutex<HashMap<String, u32>>,
     /// The paths that hold this text end the backend server.
@@ -126,13 +126,13 @@
     }
 
     /// Has it say something of itself in all its answers from now on.
-    pub fn say(&self, fields: &[(&'static str, &str)]) {
+    pub fn set_notice_fields(&self, fields: &[(&'static str, &str)]) {
         let fields = fields.iter().map(|(name, value)| (*name, (*value).to_owned()));
         *self.shared.says.lock() = fields.collect();
     }
 
     /// Turns it into another start, as when its address passes on.
-    pub fn rename(&self, instance: &str) {
+    pub fn set_instance(&self, instance: &str) {
         instance.clone_into(&mut self.shared.instance.lock());
     }
 
@@ -142,7 +142,7 @@
     }
 
     /// Has it end some milliseconds after it begins to run a request whose path holds a text.
-    pub fn end_under(&self, marker: &str) {
+    pub fn end_on_request(&self, marker: &str) {
         *self.shared.ends_under.lock() = Some(marker.to_owned());
     }
 
@@ -157,7 +157,7 @@
     }
 
     /// What it saw.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn seen(&self) -> Vec<ReceivedRequest> {
         self.shared.seen.lock().clone()
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// How many requests to a path were left by whoever sent them.
-    pub fn left(&self, path: &str) -> u32 {
+    pub fn abandoned_count(&self, path: &str) -> u32 {
         self.shared.left.lock().get(path).copied().unwrap_or(0)
     }
 }
@@ -222,9 +222,9 @@
         let reply = *shared.reply.lock();
         let is_expected =
             seen.field(headers::EXPECTED_INSTANCE).is_none_or(|expected| expected == instance);
-        seen.ran = is_expected && reply != Reply::Full;
+        seen.ran = is_expected && reply != Reply::Rejection;
         if is_expected {
-            seen.said.clone_from(&shared.says.lock());
+            seen.notice_fields.clone_from(&shared.says.lock());
         }
         let id = seen.field(headers::REQUEST_ID).unwrap_or_default().to_owned();
         let path = seen.line.split(' ').nth(1).unwrap_or_default().to_owned();
@@ -275,39 +275,39 @@
             stream.write_all(&good).await?;
         }
         Reply::Failure => stream.write_all(&answer(500, id, instance, &with_says(&[]))).await?,
-        Reply::Full => {
+        Reply::Rejection => {
             stream
                 .write_all(&answer(503, id, instance, &with_says(&[(headers::NOT_RUN, "1")])))
                 .await?;
         }
-        Reply::Silence => {
+        Reply::NoAnswer => {
             if !work(stream, 60_000).await {
                 *shared.left.lock().entry(path.to_owned()).or_default() += 1;
             }
             return Ok(false);
         }
         Reply::Reset => return reset(stream),
-        Reply::Cut => {
+        Reply::Truncated => {
             stream.write_all(&good[..good.len() - 3]).await?;
             return Ok(false);
         }
-        Reply::Garbage => {
+        Reply::Malformed => {
             stream.write_all(b"\x01\x02\x03 no answer at all\r\n\r\n").await?;
             return Ok(false);
         }
-        Reply::LateOneFirst => {
+        Reply::StaleAnswerFirst => {
             stream.write_all(&answer(200, "another", instance, &[])).await?;
             stream.write_all(&good).await?;
         }
-        Reply::Surplus => {
+        Reply::ExtraAnswer => {
             stream.write_all(&good).await?;
             stream.write_all(&answer(200, "another", instance, &[])).await?;
         }
-        Reply::Unframed => {
+        Reply::WithoutLength => {
             stream.write_all(unframed.as_bytes()).await?;
             return Ok(false);
         }
-        Reply::UnframedReset => {
+        Reply::WithoutLengthReset => {
             stream.write_all(unframed.as_bytes()).await?;
             tokio::time::sleep(Duration::from_millis(30)).await;
             return reset(stream);
@@ -355,7 +355,7 @@
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
     connection: u64,
-) -> std::io::Result<Option<Seen>> {
+) -> std::io::Result<Option<ReceivedRequest>> {
     loop {
         if let Some(end) = buffer.windows(4).position(|window| window == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&buffer[..end]).into_owned();
@@ -366,14 +366,14 @@
                 .filter_map(|line| line.split_once(':'))
                 .map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_owned()))
                 .collect();
-            let mut seen = Seen {
+            let mut seen = ReceivedRequest {
                 at: Instant::now(),
                 line,
                 fields,
                 body: Vec::new(),
                 ran: false,
                 connection,
-                said: Vec::new(),
+                notice_fields: Vec::new(),
             };
             let length = seen.field("content-length").and_then(|text| text.parse().ok());
             while buffer.len() < length.unwrap_or(0) {
--- a/crates/leverstream-standin/src/relay.rs
+++ b/crates/leverstream-standin/src/relay.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Fault {
     /// Bytes are read but never handed on.
-    pub cut: bool,
+    pub is_blackholed: bool,
     /// Bytes are handed on so much later.
     pub delay_ms: u64,
     /// The connection ends after so many bytes of the direction.
@@ -27,7 +27,7 @@
     /// From the side that connects to the target.
     pub forward: Fault,
     /// From the target back.
-    pub back: Fault,
+    pub reverse: Fault,
 }
 
 /// A running relay to one target, for TCP and UDP at the same port.
@@ -45,13 +45,13 @@
 impl Relay {
     /// Spawns a relay on the present runtime.
     pub async fn spawn(target: SocketAddr) -> std::io::Result<Relay> {
-        let relay = Relay::spawn_unaimed().await?;
-        relay.aim(target);
+        let relay = Relay::spawn_without_target().await?;
+        relay.set_target(target);
         Ok(relay)
     }
 
     /// Spawns a relay whose address must be known before that of its target is.
-    pub async fn spawn_unaimed() -> std::io::Result<Relay> {
+    pub async fn spawn_without_target() -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (faults, seen) = watch::channel(Faults::default());
@@ -78,12 +78,12 @@
     }
 
     /// Says where it leads.
-    pub fn aim(&self, target: SocketAddr) {
+    pub fn set_target(&self, target: SocketAddr) {
         self.target.send_replace(Some(target));
     }
 
     /// Puts faults in force, for open connections too.
-    pub fn set(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         self.faults.send_replace(faults);
     }
 
@@ -111,7 +111,7 @@
     let (other_read, other_write) = other.into_split();
     let unused = Arc::new(AtomicU64::new(0));
     let forward = pump(read, other_write, faults.clone(), |f| f.forward, forwarded_bytes);
-    let back = pump(other_read, write, faults, |f| f.back, unused);
+    let back = pump(other_read, write, faults, |f| f.reverse, unused);
     tokio::select! {
         () = async { tokio::join!(forward, back); } => {}
     }
@@ -133,7 +133,7 @@
             Ok(count) => count,
         };
         let fault = side(&faults.borrow());
-        if fault.cut {
+        if fault.is_blackholed {
             continue;
         }
         if fault.delay_ms > 0 {
@@ -151,7 +151,7 @@
         }
     }
     // A cut direction also loses the end of the stream.
-    if side(&faults.borrow()).cut {
+    if side(&faults.borrow()).is_blackholed {
         std::future::pending::<()>().await;
     }
     let _ = write.shutdown().await;
@@ -163,11 +163,12 @@
     let mut sender = target;
     while let Ok((count, from)) = socket.recv_from(&mut buffer).await {
         let now = *faults.borrow();
-        let (fault, to) = if from == target { (now.back, sender) } else { (now.forward, target) };
+        let (fault, to) =
+            if from == target { (now.reverse, sender) } else { (now.forward, target) };
         if from != target {
             sender = from;
         }
-        if !fault.cut {
+        if !fault.is_blackholed {
             let _ = socket.send_to(&buffer[..count], to).await;
         }
     }
--- a/crates/leverstream-standin/src/script.rs
+++ b/crates/leverstream-standin/src/script.rs
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// A running server that answers each request with the same bytes.
-pub struct Script {
+pub struct ScriptedServer {
     /// Where it listens.
     pub address: SocketAddr,
     /// What has happened.
@@ -29,20 +29,20 @@
 
 /// What the server sends.
 #[derive(Clone, Debug, Default)]
-pub struct Lines {
+pub struct ScriptedBytes {
     /// Sent as soon as a connection opens.
     pub greeting: Vec<u8>,
     /// Sent after each request's head.
     pub answer: Vec<u8>,
     /// Sent some time after each answer, unasked.
-    pub late: Vec<u8>,
+    pub unsolicited: Vec<u8>,
     /// Whether the connection closes after an answer.
     pub close: bool,
 }
 
-impl Script {
+impl ScriptedServer {
     /// Spawns the server on the present runtime.
-    pub async fn spawn(lines: Lines) -> std::io::Result<Script> {
+    pub async fn spawn(lines: ScriptedBytes) -> std::io::Result<ScriptedServer> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let counts = Arc::new(Counts::default());
@@ -52,7 +52,7 @@
                 tokio::spawn(serve(stream, lines.clone(), Arc::clone(&shared)));
             }
         });
-        Ok(Script { address, counts })
+        Ok(ScriptedServer { address, counts })
     }
 
     /// Returns how many request heads have arrived.
@@ -61,13 +61,13 @@
     }
 
     /// Returns how often unasked bytes were sent late.
-    pub fn late(&self) -> u64 {
+    pub fn unsolicited_count(&self) -> u64 {
         self.counts.late.load(Ordering::SeqCst)
     }
 }
 
 /// Serves one connection.
-async fn serve(mut stream: TcpStream, lines: Lines, counts: Arc<Counts>) {
+async fn serve(mut stream: TcpStream, lines: ScriptedBytes, counts: Arc<Counts>) {
     let _ = stream.write_all(&lines.greeting).await;
     let mut seen = Vec::new();
     let mut buffer = [0; 4096];
@@ -77,9 +77,9 @@
             seen.drain(..end + 4);
             counts.requests.fetch_add(1, Ordering::SeqCst);
             let _ = stream.write_all(&lines.answer).await;
-            if !lines.late.is_empty() {
+            if !lines.unsolicited.is_empty() {
                 tokio::time::sleep(std::time::Duration::from_millis(LATE_MS)).await;
-                let _ = stream.write_all(&lines.late).await;
+                let _ = stream.write_all(&lines.unsolicited).await;
                 counts.late.fetch_add(1, Ordering::SeqCst);
             }
             if lines.close {
--- a/tests/src/ends.rs
+++ b/tests/src/ends.rs
@@ -184,5 +184,5 @@
 /// Has a backend server end under the request.
 fn prepare(origin: &Origin) {
     origin.set(Reply::After(20));
-    origin.end_under(MARKER);
+    origin.end_on_request(MARKER);
 }
--- a/tests/src/flow.rs
+++ b/tests/src/flow.rs
@@ -5,7 +5,7 @@
 
 use actix_rt::task::JoinHandle;
 use leverstream_platform::headers;
-use leverstream_standin::origin::{Origin, Seen};
+use leverstream_standin::origin::{Origin, ReceivedRequest};
 
 use crate::site::{Call, ONCE, SAFE, Site, send};
 
@@ -63,7 +63,7 @@
     }
 
     /// What a backend server saw of the flow from a moment on, by VM, in order.
-    pub fn arrivals(&self, origin: &Origin, from: Instant) -> Vec<(usize, Seen)> {
+    pub fn arrivals(&self, origin: &Origin, from: Instant) -> Vec<(usize, ReceivedRequest)> {
         let seen = origin.seen().into_iter().filter(|seen| seen.at >= from);
         let of_flow = seen.filter_map(|seen| {
             let vm = *self.vms.get(seen.field(headers::REQUEST_ID)?)?;
@@ -80,7 +80,7 @@
 }
 
 /// How long after the first word to a VM that its backend server leaves the last request from it arrived, over all VMs.
-pub fn longest_after_word(arrivals: &[(usize, Seen)]) -> Duration {
+pub fn longest_after_word(arrivals: &[(usize, ReceivedRequest)]) -> Duration {
     let mut words: HashMap<usize, Instant> = HashMap::new();
     let mut longest = Duration::ZERO;
     for (vm, seen) in arrivals {
@@ -96,10 +96,10 @@
 /// How many requests a VM sent on, at the most, between half a second after it was told that nothing was wanted and the end
 /// of that time; `is_excused` tells whether something befell it between two moments.
 pub fn most_unwanted(
-    arrivals: &[(usize, Seen)],
+    arrivals: &[(usize, ReceivedRequest)],
     is_excused: impl Fn(usize, Instant, Instant) -> bool,
 ) -> usize {
-    let unwanted = |(number, (vm, told)): (usize, &(usize, Seen))| {
+    let unwanted = |(number, (vm, told)): (usize, &(usize, ReceivedRequest))| {
         let Some(seconds) = says(told, headers::RETRY_AFTER).filter(|_| !told.ran) else {
             return 0;
         };
@@ -133,8 +133,11 @@
 /// befell a VM around a moment.
 ///
 /// The limit of each moment is the one of the last arrival before it; where it changed within a window the largest counts.
-pub fn limited(arrivals: &[(usize, Seen)], is_excused: impl Fn(usize, Instant) -> bool) -> Limited {
-    let limit = |seen: &Seen| says(seen, headers::RATE_LIMIT);
+pub fn limited(
+    arrivals: &[(usize, ReceivedRequest)],
+    is_excused: impl Fn(usize, Instant) -> bool,
+) -> Limited {
+    let limit = |seen: &ReceivedRequest| says(seen, headers::RATE_LIMIT);
     let Some(first) = arrivals.iter().position(|(_, seen)| limit(seen).is_some()) else {
         return Limited::default();
     };
@@ -147,7 +150,7 @@
         allowed_in_all += per_s * (until - seen.at).as_secs_f64();
         let from = counts_from.max(seen.at.checked_sub(LIMIT_WINDOW).unwrap_or(counts_from));
         let within = arrivals[..=number].iter().filter(|(_, other)| other.at > from);
-        let within: Vec<&(usize, Seen)> = within.collect();
+        let within: Vec<&(usize, ReceivedRequest)> = within.collect();
         // Without a limit for a part of the window there is nothing to hold it against.
         let limits: Option<Vec<f64>> = within.iter().map(|(_, other)| limit(other)).collect();
         let Some(limits) = limits else { continue };
@@ -163,8 +166,8 @@
 }
 
 /// The number that a backend server says of itself in a field of its answer.
-fn says(seen: &Seen, field: &str) -> Option<f64> {
-    let said = seen.said.iter().find(|(name, _)| *name == field);
+fn says(seen: &ReceivedRequest, field: &str) -> Option<f64> {
+    let said = seen.notice_fields.iter().find(|(name, _)| *name == field);
     said.and_then(|(_, value)| value.parse().ok())
 }
 
--- a/tests/src/notices.rs
+++ b/tests/src/notices.rs
@@ -123,7 +123,8 @@
         };
         for origin in self.site.origins.iter().chain(&self.gone) {
             let arrivals = self.flow.arrivals(origin, self.began);
-            outcome.words += arrivals.iter().filter(|(_, seen)| !seen.said.is_empty()).count();
+            outcome.words +=
+                arrivals.iter().filter(|(_, seen)| !seen.notice_fields.is_empty()).count();
             let excused = |vm, from, to| self.harm.befell_vm(vm, from, to);
             outcome.most_unwanted = outcome.most_unwanted.max(most_unwanted(&arrivals, excused));
             // One that started, stood still or was cut off a while ago is excused.
@@ -151,7 +152,7 @@
         let instance = origin.instance();
         match self.states[at] {
             State::Works if rng.random_bool(0.5) => {
-                origin.say(&[(headers::LEAVING, "1")]);
+                origin.set_notice_fields(&[(headers::LEAVING, "1")]);
                 self.states[at] = State::Leaves(Instant::now());
                 self.harm.tell(&format!("{instance} says that it leaves"));
                 let address = origin.address;
@@ -164,15 +165,15 @@
             State::Works if rng.random_bool(0.5) => {
                 let for_ms = rng.random_range(4_000..9_000_u64);
                 let per_s = rng.random_range(0.0..5.0_f64);
-                origin.say(&[(headers::RATE_LIMIT, &format!("{per_s:.2}"))]);
+                origin.set_notice_fields(&[(headers::RATE_LIMIT, &format!("{per_s:.2}"))]);
                 self.states[at] = State::Limited(Instant::now() + Duration::from_millis(for_ms));
                 self.harm.tell(&format!("{instance} takes {per_s:.2} a second for {for_ms} ms"));
             }
             State::Works => {
                 let for_ms = rng.random_range(300..4_000_u64);
                 let seconds = format!("{:.3}", for_ms as f64 / 1_000.0);
-                origin.set(Reply::Full);
-                origin.say(&[(headers::RETRY_AFTER, &seconds)]);
+                origin.set(Reply::Rejection);
+                origin.set_notice_fields(&[(headers::RETRY_AFTER, &seconds)]);
                 self.states[at] = State::Full(Instant::now() + Duration::from_millis(for_ms));
                 self.harm.tell(&format!("{instance} is full for {for_ms} ms"));
             }
@@ -183,7 +184,7 @@
             }
             State::Limited(until) if until > Instant::now() + Duration::from_secs(3) => {
                 let per_s = rng.random_range(0.0..5.0_f64);
-                origin.say(&[(headers::RATE_LIMIT, &format!("{per_s:.2}"))]);
+                origin.set_notice_fields(&[(headers::RATE_LIMIT, &format!("{per_s:.2}"))]);
                 self.harm.tell(&format!("{instance} takes {per_s:.2} a second now"));
             }
             State::Leaves(_) | State::Full(_) | State::Limited(_) => {}
@@ -209,7 +210,7 @@
         for (at, state) in self.states.iter_mut().enumerate() {
             if matches!(state, State::Full(until) | State::Limited(until) if *until <= now) {
                 self.site.origin(at).set(Reply::After(WORK_MS));
-                self.site.origin(at).say(&[]);
+                self.site.origin(at).set_notice_fields(&[]);
                 *state = State::Works;
             }
         }
--- a/tests/src/soak.rs
+++ b/tests/src/soak.rs
@@ -14,7 +14,7 @@
 
 use leverstream_catalog::Backend;
 use leverstream_platform::{headers, standin};
-use leverstream_standin::origin::{Origin, Reply, Seen};
+use leverstream_standin::origin::{Origin, ReceivedRequest, Reply};
 use leverstream_standin::platform::Faults as StoreFaults;
 use leverstream_standin::relay::{Fault, Faults, Relay};
 use rand::rngs::StdRng;
@@ -195,7 +195,7 @@
             _ => {
                 let rejects = self.rng.random_range(1..=ORIGINS);
                 self.site.set_all(Reply::After(20));
-                (0..rejects).for_each(|at| self.site.origin(at).set(Reply::Full));
+                (0..rejects).for_each(|at| self.site.origin(at).set(Reply::Rejection));
                 self.tell(&format!("{rejects} backend servers reject work"));
             }
         }
@@ -213,15 +213,15 @@
             Reply::After(20),
             Reply::After(300),
             Reply::Failure,
-            Reply::Full,
-            Reply::Silence,
+            Reply::Rejection,
+            Reply::NoAnswer,
             Reply::Reset,
-            Reply::Cut,
-            Reply::Garbage,
-            Reply::LateOneFirst,
-            Reply::Surplus,
-            Reply::Unframed,
-            Reply::UnframedReset,
+            Reply::Truncated,
+            Reply::Malformed,
+            Reply::StaleAnswerFirst,
+            Reply::ExtraAnswer,
+            Reply::WithoutLength,
+            Reply::WithoutLengthReset,
         ];
         let reply = *replies.choose(&mut self.rng).expect("there are replies");
         self.site.origin(at).set(reply);
@@ -231,14 +231,14 @@
     /// Changes the way to a backend server.
     fn set_origin_path(&mut self, at: usize) {
         let faults = path_faults(&mut self.rng);
-        self.origin_relays[at].set(faults);
+        self.origin_relays[at].set_faults(faults);
         self.tell(&format!("the way to backend server {at}: {faults:?}"));
     }
 
     /// Changes the way from a VM to the store.
     fn set_store_path(&mut self, vm: usize) {
         let faults = path_faults(&mut self.rng);
-        self.store_relays[vm].set(faults);
+        self.store_relays[vm].set_faults(faults);
         self.tell(&format!("the way from VM {vm} to the store: {faults:?}"));
     }
 
@@ -309,7 +309,7 @@
     async fn pass_address_on(&mut self, at: usize) {
         let before = self.instances[at].clone();
         let next = format!("i-{at}-{}", self.story.len() + 1);
-        self.site.origin(at).rename(&next);
+        self.site.origin(at).set_instance(&next);
         self.with_store_up().await;
         self.site.list_backend(&backend(&next, self.origin_relays[at].address)).await;
         if self.rng.random_bool(0.7) {
@@ -361,8 +361,8 @@
     /// Takes all faults away and waits until the fleet serves as before.
     async fn calm_down(&mut self) {
         self.site.platform.set_faults(&StoreFaults::default()).await;
-        self.origin_relays.iter().for_each(|relay| relay.set(Faults::default()));
-        self.store_relays.iter().for_each(|relay| relay.set(Faults::default()));
+        self.origin_relays.iter().for_each(|relay| relay.set_faults(Faults::default()));
+        self.store_relays.iter().for_each(|relay| relay.set_faults(Faults::default()));
         self.site.set_all(Reply::After(20));
         self.tell("all faults end");
         self.site.until_ready().await;
@@ -394,7 +394,8 @@
                 broken.push(format!("{got:?} was said not to have run, and ran"));
             }
         }
-        let arrivals: Vec<Seen> = self.site.origins.iter().flat_map(Origin::seen).collect();
+        let arrivals: Vec<ReceivedRequest> =
+            self.site.origins.iter().flat_map(Origin::seen).collect();
         broken.extend(excess(&got, &arrivals));
         let served = got.iter().filter(|got| got.status == Some(200)).count();
         Findings { broken, served, asked: got.len(), story: self.story }
@@ -404,15 +405,15 @@
 /// Faults of a way: none, cut, cut one way, slow, broken off.
 fn path_faults(rng: &mut StdRng) -> Faults {
     let none = Fault::default();
-    let cut = Fault { cut: true, ..none };
+    let cut = Fault { is_blackholed: true, ..none };
     let slow = Fault { delay_ms: 150, ..none };
     let short = Fault { close_after_bytes: Some(rng.random_range(0..300)), ..none };
     match rng.random_range(0..8) {
-        0 => Faults { forward: cut, back: cut },
-        1 => Faults { forward: cut, back: none },
-        2 => Faults { forward: none, back: cut },
-        3 => Faults { forward: slow, back: slow },
-        4 => Faults { forward: none, back: short },
+        0 => Faults { forward: cut, reverse: cut },
+        1 => Faults { forward: cut, reverse: none },
+        2 => Faults { forward: none, reverse: cut },
+        3 => Faults { forward: slow, reverse: slow },
+        4 => Faults { forward: none, reverse: short },
         _ => Faults::default(),
     }
 }
--- a/tests/src/soak/judge.rs
+++ b/tests/src/soak/judge.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use leverstream_platform::headers;
-use leverstream_standin::origin::Seen;
+use leverstream_standin::origin::ReceivedRequest;
 
 use super::Got;
 
@@ -18,7 +18,7 @@
 /// A window with more arrivals beyond the first of their request than all VMs together may make, if there is one.
 ///
 /// Requests count from the window, from the one before it or from the one half a window earlier.
-pub(super) fn excess(got: &[Got], arrivals: &[Seen]) -> Option<String> {
+pub(super) fn excess(got: &[Got], arrivals: &[ReceivedRequest]) -> Option<String> {
     let began = got.iter().map(|got| got.sent).min()?;
     let at_ms = |at: Instant| at.saturating_duration_since(began).as_millis() as u64;
     let sent_ms: Vec<u64> = got.iter().map(|got| at_ms(got.sent)).collect();
--- a/tests/tests/gateway.rs
+++ b/tests/tests/gateway.rs
@@ -82,12 +82,12 @@
 #[actix_rt::test]
 async fn one_that_did_not_run_it_hands_it_on_also_if_it_may_run_once_only() {
     let site = Site::start(1, 2).await;
-    site.origin(0).set(Reply::Full);
+    site.origin(0).set(Reply::Rejection);
     for _ in 0..6 {
         let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
         assert_eq!(answer.status, 200);
     }
-    site.origin(1).set(Reply::Full);
+    site.origin(1).set(Reply::Rejection);
     let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
     assert_eq!(answer.status, 503);
     assert!(answer.text("retry-after").is_some());
@@ -97,7 +97,7 @@
 #[actix_rt::test]
 async fn an_address_that_passed_on_is_not_asked_again() {
     let site = Site::start(1, 2).await;
-    site.origin(0).rename("i-new");
+    site.origin(0).set_instance("i-new");
     for _ in 0..8 {
         let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
         assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-1"));
@@ -110,11 +110,11 @@
     let site = Site::start(1, 2).await;
     let broken = [
         Reply::Reset,
-        Reply::Cut,
-        Reply::Garbage,
-        Reply::UnframedReset,
+        Reply::Truncated,
+        Reply::Malformed,
+        Reply::WithoutLengthReset,
         Reply::Failure,
-        Reply::Silence,
+        Reply::NoAnswer,
     ];
     for (number, reply) in broken.into_iter().enumerate() {
         site.set_all(reply);
@@ -129,7 +129,7 @@
 async fn what_may_run_again_survives_one_bad_answer() {
     let site = Site::start(1, 2).await;
     for (number, reply) in
-        [Reply::Reset, Reply::Cut, Reply::Garbage, Reply::Failure, Reply::Silence]
+        [Reply::Reset, Reply::Truncated, Reply::Malformed, Reply::Failure, Reply::NoAnswer]
             .into_iter()
             .enumerate()
     {
@@ -146,7 +146,7 @@
 #[actix_rt::test]
 async fn late_and_surplus_answers_reach_nobody() {
     let site = Site::start(1, 1).await;
-    for reply in [Reply::LateOneFirst, Reply::Surplus] {
+    for reply in [Reply::StaleAnswerFirst, Reply::ExtraAnswer] {
         site.set_all(reply);
         for _ in 0..10 {
             let call = Call::new(SAFE);
@@ -162,10 +162,10 @@
 #[actix_rt::test]
 async fn an_answer_without_a_length_is_whole_at_its_end_only() {
     let site = Site::start(1, 1).await;
-    site.set_all(Reply::Unframed);
+    site.set_all(Reply::WithoutLength);
     let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
     assert_eq!((answer.status, &*answer.body), (200, &b"unframed"[..]));
-    site.set_all(Reply::UnframedReset);
+    site.set_all(Reply::WithoutLengthReset);
     let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
     assert_eq!(answer.status, 502);
 }
@@ -173,7 +173,7 @@
 #[actix_rt::test]
 async fn the_routes_time_ends_a_request() {
     let site = Site::start(1, 1).await;
-    site.set_all(Reply::Silence);
+    site.set_all(Reply::NoAnswer);
     let started = Instant::now();
     let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
     let took = started.elapsed();
@@ -214,8 +214,10 @@
             socket.set_linger(Some(Duration::ZERO)).expect("it can be reset");
         }
         drop(stream);
-        until("the work is left", || async { (site.origin(0).left(path) == 1).then_some(()) })
-            .await;
+        until("the work is left", || async {
+            (site.origin(0).abandoned_count(path) == 1).then_some(())
+        })
+        .await;
     }
 }
 
--- a/tests/tests/gateway_limits.rs
+++ b/tests/tests/gateway_limits.rs
@@ -23,7 +23,7 @@
     let mut flow = Flow::default();
     flow.run(&site, Duration::from_millis(1_000)).await;
     let word = Instant::now();
-    site.origin(0).say(&[(headers::RATE_LIMIT, "1.4")]);
+    site.origin(0).set_notice_fields(&[(headers::RATE_LIMIT, "1.4")]);
     flow.run(&site, Duration::from_secs(11)).await;
     let served = served(&flow.answers().await);
     let arrivals = flow.arrivals(site.origin(0), word);
@@ -45,8 +45,8 @@
 /// What a backend server answers with when it names its limit.
 #[parameterized(
     failure = { Reply::Failure },
-    refusal = { Reply::Full },
-    broken_off = { Reply::Cut },
+    refusal = { Reply::Rejection },
+    broken_off = { Reply::Truncated },
 )]
 #[test_macro(actix_rt::test)]
 async fn the_limit_counts_in_any_answer(reply: Reply) {
@@ -54,7 +54,7 @@
     site.set_all(Reply::After(80));
     let word = Instant::now();
     site.origin(0).set(reply);
-    site.origin(0).say(&[(headers::RATE_LIMIT, "0.5")]);
+    site.origin(0).set_notice_fields(&[(headers::RATE_LIMIT, "0.5")]);
     let mut flow = Flow::default();
     flow.run(&site, Duration::from_secs(7)).await;
     flow.answers().await;
@@ -70,11 +70,11 @@
 async fn a_limit_that_is_lifted_is_forgotten_by_all_vms_within_a_second() {
     let site = Site::start(3, 5).await;
     site.set_all(Reply::After(80));
-    site.origin(0).say(&[(headers::RATE_LIMIT, "2")]);
+    site.origin(0).set_notice_fields(&[(headers::RATE_LIMIT, "2")]);
     let mut flow = Flow::default();
     flow.run(&site, Duration::from_secs(4)).await;
     let lifted = Instant::now();
-    site.origin(0).say(&[]);
+    site.origin(0).set_notice_fields(&[]);
     flow.run(&site, Duration::from_secs(1)).await;
     for vm in &site.vms {
         let limited = vm.metric("leverstream_backends{state=\"Limited\"}").await;
@@ -93,7 +93,7 @@
 async fn where_all_name_limits_these_are_used_and_the_rest_is_refused_at_once() {
     let site = Site::start(3, 3).await;
     site.set_all(Reply::After(40));
-    site.origins.iter().for_each(|origin| origin.say(&[(headers::RATE_LIMIT, "3")]));
+    site.origins.iter().for_each(|origin| origin.set_notice_fields(&[(headers::RATE_LIMIT, "3")]));
     let word = Instant::now();
     let mut flow = Flow::default();
     flow.run(&site, Duration::from_secs(4)).await;
@@ -120,7 +120,7 @@
 async fn whatever_befalls_vms_they_keep_to_the_limit() {
     let mut site = Site::start(4, 5).await;
     site.set_all(Reply::After(80));
-    site.origin(0).say(&[(headers::RATE_LIMIT, "1.4")]);
+    site.origin(0).set_notice_fields(&[(headers::RATE_LIMIT, "1.4")]);
     let word = Instant::now();
     let mut flow = Flow::default();
     flow.run(&site, Duration::from_millis(3_500)).await;
--- a/tests/tests/gateway_notices.rs
+++ b/tests/tests/gateway_notices.rs
@@ -41,7 +41,7 @@
 async fn nothing_reaches_a_backend_server_that_has_said_in_its_answers_that_it_leaves() {
     let (site, mut flow) = start(3, 5).await;
     let word = Instant::now();
-    site.origin(0).say(&[(headers::LEAVING, "1")]);
+    site.origin(0).set_notice_fields(&[(headers::LEAVING, "1")]);
     flow.run(&site, Duration::from_secs(4)).await;
     let answers = flow.answers().await;
     let arrivals = flow.arrivals(site.origin(0), word);
@@ -63,15 +63,15 @@
 #[parameterized(
     success = { Reply::After(80) },
     failure = { Reply::Failure },
-    refusal = { Reply::Full },
-    broken_off = { Reply::Cut },
+    refusal = { Reply::Rejection },
+    broken_off = { Reply::Truncated },
 )]
 #[test_macro(actix_rt::test)]
 async fn the_word_counts_in_any_answer(reply: Reply) {
     let (site, mut flow) = start(2, 5).await;
     let word = Instant::now();
     site.origin(0).set(reply);
-    site.origin(0).say(&[(headers::LEAVING, "1")]);
+    site.origin(0).set_notice_fields(&[(headers::LEAVING, "1")]);
     flow.run(&site, Duration::from_millis(3_000)).await;
     flow.answers().await;
     let longest = longest_after_word(&flow.arrivals(site.origin(0), word));
@@ -82,7 +82,7 @@
 async fn nothing_that_befalls_vms_or_the_list_takes_the_word_back() {
     let (mut site, mut flow) = start(3, 5).await;
     let word = Instant::now();
-    site.origin(0).say(&[(headers::LEAVING, "1")]);
+    site.origin(0).set_notice_fields(&[(headers::LEAVING, "1")]);
     flow.run(&site, Duration::from_millis(500)).await;
     site.vms[0].signal(Signal::HUP);
     site.vms[1].restart();
@@ -111,7 +111,7 @@
     site.set_all(Reply::After(20));
     flow.answers().await;
     let word = Instant::now();
-    site.origins.iter().for_each(|origin| origin.say(&[(headers::LEAVING, "1")]));
+    site.origins.iter().for_each(|origin| origin.set_notice_fields(&[(headers::LEAVING, "1")]));
     flow.run(&site, Duration::from_millis(1_500)).await;
     let at_first = flow.answers().await;
     flow.run(&site, Duration::from_millis(2_500)).await;
@@ -145,8 +145,8 @@
     let (site, mut flow) = start(3, 5).await;
     flow.answers().await;
     let from = Instant::now();
-    site.origin(0).set(Reply::Full);
-    site.origin(0).say(&[(headers::RETRY_AFTER, "2")]);
+    site.origin(0).set(Reply::Rejection);
+    site.origin(0).set_notice_fields(&[(headers::RETRY_AFTER, "2")]);
     flow.run(&site, WANTS_NOTHING).await;
     let served = served(&flow.answers().await);
     let arrivals = flow.arrivals(site.origin(0), from);
@@ -154,7 +154,7 @@
     println!("{} arrivals, {most} of one VM unwanted, {served:.3} served", arrivals.len());
     assert!(most <= UNWANTED, "{most} requests of one VM");
     assert!(served >= 0.99, "{served} served");
-    site.origin(0).say(&[]);
+    site.origin(0).set_notice_fields(&[]);
     site.set_all(Reply::After(80));
     let back = Instant::now();
     flow.run(&site, Duration::from_millis(2_500)).await;
@@ -167,8 +167,8 @@
     const WANTS_NOTHING: Duration = Duration::from_secs(3);
     let (site, mut flow) = start(3, 4).await;
     flow.answers().await;
-    site.set_all(Reply::Full);
-    site.origins.iter().for_each(|origin| origin.say(&[(headers::RETRY_AFTER, "3")]));
+    site.set_all(Reply::Rejection);
+    site.origins.iter().for_each(|origin| origin.set_notice_fields(&[(headers::RETRY_AFTER, "3")]));
     let from = Instant::now();
     flow.run(&site, WANTS_NOTHING - Duration::from_secs(1)).await;
     let answers = flow.answers().await;
@@ -192,7 +192,7 @@
         assert!(back <= from + WANTS_NOTHING + Duration::from_secs(3), "too late");
     }
     site.set_all(Reply::After(20));
-    site.origins.iter().for_each(|origin| origin.say(&[]));
+    site.origins.iter().for_each(|origin| origin.set_notice_fields(&[]));
     tokio::time::sleep(WANTS_NOTHING.saturating_sub(from.elapsed()) + Duration::from_millis(600))
         .await;
     flow.run(&site, Duration::from_millis(500)).await;
@@ -204,11 +204,13 @@
 async fn a_request_that_can_wait_for_the_end_of_the_time_is_served() {
     let (site, mut flow) = start(3, 4).await;
     flow.answers().await;
-    site.set_all(Reply::Full);
-    site.origins.iter().for_each(|origin| origin.say(&[(headers::RETRY_AFTER, "0.3")]));
+    site.set_all(Reply::Rejection);
+    site.origins
+        .iter()
+        .for_each(|origin| origin.set_notice_fields(&[(headers::RETRY_AFTER, "0.3")]));
     flow.run(&site, Duration::from_millis(250)).await;
     site.set_all(Reply::After(20));
-    site.origins.iter().for_each(|origin| origin.say(&[]));
+    site.origins.iter().for_each(|origin| origin.set_notice_fields(&[]));
     flow.run(&site, Duration::from_millis(500)).await;
     let served = served(&flow.answers().await);
     println!("{served:.3} served");
--- a/tests/tests/gateway_store.rs
+++ b/tests/tests/gateway_store.rs
@@ -285,7 +285,7 @@
     let born = |born_ms: u64| Backend { born_ms, ..backend("i-1", site.origin(1).address) };
     site.list_backend(&born(1_000)).await;
     // Its address answers for another, so all VMs take that start as ended.
-    site.origin(1).rename("i-9");
+    site.origin(1).set_instance("i-9");
     let is_ended = |vm: &Vm| vm.has_logged("its address answers for another");
     until("it was met", || async {
         for vm in &site.vms {
@@ -294,7 +294,7 @@
         site.vms.iter().any(is_ended).then_some(())
     })
     .await;
-    site.origin(1).rename("i-1");
+    site.origin(1).set_instance("i-1");
     site.list_backend(&born(2_000)).await;
     for vm in &site.vms {
         until("it gets work from every VM", || async {
--- a/tests/tests/once.rs
+++ b/tests/tests/once.rs
@@ -81,8 +81,8 @@
     let scene = Scene::start().await;
     let entry = scene.entry(0, 0).await;
     let relay = Relay::spawn(entry.address).await.expect("the relay starts");
-    let cut = Fault { cut: true, ..Fault::default() };
-    relay.set(Faults { back: cut, ..Faults::default() });
+    let cut = Fault { is_blackholed: true, ..Fault::default() };
+    relay.set_faults(Faults { reverse: cut, ..Faults::default() });
     let request = Request::keyed(&entry, "port", "order-1", "subscriber 7");
     let lost = request.clone().at(relay.address).timeout_ms(300).send().await;
     assert!(lost.is_none(), "{lost:?}");
@@ -205,10 +205,10 @@
     let home = scene.fleet.daemons[0].callers;
     for (key, faults) in [
         ("forward", Faults { forward: cut(), ..Faults::default() }),
-        ("back", Faults { back: cut(), ..Faults::default() }),
+        ("back", Faults { reverse: cut(), ..Faults::default() }),
     ] {
         let relay = Relay::spawn(home).await.expect("the relay starts");
-        relay.set(faults);
+        relay.set_faults(faults);
         let request = Request::keyed(&entry, "port", key, "subscriber 7");
         let lost = request.clone().at(relay.address).timeout_ms(300).send().await;
         assert!(lost.is_none(), "{lost:?}");
@@ -220,7 +220,7 @@
 
 /// A direction that loses everything.
 fn cut() -> Fault {
-    Fault { cut: true, ..Fault::default() }
+    Fault { is_blackholed: true, ..Fault::default() }
 }
 
 #[actix_rt::test]
@@ -228,11 +228,11 @@
     let mut fleet = Fleet::empty();
     let platform = fleet.platform.address;
     // The home advertises the relay, which learns where it leads once the home has chosen its port.
-    let relay = Relay::spawn_unaimed().await.expect("the relay starts");
+    let relay = Relay::spawn_without_target().await.expect("the relay starts");
     let mut home = DaemonOptions::new("a", platform);
     home.callers_advertise = Some(relay.address);
     let home = fleet.add(&home);
-    relay.aim(fleet.daemons[home].callers);
+    relay.set_target(fleet.daemons[home].callers);
     fleet.add(&DaemonOptions::new("b", platform));
     fleet.list_all().await;
     fleet.settle().await;
@@ -240,12 +240,12 @@
     let scene = Scene { fleet, backend };
     scene.add_service().await;
     let entry = scene.entry_at(1, relay.address).await;
-    relay.set(Faults { back: cut(), ..Faults::default() });
+    relay.set_faults(Faults { reverse: cut(), ..Faults::default() });
     let request = Request::keyed(&entry, "port", "order-1", "subscriber 7");
     let request = request.at(scene.fleet.daemons[1].callers);
     let early = request.must_send().await;
     assert_eq!(early.outcome, "unknown", "{early:?}");
-    relay.set(Faults::default());
+    relay.set_faults(Faults::default());
     let late = request.must_send().await;
     assert_eq!((late.status, late.report().run), (200, 1));
     assert!(late.is_replayed);
--- a/tests/tests/whole.rs
+++ b/tests/tests/whole.rs
@@ -5,7 +5,7 @@
 use awc::http::Method;
 use leverstream_standin::backend::Mode;
 use leverstream_standin::relay::{Fault, Faults, Relay};
-use leverstream_standin::script::{Lines, Script};
+use leverstream_standin::script::{ScriptedBytes, ScriptedServer};
 use leverstream_tests::{Backend, Fleet, PATIENCE, Request, change, send_raw, until};
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -34,10 +34,10 @@
 
 #[actix_rt::test]
 async fn broken_answers_are_never_passed_off_as_whole_and_never_said_not_run() {
-    let close = |answer: &str| Lines {
+    let close = |answer: &str| ScriptedBytes {
         answer: answer.as_bytes().to_vec(),
         close: true,
-        ..Lines::default()
+        ..ScriptedBytes::default()
     };
     let cases = [
         ("short body", close("HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nfour")),
@@ -57,7 +57,7 @@
         ("unasked 100", close("HTTP/1.1 100 Continue\r\n\r\n")),
     ];
     for (what, lines) in cases {
-        let script = Script::spawn(lines).await.expect("the script starts");
+        let script = ScriptedServer::spawn(lines).await.expect("the script starts");
         let fleet = fleet_before(script.address).await;
         let answer = post(&fleet, "/orders").must_send().await;
         assert_eq!(answer.outcome, "unknown", "{what}: {answer:?}");
@@ -76,7 +76,7 @@
     let whole = get(&fleet, "/games").must_send().await;
     assert_eq!(whole.report().filling.len(), 400_000);
     let cut = Fault { close_after_bytes: Some(200_000), ..Fault::default() };
-    relay.set(Faults { back: cut, ..Faults::default() });
+    relay.set_faults(Faults { reverse: cut, ..Faults::default() });
     let mut cut_seen = false;
     for _ in 0..5 {
         let answer = get(&fleet, "/games").send().await;
@@ -94,26 +94,26 @@
 
 #[actix_rt::test]
 async fn surplus_and_unsolicited_bytes_never_reach_another_request() {
-    let surplus = Lines {
+    let surplus = ScriptedBytes {
         answer: b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nmineHTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\nothers"
             .to_vec(),
-        ..Lines::default()
+        ..ScriptedBytes::default()
     };
-    let unsolicited = Lines {
+    let unsolicited = ScriptedBytes {
         answer: b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nmine".to_vec(),
-        late: b"HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\nothers".to_vec(),
-        ..Lines::default()
+        unsolicited: b"HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\nothers".to_vec(),
+        ..ScriptedBytes::default()
     };
     for lines in [surplus, unsolicited] {
-        let sends_late = !lines.late.is_empty();
-        let script = Script::spawn(lines).await.expect("the script starts");
+        let sends_late = !lines.unsolicited.is_empty();
+        let script = ScriptedServer::spawn(lines).await.expect("the script starts");
         let fleet = fleet_before(script.address).await;
         for round in 1..=10 {
             let answer = get(&fleet, "/mine").must_send().await;
             assert_eq!((answer.status, answer.body.as_str()), (200, "mine"), "round {round}");
             if sends_late {
                 until("the late bytes are sent", || async {
-                    (script.late() >= round).then_some(())
+                    (script.unsolicited_count() >= round).then_some(())
                 })
                 .await;
             }
@@ -147,18 +147,18 @@
     let backend = Backend::start("b1", 1);
     let relay = Relay::spawn(backend.address).await.expect("the relay starts");
     let fleet = fleet_before(relay.address).await;
-    let cut = Fault { cut: true, ..Fault::default() };
+    let cut = Fault { is_blackholed: true, ..Fault::default() };
     let faults = [
         ("none", Faults::default()),
         ("forward cut", Faults { forward: cut, ..Faults::default() }),
-        ("back cut", Faults { back: cut, ..Faults::default() }),
+        ("back cut", Faults { reverse: cut, ..Faults::default() }),
     ];
     for (what, faults) in faults {
-        relay.set(faults);
+        relay.set_faults(faults);
         for limit in [None, Some(0), Some(1), Some(40), Some(120), Some(400)] {
             let truncate = Fault { close_after_bytes: limit, ..Fault::default() };
             if faults == Faults::default() {
-                relay.set(Faults { back: truncate, ..faults });
+                relay.set_faults(Faults { reverse: truncate, ..faults });
             }
             let before = backend.counts().await.started;
             let request = post(&fleet, "/orders").header("leverstream-deadline-ms", "400");
