--- a/crates/leverctl/src/request.rs
+++ b/crates/leverctl/src/request.rs
@@ -1,7 +1,7 @@
 use std::net::SocketAddr;
 
 use awc::http::Method;
-use leverstream_caller::{Caller, Work};
+use leverstream_caller::{CallRequest, Caller};
 
 use crate::args::RequestArgs;
 use crate::error::CtlError;
@@ -9,7 +9,7 @@
 
 /// Prints where to connect.
 pub async fn ask(callers: SocketAddr, hall: Option<&str>, service: &str) -> Result<(), CtlError> {
-    let answer = Caller::open(vec![callers], service, hall).ask().await.map_err(CtlError::Call)?;
+    let answer = Caller::new(vec![callers], service, hall).ask().await.map_err(CtlError::Call)?;
     print_json(&answer);
     Ok(())
 }
@@ -18,9 +18,13 @@
 pub async fn request(args: RequestArgs, json: bool) -> Result<(), CtlError> {
     let method: Method =
         args.method.parse().map_err(|_| CtlError::Cell(format!("--method {}", args.method)))?;
-    let work =
-        Work { method, path: args.path, body: args.body.into(), timeout_ms: args.timeout_ms };
-    let mut caller = Caller::open(vec![args.callers], &args.service, None);
+    let work = CallRequest {
+        method,
+        path: args.path,
+        body: args.body.into(),
+        timeout_ms: args.timeout_ms,
+    };
+    let mut caller = Caller::new(vec![args.callers], &args.service, None);
     let reply = caller.call(&work).await.map_err(CtlError::Call)?;
     if json {
         let body = String::from_utf8_lossy(&reply.body);
--- a/crates/leverstream-ask/src/answer.rs
+++ b/crates/leverstream-ask/src/answer.rs
@@ -4,11 +4,11 @@
 
 /// The answer to where to connect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AskAnswer {
+pub struct ConnectAnswer {
     /// The service.
     pub service: String,
     /// The addresses, nearest first.
-    pub addresses: Vec<Entry>,
+    pub addresses: Vec<ConnectAddress>,
     /// How long the answer may be kept.
     pub holds_ms: u64,
     /// Whether leverstream serves the service; else the addresses are the scripts'.
@@ -17,7 +17,7 @@
 
 /// An address to connect to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct ConnectAddress {
     /// The address.
     pub address: SocketAddr,
     /// The hall it is in.
--- a/crates/leverstream-ask/src/lib.rs
+++ b/crates/leverstream-ask/src/lib.rs
@@ -5,7 +5,7 @@
 
 mod answer;
 
-pub use answer::{AskAnswer, Entry};
+pub use answer::{ConnectAddress, ConnectAnswer};
 
 /// Names the service that a request is for; without it the host name does.
 pub const SERVICE_HEADER: &str = "leverstream-service";
--- a/crates/leverstream-caller/src/caller.rs
+++ b/crates/leverstream-caller/src/caller.rs
@@ -6,7 +6,7 @@
 use awc::http::header::HeaderMap;
 use bytes::Bytes;
 use leverstream_ask::{
-    AskAnswer, DEADLINE_HEADER, Entry, KEY_HEADER, SERVICE_HEADER, TICKET_HEADER,
+    ConnectAddress, ConnectAnswer, DEADLINE_HEADER, KEY_HEADER, SERVICE_HEADER, TICKET_HEADER,
 };
 use leverstream_error::{KIND_HEADER, Kind, Next, Outcome, RETRY_AFTER_HEADER};
 use rand::Rng;
@@ -24,7 +24,7 @@
 
 /// One piece of work for a service.
 #[derive(Clone, Debug)]
-pub struct Work {
+pub struct CallRequest {
     /// The method.
     pub method: Method,
     /// The path and query.
@@ -61,19 +61,19 @@
     /// The HTTP client.
     client: awc::Client,
     /// The last answer to where to connect, and when it was given.
-    kept: Option<(AskAnswer, Instant)>,
+    kept: Option<(ConnectAnswer, Instant)>,
 }
 
 impl Caller {
     /// Opens a caller that knows some addresses of the system.
-    pub fn open(systems: Vec<SocketAddr>, service: &str, hall: Option<&str>) -> Caller {
+    pub fn new(systems: Vec<SocketAddr>, service: &str, hall: Option<&str>) -> Caller {
         let client = awc::Client::builder().disable_redirects().no_default_headers().finish();
         let (service, hall) = (service.to_owned(), hall.map(str::to_owned));
         Caller { systems, service, hall, client, kept: None }
     }
 
     /// Asks where to connect, or returns the answer kept while it holds.
-    pub async fn ask(&mut self) -> Result<AskAnswer, CallError> {
+    pub async fn ask(&mut self) -> Result<ConnectAnswer, CallError> {
         if let Some((answer, asked)) = &self.kept
             && asked.elapsed() < Duration::from_millis(answer.holds_ms)
         {
@@ -93,7 +93,7 @@
     }
 
     /// Forgets the answer kept, so that the next call asks again.
-    pub fn forget(&mut self) {
+    pub fn invalidate_answer(&mut self) {
         if let Some((answer, _)) = &mut self.kept {
             answer.holds_ms = 0;
         }
@@ -102,7 +102,7 @@
     /// Has a piece of work done, with tries as they are allowed.
     ///
     /// All tries carry the ticket and key of the first, at whichever address they arrive.
-    pub async fn call(&mut self, work: &Work) -> Result<Reply, CallError> {
+    pub async fn call(&mut self, work: &CallRequest) -> Result<Reply, CallError> {
         let until = Instant::now() + Duration::from_millis(work.timeout_ms);
         let key = format!("{:032x}", rand::rng().random::<u128>());
         let answer = self.ask().await?;
@@ -137,7 +137,7 @@
     }
 
     /// Asks one address of the system.
-    async fn ask_at(&self, system: SocketAddr) -> Result<AskAnswer, CallError> {
+    async fn ask_at(&self, system: SocketAddr) -> Result<ConnectAnswer, CallError> {
         let mut url = format!("http://{system}/v1/connect/{}", self.service);
         if let Some(hall) = &self.hall {
             url.push_str(&format!("?hall={hall}"));
@@ -155,8 +155,8 @@
     /// Makes one try; an error comes with how long to wait before the next.
     async fn try_at(
         &self,
-        entry: &Entry,
-        work: &Work,
+        entry: &ConnectAddress,
+        work: &CallRequest,
         ticket: Option<&str>,
         key: &str,
         until: Instant,
--- a/crates/leverstream-caller/src/lib.rs
+++ b/crates/leverstream-caller/src/lib.rs
@@ -6,6 +6,6 @@
 mod caller;
 mod error;
 
-pub use caller::{Caller, Reply, Work};
+pub use caller::{CallRequest, Caller, Reply};
 pub use error::CallError;
-pub use leverstream_ask::{AskAnswer, Entry};
+pub use leverstream_ask::{ConnectAddress, ConnectAnswer};
--- a/crates/leverstream-proxy/src/ask.rs
+++ b/crates/leverstream-proxy/src/ask.rs
@@ -2,7 +2,7 @@
 
 use actix_web::HttpResponse;
 use actix_web::web::{Data, Path, Query};
-use leverstream_ask::{AskAnswer, Entry};
+use leverstream_ask::{ConnectAddress, ConnectAnswer};
 use leverstream_error::Kind;
 use leverstream_ticket::{Stem, Ticket};
 use rand::Rng;
@@ -67,7 +67,7 @@
         proxy.metrics.refuse(Kind::NoBackend);
         return refuse(Kind::NoBackend);
     }
-    HttpResponse::Ok().json(AskAnswer {
+    HttpResponse::Ok().json(ConnectAnswer {
         service: view.doc.service.clone(),
         addresses: entries,
         holds_ms: proxy.settings.answer_holds_ms,
@@ -76,14 +76,14 @@
 }
 
 /// The answer for a service that the scripts still serve.
-fn scripts(proxy: &Proxy, view: &ServiceView) -> AskAnswer {
-    let entry = |address: SocketAddr| Entry {
+fn scripts(proxy: &Proxy, view: &ServiceView) -> ConnectAnswer {
+    let entry = |address: SocketAddr| ConnectAddress {
         address,
         hall: String::new(),
         ticket: None,
         ticket_holds_ms: None,
     };
-    AskAnswer {
+    ConnectAnswer {
         service: view.doc.service.clone(),
         addresses: view.doc.row.script_addresses.iter().map(|address| entry(address.0)).collect(),
         holds_ms: proxy.settings.answer_holds_ms,
@@ -94,7 +94,7 @@
 /// The service's VMs that take callers and have given a stem, nearest first.
 ///
 /// Within a hall chance decides the order, which spreads the callers.
-async fn entries(proxy: &Proxy, view: &ServiceView, hall: Option<&str>) -> Vec<Entry> {
+async fn entries(proxy: &Proxy, view: &ServiceView, hall: Option<&str>) -> Vec<ConnectAddress> {
     let me = proxy.snapshot.load().me.clone();
     let mut vms: Vec<VmView> = view.entry.iter().filter(|vm| vm.takes_callers).cloned().collect();
     let hall = hall.unwrap_or(&me.hall);
@@ -125,7 +125,7 @@
 }
 
 /// An entry of the answer with a ticket of its own, if the VM's stem is at hand.
-fn entry(proxy: &Proxy, vm: &VmView, me: u64) -> Option<Entry> {
+fn entry(proxy: &Proxy, vm: &VmView, me: u64) -> Option<ConnectAddress> {
     let now_ms = proxy.now_ms();
     let (stem, holds_ms) = if vm.id == me {
         (proxy.mint.stem(now_ms), proxy.mint.ttl_ms())
@@ -135,7 +135,7 @@
         (held.stem, held.holds_ms.checked_sub(age_ms).filter(|left_ms| *left_ms > 0)?)
     };
     let ticket = Ticket { stem, nonce: rand::rng().random() };
-    Some(Entry {
+    Some(ConnectAddress {
         address: vm.caller_address,
         hall: vm.hall.clone(),
         ticket: Some(ticket.to_string()),
--- a/tests/src/fleet.rs
+++ b/tests/src/fleet.rs
@@ -272,7 +272,7 @@
 
     /// A caller that asks this daemon.
     pub fn caller(&self, service: &str) -> Caller {
-        Caller::open(vec![self.callers], service, None)
+        Caller::new(vec![self.callers], service, None)
     }
 }
 
--- a/tests/src/request.rs
+++ b/tests/src/request.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use awc::http::Method;
-use leverstream_caller::Entry;
+use leverstream_caller::ConnectAddress;
 use leverstream_standin::backend::Report;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -53,7 +53,7 @@
     }
 
     /// A request that must run at most once, with a ticket and a key.
-    pub fn keyed(entry: &Entry, service: &str, key: &str, body: &str) -> Request {
+    pub fn keyed(entry: &ConnectAddress, service: &str, key: &str, body: &str) -> Request {
         let ticket = entry.ticket.as_deref().expect("the entry has a ticket");
         Request::new(entry.address, service, Method::POST, "/orders")
             .header("leverstream-ticket", ticket)
--- a/tests/tests/fleet.rs
+++ b/tests/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use awc::http::Method;
-use leverstream_caller::{Caller, Work};
+use leverstream_caller::{CallRequest, Caller};
 use leverstream_standin::backend::Mode;
 use leverstream_standin::platform::Faults;
 use leverstream_tests::{Backend, DaemonOptions, Fleet, Request, change, until};
@@ -46,10 +46,10 @@
             let mut systems = systems.clone();
             let count = systems.len();
             systems.rotate_left(index % count);
-            let mut caller = Caller::open(systems, service, None);
+            let mut caller = Caller::new(systems, service, None);
             let (goes_on, good, failed) =
                 (Rc::clone(&load.goes_on), Rc::clone(&load.good), Rc::clone(&load.failed));
-            let work = Work {
+            let work = CallRequest {
                 method: method.clone(),
                 path: "/games/7".to_owned(),
                 body: "".into(),
--- a/tests/tests/once.rs
+++ b/tests/tests/once.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use leverstream_caller::Entry;
+use leverstream_caller::ConnectAddress;
 use leverstream_standin::backend::Mode;
 use leverstream_standin::platform::Faults as PlatformFaults;
 use leverstream_standin::relay::{Fault, Faults, Relay};
@@ -36,13 +36,13 @@
     }
 
     /// Asks a daemon for the entry of another.
-    async fn entry(&self, asked: usize, wanted: usize) -> Entry {
+    async fn entry(&self, asked: usize, wanted: usize) -> ConnectAddress {
         let address = self.fleet.daemons[wanted].callers;
         self.entry_at(asked, address).await
     }
 
     /// Asks a daemon for the entry of an address.
-    async fn entry_at(&self, asked: usize, address: SocketAddr) -> Entry {
+    async fn entry_at(&self, asked: usize, address: SocketAddr) -> ConnectAddress {
         until("the address is told", || async {
             let answer = self.fleet.daemons[asked].caller("port").ask().await.ok()?;
             answer.addresses.into_iter().find(|entry| entry.address == address)
@@ -263,7 +263,7 @@
     let altered = String::from_utf8(altered).expect("it is text");
     let cases = [("", "bad"), ("AAAA", "bad"), (altered.as_str(), "altered")];
     for (forged, what) in cases {
-        let entry = Entry { ticket: Some(forged.to_owned()), ..entry.clone() };
+        let entry = ConnectAddress { ticket: Some(forged.to_owned()), ..entry.clone() };
         let answer = Request::keyed(&entry, "port", "order-1", "x").must_send().await;
         assert_eq!(
             (answer.error.as_str(), answer.outcome.as_str()),
--- a/tests/tests/scale.rs
+++ b/tests/tests/scale.rs
@@ -5,7 +5,7 @@
 
 use awc::http::Method;
 use leverstream_bench::load::{cpu_ms, resident_kb};
-use leverstream_caller::{Caller, Work};
+use leverstream_caller::{CallRequest, Caller};
 use leverstream_standin::backend::Mode;
 use leverstream_tests::{Backend, DaemonOptions, Fleet, PATIENCE, change, until};
 use serde_json::json;
@@ -94,8 +94,8 @@
         let killed = Instant::now();
         dead.process.kill();
         // Callers that still hold the old answer try its next address.
-        let mut caller = Caller::open(systems.clone(), "shop", None);
-        let work = Work {
+        let mut caller = Caller::new(systems.clone(), "shop", None);
+        let work = CallRequest {
             method: Method::GET,
             path: "/games/7".to_owned(),
             body: "".into(),
--- a/tests/tests/session.rs
+++ b/tests/tests/session.rs
@@ -1,7 +1,7 @@
 //! Whole sessions: ask, connect, answer, edit, answer; compared with golden files.
 
 use awc::http::Method;
-use leverstream_caller::Work;
+use leverstream_caller::CallRequest;
 use leverstream_standin::backend::Report;
 use leverstream_tests::{Backend, Fleet, change, until};
 use serde_json::json;
@@ -78,10 +78,10 @@
             answer.taken_over
         ));
         let body = until("the backend server answers", || {
-            caller.forget();
+            caller.invalidate_answer();
             let mut caller = daemon.caller("archive");
             async move {
-                let work = Work {
+                let work = CallRequest {
                     method: Method::GET,
                     path: "/games/7".to_owned(),
                     body: "".into(),
