--- a/crates/leverstream-standin/src/backend.rs
+++ b/crates/leverstream-standin/src/backend.rs
@@ -1,4 +1,5 @@
-//! A stand-in for a backend server: slots, cold start, shed, drain, lies about health, stalls.
+//! A stand-in for a backend server with a fixed number of slots. Its mode makes it slow, failing, stalled, shedding,
+//! draining or unhealthy; the health check can report a state that differs from how requests fare.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -14,26 +15,26 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{Notify, Semaphore};
 
-/// The header that names one piece of work.
+/// The header with the idempotency key of a request.
 const KEY_HEADER: &str = "idempotency-key";
 
-/// How a backend server behaves.
+/// The behavior of a backend server.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Mode {
-    /// The time that a request's work takes.
+    /// The processing time of a request.
     pub work_ms: u64,
-    /// The share of requests whose work never ends, from 0 to 1.
+    /// The fraction of requests that stall until the mode changes, from 0 to 1.
     pub stall_share: f64,
-    /// The share of requests that are answered with status 500.
+    /// The fraction of requests that are answered with status 500, from 0 to 1.
     pub error_share: f64,
-    /// Whether requests are shed with status 503 and not run.
+    /// Whether requests are shed: rejected with status 503 and not run.
     pub shed: bool,
-    /// Whether answers tell that the server is draining.
+    /// Whether answers announce that the server is draining.
     pub draining: bool,
-    /// Whether the health check answers well, whatever the work does.
+    /// Whether the health check succeeds, regardless of how requests fare.
     pub healthy: bool,
-    /// The size of an answer's filling, in bytes.
+    /// The size of the padding in an answer, in bytes.
     pub answer_bytes: usize,
 }
 
@@ -51,12 +52,12 @@
     }
 }
 
-/// What a backend server has done.
+/// What a backend server has processed so far.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counts {
     /// Requests that began to run.
     pub started: u64,
-    /// Requests whose work ended.
+    /// Requests that finished.
     pub finished: u64,
     /// Health checks answered.
     pub probes: u64,
@@ -64,7 +65,7 @@
     pub by_key: BTreeMap<String, u64>,
 }
 
-/// What an answer says about its request.
+/// The body of an answer: how the backend server received and ran the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The name of the backend server.
@@ -82,27 +83,27 @@
     /// The trace that the request belongs to, or empty.
     #[serde(default)]
     pub traceparent: String,
-    /// How many runs of this key there have been, this one included.
+    /// How often a request with this key has run, including this run.
     pub run: u64,
-    /// Filling, as long as the mode says.
+    /// Padding of the length that the mode sets.
     pub filling: String,
 }
 
-/// The state behind one backend server.
+/// The shared state of one backend server.
 struct State {
-    /// Its name.
+    /// The name of the backend server.
     name: String,
-    /// Its behaviour.
+    /// The behavior in force.
     mode: Mutex<Mode>,
-    /// What it has done.
+    /// What it has processed so far.
     counts: Mutex<Counts>,
-    /// Its free slots.
+    /// The free slots.
     slots: Semaphore,
     /// Wakes stalled requests when the mode changes.
     mode_changed: Notify,
 }
 
-/// Binds the stand-in and returns its address and the server to run.
+/// Binds the stand-in; returns the address that it listens on and the server future.
 pub fn bind(
     address: SocketAddr,
     name: &str,
@@ -124,7 +125,7 @@
             .route("/standin/mode", web::put().to(set_mode))
             .route("/standin/counts", web::get().to(counts))
             .route("/health", web::get().to(health))
-            .default_service(web::to(work))
+            .default_service(web::to(run_request))
     })
     .workers(1)
     .shutdown_timeout(1)
@@ -134,19 +135,19 @@
     Ok((bound, server))
 }
 
-/// Sets the behaviour.
+/// Sets the behavior and wakes stalled requests.
 async fn set_mode(state: Data<State>, mode: Json<Mode>) -> HttpResponse {
     *state.mode.lock() = mode.into_inner();
     state.mode_changed.notify_waiters();
     HttpResponse::Ok().finish()
 }
 
-/// Answers with the counts.
+/// Returns the counts as JSON.
 async fn counts(state: Data<State>) -> HttpResponse {
     HttpResponse::Ok().json(&*state.counts.lock())
 }
 
-/// Answers a health check, truthfully or not.
+/// Answers a health check with the result that the mode sets.
 async fn health(state: Data<State>) -> HttpResponse {
     state.counts.lock().probes += 1;
     if state.mode.lock().healthy {
@@ -156,8 +157,8 @@
     }
 }
 
-/// Works on a request.
-async fn work(state: Data<State>, request: HttpRequest, body: Bytes) -> HttpResponse {
+/// Runs a request in a free slot, as the mode sets.
+async fn run_request(state: Data<State>, request: HttpRequest, body: Bytes) -> HttpResponse {
     let mode = state.mode.lock().clone();
     if mode.shed {
         return HttpResponse::ServiceUnavailable().insert_header(("retry-after", "1")).finish();
@@ -166,9 +167,9 @@
         return HttpResponse::InternalServerError().finish();
     };
     let key = header(request.headers(), KEY_HEADER);
-    let run = start(&state, &key);
-    let roll = rand::rng().random::<f64>();
-    if roll < mode.stall_share {
+    let run = count_start(&state, &key);
+    let sample = rand::rng().random::<f64>();
+    if sample < mode.stall_share {
         stall(&state).await;
     }
     if mode.work_ms > 0 {
@@ -176,7 +177,7 @@
     }
     drop(slot);
     state.counts.lock().finished += 1;
-    let mut answer = if roll > 1.0 - mode.error_share {
+    let mut answer = if sample > 1.0 - mode.error_share {
         HttpResponse::InternalServerError()
     } else {
         HttpResponse::Ok()
@@ -197,8 +198,8 @@
     })
 }
 
-/// Counts a run and returns how many there have been of its key.
-fn start(state: &State, key: &str) -> u64 {
+/// Counts the start of a request; returns how often its key has run, or 1 without a key.
+fn count_start(state: &State, key: &str) -> u64 {
     let mut counts = state.counts.lock();
     counts.started += 1;
     if key.is_empty() {
@@ -209,7 +210,7 @@
     *runs
 }
 
-/// Holds a request until the behaviour no longer stalls any.
+/// Blocks a request until the mode stalls no more requests.
 async fn stall(state: &State) {
     loop {
         let changed = state.mode_changed.notified();
@@ -220,7 +221,7 @@
     }
 }
 
-/// Reads a header as text.
+/// Returns the value of a header, or an empty string if it is absent or not text.
 fn header(headers: &HeaderMap, name: &str) -> String {
     headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned()
 }
--- a/crates/leverstream-standin/src/bin/standin.rs
+++ b/crates/leverstream-standin/src/bin/standin.rs
@@ -1,4 +1,4 @@
-//! Runs a stand-in as a process and prints the address it listens on.
+//! Runs a stand-in as a process and prints the address that it listens on.
 
 use std::net::SocketAddr;
 
@@ -25,7 +25,7 @@
         /// Its name.
         #[bpaf(argument("NAME"), fallback("backend".to_owned()))]
         name: String,
-        /// How many requests it works on at once.
+        /// How many requests it runs at once.
         #[bpaf(argument("COUNT"), fallback(2))]
         slots: usize,
     },
--- a/crates/leverstream-standin/src/lib.rs
+++ b/crates/leverstream-standin/src/lib.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins for what leverstream meets: the platform, backend servers, a faulty network.
+//! Small stand-ins for the components around leverstream: the platform, backend servers and a faulty network.
 //!
-//! They serve tests, the demonstration and measurements, and never ship with the daemons.
+//! They are used by tests, the demonstration and measurements, and are not part of a release.
 
 pub mod backend;
 pub mod origin;
--- a/crates/leverstream-standin/src/origin.rs
+++ b/crates/leverstream-standin/src/origin.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a backend server of the users' platform, with the answers that go wrong.
+//! A stand-in for a backend server of the users' platform, which can also fail, answer wrongly or shut down.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,43 +12,43 @@
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, JoinSet};
 
-/// The largest head that is read, in bytes.
-const HEAD_BYTES: usize = 64 << 10;
+/// The maximum size of a request head.
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// How long it runs a request that ends it, in milliseconds.
-const END_MS: u64 = 20;
+/// The delay between the arrival of a request that shuts the server down and the shutdown.
+const END_DELAY_MS: u64 = 20;
 
 /// How a backend server answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// Status 200 after so many milliseconds.
     After(u64),
-    /// A failure that it ran into.
+    /// Status 500: the request ran and failed.
     Failure,
-    /// It is full and did not run the request.
+    /// Status 503: the server is at capacity and did not run the request.
     Rejection,
-    /// It runs the request and then says nothing.
+    /// The request runs but is never answered.
     NoAnswer,
-    /// It runs the request and resets the connection.
+    /// The request runs, then the connection is reset.
     Reset,
-    /// It runs the request and ends the connection in the middle of the answer.
+    /// The request runs, then the connection closes in the middle of the answer.
     Truncated,
-    /// Bytes that are no answer.
+    /// Bytes that are not HTTP.
     Malformed,
-    /// An answer to another request comes first.
+    /// An answer with the id of another request precedes the right one.
     StaleAnswerFirst,
-    /// Another answer follows the right one.
+    /// An answer with the id of another request follows the right one.
     ExtraAnswer,
-    /// An answer without a length, ended by the connection's end.
+    /// An answer without a length, terminated by closing the connection.
     WithoutLength,
-    /// The same, ended by a reset.
+    /// An answer without a length, terminated by resetting the connection.
     WithoutLengthReset,
 }
 
-/// What a backend server saw of one request.
+/// A request as the backend server received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedRequest {
-    /// When it arrived.
+    /// The arrival time.
     pub at: Instant,
     /// The request line.
     pub line: String,
@@ -56,53 +56,53 @@
     pub fields: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub ran: bool,
-    /// The number of the connection it came on.
+    /// The number of the connection that it arrived on.
     pub connection: u64,
-    /// What the backend server says of itself in the answer.
+    /// The notice fields that the answer carries.
     pub notice_fields: Vec<(&'static str, String)>,
 }
 
 impl ReceivedRequest {
-    /// The value of a header field.
+    /// Returns the value of a header field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|(field, _)| field == name).map(|(_, value)| value.as_str())
     }
 }
 
-/// A running stand-in; it ends when it is dropped.
+/// A running stand-in; it stops when it is dropped.
 pub struct Origin {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// What it shares with its connections.
+    /// The state shared with its connections.
     shared: Arc<Shared>,
-    /// Its task.
+    /// Stops the task that accepts connections.
     task: AbortHandle,
 }
 
-/// What the connections share.
+/// The state shared by all connections.
 struct Shared {
-    /// The name of this start.
+    /// The instance id.
     instance: Mutex<String>,
-    /// How it answers.
+    /// The reply to each request.
     reply: Mutex<Reply>,
-    /// What it saw.
+    /// The received requests.
     seen: Mutex<Vec<ReceivedRequest>>,
-    /// Requests whose callers left before the answer, by path.
-    left: Mutex<HashMap<String, u32>>,
-    /// The paths that hold this text end the backend server.
-    ends_under: Mutex<Option<String>>,
-    /// What it says of itself: header fields of all its answers.
-    says: Mutex<Vec<(&'static str, String)>>,
-    /// When it ended.
+    /// The number of requests whose sender disconnected before the answer, by path.
+    abandoned: Mutex<HashMap<String, u32>>,
+    /// A request whose path contains this text shuts the server down.
+    end_marker: Mutex<Option<String>>,
+    /// The notice fields that are set in all answers.
+    notice_fields: Mutex<Vec<(&'static str, String)>>,
+    /// When it shut down.
     ended_at: Mutex<Option<Instant>>,
-    /// Told when it ends.
+    /// Notified when it shuts down.
     ending: Notify,
 }
 
 impl Origin {
-    /// Listens on a free port of an address.
+    /// Starts a stand-in that listens on the address; port 0 selects a free port.
     pub async fn bind(address: SocketAddr, instance: &str) -> std::io::Result<Origin> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -110,9 +110,9 @@
             instance: Mutex::new(instance.to_owned()),
             reply: Mutex::new(Reply::After(0)),
             seen: Mutex::default(),
-            left: Mutex::default(),
-            ends_under: Mutex::default(),
-            says: Mutex::default(),
+            abandoned: Mutex::default(),
+            end_marker: Mutex::default(),
+            notice_fields: Mutex::default(),
             ended_at: Mutex::default(),
             ending: Notify::new(),
         });
@@ -120,69 +120,69 @@
         Ok(Origin { address, shared, task })
     }
 
-    /// Sets how it answers.
+    /// Sets the reply to all further requests.
     pub fn set(&self, reply: Reply) {
         *self.shared.reply.lock() = reply;
     }
 
-    /// Has it say something of itself in all its answers from now on.
+    /// Sets the header fields that all further answers carry, such as notices of a shutdown or a rate limit.
     pub fn set_notice_fields(&self, fields: &[(&'static str, &str)]) {
         let fields = fields.iter().map(|(name, value)| (*name, (*value).to_owned()));
-        *self.shared.says.lock() = fields.collect();
+        *self.shared.notice_fields.lock() = fields.collect();
     }
 
-    /// Turns it into another start, as when its address passes on.
+    /// Changes the instance id, as if another instance had taken over the address.
     pub fn set_instance(&self, instance: &str) {
         instance.clone_into(&mut self.shared.instance.lock());
     }
 
-    /// The name of this start.
+    /// Returns the instance id.
     pub fn instance(&self) -> String {
         self.shared.instance.lock().clone()
     }
 
-    /// Has it end some milliseconds after it begins to run a request whose path holds a text.
+    /// Makes the server shut down a few milliseconds after a request arrives whose path contains the marker.
     pub fn end_on_request(&self, marker: &str) {
-        *self.shared.ends_under.lock() = Some(marker.to_owned());
+        *self.shared.end_marker.lock() = Some(marker.to_owned());
     }
 
-    /// Ends it: it listens no more, and all its connections are gone.
+    /// Shuts the server down: it stops listening and drops all connections.
     pub fn end(&self) {
         self.shared.end();
     }
 
-    /// When it ended, if it has.
+    /// Returns when the server shut down, if it has.
     pub fn ended_at(&self) -> Option<Instant> {
         *self.shared.ended_at.lock()
     }
 
-    /// What it saw.
+    /// Returns all received requests.
     pub fn seen(&self) -> Vec<ReceivedRequest> {
         self.shared.seen.lock().clone()
     }
 
-    /// How many requests to a path have run.
+    /// Returns how many requests have run whose request line contains the path.
     pub fn runs(&self, path: &str) -> usize {
         let seen = self.shared.seen.lock();
         seen.iter().filter(|seen| seen.ran && seen.line.contains(path)).count()
     }
 
-    /// How many requests to a path were left by whoever sent them.
+    /// Returns how many requests to a path were abandoned: their sender disconnected before the answer.
     pub fn abandoned_count(&self, path: &str) -> u32 {
-        self.shared.left.lock().get(path).copied().unwrap_or(0)
+        self.shared.abandoned.lock().get(path).copied().unwrap_or(0)
     }
 }
 
 impl Shared {
-    /// Ends the backend server.
+    /// Records the time of the shutdown and stops accepting connections.
     fn end(&self) {
         self.ended_at.lock().get_or_insert_with(Instant::now);
         self.ending.notify_one();
     }
 
-    /// Tells whether a request to a path ends the backend server.
-    fn ends_under(&self, path: &str) -> bool {
-        self.ends_under.lock().as_ref().is_some_and(|marker| path.contains(marker))
+    /// Returns whether a request to the path shuts the server down.
+    fn ends_on_request(&self, path: &str) -> bool {
+        self.end_marker.lock().as_ref().is_some_and(|marker| path.contains(marker))
     }
 }
 
@@ -192,7 +192,7 @@
     }
 }
 
-/// Accepts connections until it ends, and all of them with it.
+/// Accepts connections until the shutdown, which also drops the open ones.
 async fn accept(listener: TcpListener, shared: Arc<Shared>) {
     let mut conns = JoinSet::new();
     let mut number = 0;
@@ -205,7 +205,7 @@
             () = shared.ending.notified() => return,
         };
         number += 1;
-        // A connection's end is no event.
+        // Errors of a connection are expected; they only close it.
         let shared = Arc::clone(&shared);
         conns.spawn(async move {
             let _ = serve(stream, number, &shared).await;
@@ -214,7 +214,7 @@
     }
 }
 
-/// Serves requests on a connection until one ends it.
+/// Serves the requests of one connection until it closes.
 async fn serve(mut stream: TcpStream, connection: u64, shared: &Shared) -> std::io::Result<()> {
     let mut buffer = Vec::new();
     while let Some(mut seen) = read_request(&mut stream, &mut buffer, connection).await? {
@@ -224,7 +224,7 @@
             seen.field(headers::EXPECTED_INSTANCE).is_none_or(|expected| expected == instance);
         seen.ran = is_expected && reply != Reply::Rejection;
         if is_expected {
-            seen.notice_fields.clone_from(&shared.says.lock());
+            seen.notice_fields.clone_from(&shared.notice_fields.lock());
         }
         let id = seen.field(headers::REQUEST_ID).unwrap_or_default().to_owned();
         let path = seen.line.split(' ').nth(1).unwrap_or_default().to_owned();
@@ -234,8 +234,8 @@
             stream.write_all(&answer(421, &id, &instance, &other)).await?;
             continue;
         }
-        if shared.ends_under(&path) {
-            tokio::time::sleep(Duration::from_millis(END_MS)).await;
+        if shared.ends_on_request(&path) {
+            tokio::time::sleep(Duration::from_millis(END_DELAY_MS)).await;
             shared.end();
             return Ok(());
         }
@@ -246,7 +246,7 @@
     Ok(())
 }
 
-/// Sends what the reply says; false when the connection ends with it.
+/// Sends the reply; returns `false` if the connection closes after it.
 async fn send(
     stream: &mut TcpStream,
     reply: Reply,
@@ -255,40 +255,40 @@
     instance: &str,
     shared: &Shared,
 ) -> std::io::Result<bool> {
-    let says = shared.says.lock().clone();
-    let with_says = |more: &[(&'static str, &str)]| -> Vec<(&'static str, String)> {
+    let notice_fields = shared.notice_fields.lock().clone();
+    let with_notice = |more: &[(&'static str, &str)]| -> Vec<(&'static str, String)> {
         let more = more.iter().map(|(name, value)| (*name, (*value).to_owned()));
-        says.iter().cloned().chain(more).collect()
+        notice_fields.iter().cloned().chain(more).collect()
     };
-    let good = answer(200, id, instance, &with_says(&[]));
-    let unframed = format!(
+    let success = answer(200, id, instance, &with_notice(&[]));
+    let without_length = format!(
         "HTTP/1.1 200 OK\r\n{}: {id}\r\n{}: {instance}\r\n\r\nunframed",
         headers::REQUEST_ID,
         headers::INSTANCE_STAMP
     );
     match reply {
         Reply::After(ms) => {
-            if !work(stream, ms).await {
-                *shared.left.lock().entry(path.to_owned()).or_default() += 1;
+            if !process(stream, ms).await {
+                *shared.abandoned.lock().entry(path.to_owned()).or_default() += 1;
                 return Ok(false);
             }
-            stream.write_all(&good).await?;
+            stream.write_all(&success).await?;
         }
-        Reply::Failure => stream.write_all(&answer(500, id, instance, &with_says(&[]))).await?,
+        Reply::Failure => stream.write_all(&answer(500, id, instance, &with_notice(&[]))).await?,
         Reply::Rejection => {
             stream
-                .write_all(&answer(503, id, instance, &with_says(&[(headers::NOT_RUN, "1")])))
+                .write_all(&answer(503, id, instance, &with_notice(&[(headers::NOT_RUN, "1")])))
                 .await?;
         }
         Reply::NoAnswer => {
-            if !work(stream, 60_000).await {
-                *shared.left.lock().entry(path.to_owned()).or_default() += 1;
+            if !process(stream, 60_000).await {
+                *shared.abandoned.lock().entry(path.to_owned()).or_default() += 1;
             }
             return Ok(false);
         }
         Reply::Reset => return reset(stream),
         Reply::Truncated => {
-            stream.write_all(&good[..good.len() - 3]).await?;
+            stream.write_all(&success[..success.len() - 3]).await?;
             return Ok(false);
         }
         Reply::Malformed => {
@@ -297,18 +297,18 @@
         }
         Reply::StaleAnswerFirst => {
             stream.write_all(&answer(200, "another", instance, &[])).await?;
-            stream.write_all(&good).await?;
+            stream.write_all(&success).await?;
         }
         Reply::ExtraAnswer => {
-            stream.write_all(&good).await?;
+            stream.write_all(&success).await?;
             stream.write_all(&answer(200, "another", instance, &[])).await?;
         }
         Reply::WithoutLength => {
-            stream.write_all(unframed.as_bytes()).await?;
+            stream.write_all(without_length.as_bytes()).await?;
             return Ok(false);
         }
         Reply::WithoutLengthReset => {
-            stream.write_all(unframed.as_bytes()).await?;
+            stream.write_all(without_length.as_bytes()).await?;
             tokio::time::sleep(Duration::from_millis(30)).await;
             return reset(stream);
         }
@@ -316,26 +316,26 @@
     Ok(true)
 }
 
-/// Works for a while; false when whoever sent the request has left meanwhile.
-async fn work(stream: &TcpStream, ms: u64) -> bool {
-    let left = async {
+/// Simulates processing for some time; returns `false` if the sender disconnects in the meantime.
+async fn process(stream: &TcpStream, ms: u64) -> bool {
+    let disconnected = async {
         let mut byte = [0];
-        // Nothing is due but the end of the connection.
+        // The sender transmits nothing more before the answer, so readability means that it disconnected.
         matches!(stream.peek(&mut byte).await, Ok(0) | Err(_))
     };
     tokio::select! {
         () = tokio::time::sleep(Duration::from_millis(ms)) => true,
-        has_left = left => !has_left,
+        is_disconnected = disconnected => !is_disconnected,
     }
 }
 
-/// Resets a connection.
+/// Makes the connection end with a reset when it is dropped.
 fn reset(stream: &TcpStream) -> std::io::Result<bool> {
     socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO))?;
     Ok(false)
 }
 
-/// Writes an answer of which the body tells the instance and the id.
+/// Builds an answer whose body consists of the instance id and the request id.
 fn answer(status: u16, id: &str, instance: &str, more: &[(&str, String)]) -> Vec<u8> {
     let body = format!("{instance} {id}");
     let mut head = format!(
@@ -350,7 +350,7 @@
     format!("{head}\r\n{body}").into_bytes()
 }
 
-/// Reads one request; none at the connection's end.
+/// Reads one request; returns `None` if the connection closes or the head is too large.
 async fn read_request(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
@@ -384,7 +384,7 @@
             seen.body = buffer.drain(..length.unwrap_or(0)).collect();
             return Ok(Some(seen));
         }
-        if buffer.len() > HEAD_BYTES || stream.read_buf(buffer).await? == 0 {
+        if buffer.len() > MAX_HEAD_BYTES || stream.read_buf(buffer).await? == 0 {
             return Ok(None);
         }
     }
--- a/crates/leverstream-standin/src/platform.rs
+++ b/crates/leverstream-standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's store: objects with revisions, conditional writes, watches, outages.
+//! A stand-in for the platform's store: objects with revisions, conditional writes, watches and injected faults.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{SocketAddr, TcpListener};
@@ -13,49 +13,49 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-/// The most objects on one page.
-const PAGE_ITEMS: usize = 500;
+/// The maximum number of objects on one page.
+const MAX_PAGE_ITEMS: usize = 500;
 
-/// The most changes that are remembered for watches.
-const HISTORY: usize = 4_096;
+/// The maximum number of changes kept for watches.
+const MAX_HISTORY_CHANGES: usize = 4_096;
 
-/// The kind under which the list of VMs is shown.
+/// The kind of the objects that list the VMs.
 const VMS_KIND: &str = "vms";
 
-/// The platform's whole state.
+/// The state of the platform.
 pub struct State {
-    /// Everything behind one lock; the stand-in is small.
+    /// The store; one lock suffices for a stand-in.
     store: Mutex<Store>,
-    /// Tells waiting watches of a change.
+    /// Notifies waiting watches of changes.
     changed: watch::Sender<u64>,
 }
 
 /// The objects of all kinds, by kind and name.
 type Objects = BTreeMap<(String, String), Object>;
 
-/// The objects, the history and the faults asked for.
+/// The objects, their history and the faults in force.
 #[derive(Clone, Default)]
 struct Store {
     /// The revision of the last change.
     revision: u64,
     /// The objects.
     objects: Objects,
-    /// The last changes, each with its revision and kind.
+    /// The latest changes, each with its revision and kind.
     history: VecDeque<(u64, String, Event<Object>)>,
-    /// The revision up to which changes are no longer remembered.
-    forgotten: u64,
+    /// The revision up to which the history has been discarded.
+    compacted: u64,
     /// The faults in force.
     faults: Faults,
-    /// Calls answered or lost, by kind.
+    /// The number of received calls by kind, and of late updates.
     counts: BTreeMap<String, u64>,
-    /// An older state that `restore` returns to.
+    /// The snapshot that `restore` returns to.
     saved: Option<(u64, Objects)>,
 }
 
-/// A VM of the list.
+/// A VM in the list of VMs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Vm {
-    /// Where its peers' listener is, if it is one of leverstream's own.
+    /// The address of its peer listener, if leverstream runs on it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peer_address: Option<SocketAddr>,
     /// The backend servers that run on it.
@@ -65,27 +65,27 @@
     pub state: String,
 }
 
-/// What goes wrong at the platform.
+/// The faults of the platform.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Every call is answered with status 503.
+    /// Whether every call is answered with status 503.
     pub away: bool,
-    /// No call is answered.
+    /// Whether no call is answered.
     pub silent: bool,
-    /// Watches hear nothing; other calls are served.
+    /// Whether watches report no changes while other calls are served.
     pub deaf_watches: bool,
-    /// So many updates take effect and are then not answered.
+    /// The number of further updates that take effect but are not answered.
     pub lose_put_answers: u32,
-    /// So many updates are not answered and take effect late, if their condition still holds then.
+    /// The number of further updates that are not answered and take effect late, if their condition still holds then.
     pub late_puts: u32,
-    /// How late, in milliseconds.
+    /// The delay of late updates.
     pub late_ms: u64,
-    /// Each answer is held back so long.
+    /// The delay of each call.
     pub delay_ms: u64,
 }
 
-/// Binds the stand-in and returns its address and the server to run.
+/// Binds the stand-in; returns the address that it listens on and the server future.
 pub fn bind(address: SocketAddr) -> std::io::Result<(SocketAddr, Server)> {
     let listener = TcpListener::bind(address)?;
     let bound = listener.local_addr()?;
@@ -118,8 +118,8 @@
     Ok((bound, server))
 }
 
-/// Counts a call, applies the faults and gives the answer of a platform that is away.
-async fn enter(state: &State, call: &str) -> Option<HttpResponse> {
+/// Counts a call and applies the faults; returns an answer with status 503 if the platform is unavailable.
+async fn admit(state: &State, call: &str) -> Option<HttpResponse> {
     let faults = {
         let mut store = state.store.lock();
         *store.counts.entry(call.to_owned()).or_default() += 1;
@@ -129,20 +129,20 @@
         tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
     }
     if faults.silent {
-        never().await;
+        withhold_answer().await;
     }
     faults.away.then(|| HttpResponse::ServiceUnavailable().finish())
 }
 
-/// Leaves a call without an answer, as when its packets are lost.
-async fn never() {
+/// Blocks for longer than any client waits, as if the packets of the answer were lost.
+async fn withhold_answer() {
     tokio::time::sleep(Duration::from_secs(60)).await;
 }
 
-/// Answers with an object.
+/// Returns an object.
 async fn get(state: Data<State>, path: Path<(String, String)>) -> HttpResponse {
-    if let Some(away) = enter(&state, "get").await {
-        return away;
+    if let Some(unavailable) = admit(&state, "get").await {
+        return unavailable;
     }
     match state.store.lock().objects.get(&path.into_inner()) {
         Some(object) => HttpResponse::Ok().json(object),
@@ -150,43 +150,43 @@
     }
 }
 
-/// Answers with the objects of a kind, or with their changes.
+/// Returns a page of the objects of a kind or, for a watch, their changes.
 async fn list_or_watch(
     state: Data<State>,
     kind: Path<String>,
     query: Query<objects::Query>,
 ) -> HttpResponse {
     if let Some(revision) = query.watch {
-        return wait(&state, &kind, revision, query.wait_ms.unwrap_or(0)).await;
+        return watch_changes(&state, &kind, revision, query.wait_ms.unwrap_or(0)).await;
     }
     let call = if *kind == VMS_KIND { "vms" } else { "list" };
-    if let Some(away) = enter(&state, call).await {
-        return away;
+    if let Some(unavailable) = admit(&state, call).await {
+        return unavailable;
     }
     let store = state.store.lock();
     let after = query.after.clone().unwrap_or_default();
-    let fits = |(key, _): &(&(String, String), &Object)| key.0 == *kind && key.1 > after;
+    let is_on_page = |(key, _): &(&(String, String), &Object)| key.0 == *kind && key.1 > after;
     let mut items: Vec<Object> =
-        store.objects.iter().filter(fits).map(|(_, object)| object.clone()).collect();
-    let has_more = items.len() > PAGE_ITEMS;
-    items.truncate(PAGE_ITEMS);
+        store.objects.iter().filter(is_on_page).map(|(_, object)| object.clone()).collect();
+    let has_more = items.len() > MAX_PAGE_ITEMS;
+    items.truncate(MAX_PAGE_ITEMS);
     HttpResponse::Ok().json(Page { items, has_more, as_of: store.revision })
 }
 
-/// Waits for a change of a kind.
-async fn wait(state: &State, kind: &str, revision: u64, wait_ms: u64) -> HttpResponse {
-    if let Some(away) = enter(state, "watch").await {
-        return away;
+/// Answers a watch as soon as a kind has changed, at the latest after `wait_ms`.
+async fn watch_changes(state: &State, kind: &str, revision: u64, wait_ms: u64) -> HttpResponse {
+    if let Some(unavailable) = admit(state, "watch").await {
+        return unavailable;
     }
     let mut changed = state.changed.subscribe();
-    let fresh = async {
+    let next_changes = async {
         loop {
             let _ = changed.borrow_and_update();
-            let (answer, is_over) = {
+            let (answer, is_failing) = {
                 let store = state.store.lock();
                 (store.events(kind, revision), store.faults.away || store.faults.silent)
             };
-            if is_over
+            if is_failing
                 || answer.as_ref().is_none_or(|events| !events.events.is_empty())
                 || changed.changed().await.is_err()
             {
@@ -194,10 +194,10 @@
             }
         }
     };
-    let answer = tokio::time::timeout(Duration::from_millis(wait_ms), fresh).await;
+    let answer = tokio::time::timeout(Duration::from_millis(wait_ms), next_changes).await;
     let faults = state.store.lock().faults.clone();
     if faults.silent {
-        never().await;
+        withhold_answer().await;
     }
     if faults.away {
         return HttpResponse::ServiceUnavailable().finish();
@@ -209,18 +209,18 @@
     }
 }
 
-/// Makes an object.
+/// Creates an object; answers with a conflict if it exists.
 async fn create(state: Data<State>, kind: Path<String>, object: Json<Object>) -> HttpResponse {
     let object = object.into_inner();
     let key = (kind.into_inner(), object.metadata.name.clone());
     write(&state, |store| match store.objects.get(&key) {
-        Some(present) => Err(Refusal::Conflict(Box::new(present.clone()))),
+        Some(present) => Err(WriteError::Conflict(Box::new(present.clone()))),
         None => Ok(store.set(key.clone(), object.spec.clone())),
     })
     .await
 }
 
-/// Replaces an object if its revision is the one named.
+/// Replaces an object if its revision is the expected one or none is given.
 async fn replace(
     state: Data<State>,
     path: Path<(String, String)>,
@@ -229,11 +229,11 @@
     let (key, object) = (path.into_inner(), object.into_inner());
     write(&state, |store| {
         let Some(present) = store.objects.get(&key) else {
-            return Err(Refusal::Missing);
+            return Err(WriteError::Missing);
         };
         let expected = object.metadata.revision;
         if expected.is_some() && expected != present.metadata.revision {
-            return Err(Refusal::Conflict(Box::new(present.clone())));
+            return Err(WriteError::Conflict(Box::new(present.clone())));
         }
         if present.spec == object.spec {
             return Ok(present.clone());
@@ -246,24 +246,24 @@
 /// Removes an object.
 async fn delete(state: Data<State>, path: Path<(String, String)>) -> HttpResponse {
     let key = path.into_inner();
-    write(&state, |store| store.remove(&key).ok_or(Refusal::Missing)).await
+    write(&state, |store| store.remove(&key).ok_or(WriteError::Missing)).await
 }
 
-/// Why a change is refused.
-enum Refusal {
-    /// There is no such object.
+/// Why a write is rejected.
+enum WriteError {
+    /// The object does not exist.
     Missing,
-    /// The object is there, or has another revision.
+    /// The object exists already, or has another revision.
     Conflict(Box<Object>),
 }
 
-/// Makes a change, tells the watches and answers, unless the answer is to be lost.
+/// Applies a change, notifies the watches and answers, subject to the faults for updates.
 async fn write(
     state: &State,
-    change: impl Fn(&mut Store) -> Result<Object, Refusal>,
+    change: impl Fn(&mut Store) -> Result<Object, WriteError>,
 ) -> HttpResponse {
-    if let Some(away) = enter(state, "put").await {
-        return away;
+    if let Some(unavailable) = admit(state, "put").await {
+        return unavailable;
     }
     let late_ms = {
         let mut store = state.store.lock();
@@ -279,8 +279,8 @@
         let mut store = state.store.lock();
         let object = match change(&mut store) {
             Ok(object) => object,
-            Err(Refusal::Missing) => return HttpResponse::NotFound().finish(),
-            Err(Refusal::Conflict(present)) => return HttpResponse::Conflict().json(present),
+            Err(WriteError::Missing) => return HttpResponse::NotFound().finish(),
+            Err(WriteError::Conflict(present)) => return HttpResponse::Conflict().json(present),
         };
         let is_lost = store.faults.lose_put_answers > 0;
         store.faults.lose_put_answers = store.faults.lose_put_answers.saturating_sub(1);
@@ -288,12 +288,12 @@
     };
     state.changed.send_replace(revision);
     if is_lost || late_ms.is_some() {
-        never().await;
+        withhold_answer().await;
     }
     HttpResponse::Ok().json(object)
 }
 
-/// Sets the list of VMs.
+/// Replaces the list of VMs.
 async fn set_vms(state: Data<State>, vms: Json<Vec<Vm>>) -> HttpResponse {
     let revision = {
         let mut store = state.store.lock();
@@ -319,7 +319,7 @@
     HttpResponse::Ok().finish()
 }
 
-/// Takes an object away, as when its writer was not heard for too long.
+/// Removes an object, as the platform does when the lease of its writer expires.
 async fn lapse(state: Data<State>, path: Path<(String, String)>) -> HttpResponse {
     let revision = {
         let mut store = state.store.lock();
@@ -330,31 +330,31 @@
     HttpResponse::Ok().finish()
 }
 
-/// Forgets the history, so that watches from before it have to start anew.
+/// Discards the history, so that watches from earlier revisions must list again.
 async fn forget(state: Data<State>) -> HttpResponse {
     let revision = {
         let mut store = state.store.lock();
         store.history.clear();
-        store.forgotten = store.revision;
+        store.compacted = store.revision;
         store.revision
     };
     state.changed.send_replace(revision);
     HttpResponse::Ok().finish()
 }
 
-/// Answers with the counts of calls.
+/// Returns the counts of calls as JSON.
 async fn counts(state: Data<State>) -> HttpResponse {
     HttpResponse::Ok().json(&state.store.lock().counts)
 }
 
-/// Remembers the present objects for a later restore.
+/// Takes a snapshot of the objects for a later restore.
 async fn save(state: Data<State>) -> HttpResponse {
     let mut store = state.store.lock();
     store.saved = Some((store.revision, store.objects.clone()));
     HttpResponse::Ok().finish()
 }
 
-/// Goes back to the saved objects and revision, as a restore from a backup would.
+/// Restores the objects and the revision of the snapshot, as a restore from a backup does.
 async fn restore(state: Data<State>) -> HttpResponse {
     let revision = {
         let mut store = state.store.lock();
@@ -362,7 +362,7 @@
             store.revision = revision;
             store.objects = objects;
             store.history.clear();
-            store.forgotten = revision;
+            store.compacted = revision;
         }
         store.revision
     };
@@ -371,18 +371,19 @@
 }
 
 impl Store {
-    /// Makes or replaces an object.
+    /// Creates or replaces an object.
     fn set(&mut self, key: (String, String), spec: serde_json::Value) -> Object {
         self.revision += 1;
-        let made = self.objects.get(&key).map_or(self.revision, |held| held.metadata.created);
+        let created_revision =
+            self.objects.get(&key).map_or(self.revision, |existing| existing.metadata.created);
         let metadata = Metadata {
             name: key.1.clone(),
             revision: Some(self.revision),
-            created: made,
+            created: created_revision,
             ..Metadata::default()
         };
         let object = Object { metadata, spec, status: serde_json::Value::Null };
-        self.note(key.0.clone(), Event { removed: false, object: object.clone() });
+        self.append_history(key.0.clone(), Event { removed: false, object: object.clone() });
         self.objects.insert(key, object.clone());
         object
     }
@@ -392,29 +393,29 @@
         let mut object = self.objects.remove(key)?;
         self.revision += 1;
         object.metadata.revision = Some(self.revision);
-        self.note(key.0.clone(), Event { removed: true, object: object.clone() });
+        self.append_history(key.0.clone(), Event { removed: true, object: object.clone() });
         Some(object)
     }
 
-    /// Remembers a change.
-    fn note(&mut self, kind: String, event: Event<Object>) {
+    /// Appends a change to the history and discards the oldest beyond the maximum.
+    fn append_history(&mut self, kind: String, event: Event<Object>) {
         self.history.push_back((self.revision, kind, event));
-        if self.history.len() > HISTORY
+        if self.history.len() > MAX_HISTORY_CHANGES
             && let Some((revision, _, _)) = self.history.pop_front()
         {
-            self.forgotten = revision;
+            self.compacted = revision;
         }
     }
 
-    /// The changes of a kind after a revision; none if they are no longer remembered.
+    /// Returns the changes of a kind after a revision, or `None` if the history no longer covers them.
     fn events(&self, kind: &str, revision: u64) -> Option<Events<Event<Object>>> {
-        if revision < self.forgotten || revision > self.revision {
+        if revision < self.compacted || revision > self.revision {
             return None;
         }
         let is_deaf = self.faults.deaf_watches;
-        let fresh =
+        let changes =
             self.history.iter().filter(|(at, of, _)| !is_deaf && *at > revision && of == kind);
-        let events: Vec<Event<Object>> = fresh.map(|(_, _, event)| event.clone()).collect();
+        let events: Vec<Event<Object>> = changes.map(|(_, _, event)| event.clone()).collect();
         let as_of = if is_deaf { revision } else { self.revision };
         Some(Events { events, as_of })
     }
--- a/crates/leverstream-standin/src/relay.rs
+++ b/crates/leverstream-standin/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay with faults: either direction cut alone, delay, truncation, a reset.
+//! A TCP and UDP relay that injects faults into each direction: loss of all bytes, delay and truncation.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,163 +10,168 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::watch;
 
-/// What happens to the bytes of one direction.
+/// The fault of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Fault {
-    /// Bytes are read but never handed on.
+    /// Whether bytes are read but never forwarded.
     pub is_blackholed: bool,
-    /// Bytes are handed on so much later.
+    /// The delay of each forwarded chunk.
     pub delay_ms: u64,
-    /// The connection ends after so many bytes of the direction.
+    /// The number of bytes after which the connection closes.
     pub close_after_bytes: Option<u64>,
 }
 
 /// The faults of both directions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// From the side that connects to the target.
+    /// From the client to the target.
     pub forward: Fault,
-    /// From the target back.
+    /// From the target to the client.
     pub reverse: Fault,
 }
 
-/// A running relay to one target, for TCP and UDP at the same port.
+/// A running relay to one target, for TCP and UDP on the same port.
 pub struct Relay {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Where it leads, once that is known; until then whoever connects waits.
+    /// The target once it is set; until then new connections wait.
     target: watch::Sender<Option<SocketAddr>>,
     /// The faults in force.
     faults: watch::Sender<Faults>,
-    /// Bytes that reached the target.
+    /// The number of bytes forwarded to the target.
     forwarded_bytes: Arc<AtomicU64>,
 }
 
 impl Relay {
-    /// Spawns a relay on the present runtime.
+    /// Starts a relay on the current runtime.
     pub async fn spawn(target: SocketAddr) -> std::io::Result<Relay> {
         let relay = Relay::spawn_without_target().await?;
         relay.set_target(target);
         Ok(relay)
     }
 
-    /// Spawns a relay whose address must be known before that of its target is.
+    /// Starts a relay whose target is set later, for tests that need the relay's address before the target exists.
     pub async fn spawn_without_target() -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (faults, seen) = watch::channel(Faults::default());
-        let (target, aim) = watch::channel(None);
+        let (faults, faults_in_force) = watch::channel(Faults::default());
+        let (target, target_set) = watch::channel(None);
         let forwarded_bytes = Arc::new(AtomicU64::new(0));
         let count = Arc::clone(&forwarded_bytes);
         if let Ok(socket) = UdpSocket::bind(address).await {
-            let (aim, seen) = (aim.clone(), seen.clone());
+            let (target_set, faults_in_force) = (target_set.clone(), faults_in_force.clone());
             tokio::spawn(async move {
-                let Some(target) = aimed(aim).await else { return };
-                relay_datagrams(socket, target, seen).await;
+                let Some(target) = wait_for_target(target_set).await else { return };
+                relay_datagrams(socket, target, faults_in_force).await;
             });
         }
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (aim, seen, count) = (aim.clone(), seen.clone(), Arc::clone(&count));
+                let (target_set, faults_in_force, count) =
+                    (target_set.clone(), faults_in_force.clone(), Arc::clone(&count));
                 tokio::spawn(async move {
-                    let Some(target) = aimed(aim).await else { return };
-                    relay_stream(stream, target, seen, count).await;
+                    let Some(target) = wait_for_target(target_set).await else { return };
+                    relay_stream(stream, target, faults_in_force, count).await;
                 });
             }
         });
         Ok(Relay { address, target, faults, forwarded_bytes })
     }
 
-    /// Says where it leads.
+    /// Sets the target, to which waiting connections are then forwarded.
     pub fn set_target(&self, target: SocketAddr) {
         self.target.send_replace(Some(target));
     }
 
-    /// Puts faults in force, for open connections too.
+    /// Sets the faults, which also apply to open connections.
     pub fn set_faults(&self, faults: Faults) {
         self.faults.send_replace(faults);
     }
 
-    /// Returns how many bytes have reached the target.
+    /// Returns the number of bytes forwarded to the target.
     pub fn forwarded_bytes(&self) -> u64 {
         self.forwarded_bytes.load(Ordering::Relaxed)
     }
 }
 
-/// Waits until it is known where a relay leads; none if it is gone.
-async fn aimed(mut aim: watch::Receiver<Option<SocketAddr>>) -> Option<SocketAddr> {
-    aim.wait_for(Option::is_some).await.ok().and_then(|target| *target)
+/// Waits until the target is set; returns `None` if the relay was dropped.
+async fn wait_for_target(
+    mut target_set: watch::Receiver<Option<SocketAddr>>,
+) -> Option<SocketAddr> {
+    target_set.wait_for(Option::is_some).await.ok().and_then(|target| *target)
 }
 
-/// Relays one connection.
+/// Connects to the target and forwards both directions of one connection.
 async fn relay_stream(
     stream: TcpStream,
     target: SocketAddr,
     faults: watch::Receiver<Faults>,
     forwarded_bytes: Arc<AtomicU64>,
 ) {
-    let Ok(other) = TcpStream::connect(target).await else { return };
-    let (_, _) = (stream.set_nodelay(true), other.set_nodelay(true));
+    let Ok(upstream) = TcpStream::connect(target).await else { return };
+    let (_, _) = (stream.set_nodelay(true), upstream.set_nodelay(true));
     let (read, write) = stream.into_split();
-    let (other_read, other_write) = other.into_split();
-    let unused = Arc::new(AtomicU64::new(0));
-    let forward = pump(read, other_write, faults.clone(), |f| f.forward, forwarded_bytes);
-    let back = pump(other_read, write, faults, |f| f.reverse, unused);
+    let (upstream_read, upstream_write) = upstream.into_split();
+    let reverse_bytes = Arc::new(AtomicU64::new(0));
+    let forward =
+        forward_bytes(read, upstream_write, faults.clone(), |f| f.forward, forwarded_bytes);
+    let reverse = forward_bytes(upstream_read, write, faults, |f| f.reverse, reverse_bytes);
     tokio::select! {
-        () = async { tokio::join!(forward, back); } => {}
+        () = async { tokio::join!(forward, reverse); } => {}
     }
 }
 
-/// Hands on the bytes of one direction until it ends.
-async fn pump(
+/// Forwards the bytes of one direction until it closes.
+async fn forward_bytes(
     mut read: OwnedReadHalf,
     mut write: OwnedWriteHalf,
     faults: watch::Receiver<Faults>,
-    side: fn(&Faults) -> Fault,
-    passed_bytes: Arc<AtomicU64>,
+    direction: fn(&Faults) -> Fault,
+    total_bytes: Arc<AtomicU64>,
 ) {
     let mut buffer = vec![0; 64 << 10];
-    let mut handed = 0_u64;
+    let mut forwarded = 0_u64;
     loop {
         let count = match read.read(&mut buffer).await {
             Ok(0) | Err(_) => break,
             Ok(count) => count,
         };
-        let fault = side(&faults.borrow());
+        let fault = direction(&faults.borrow());
         if fault.is_blackholed {
             continue;
         }
         if fault.delay_ms > 0 {
             tokio::time::sleep(Duration::from_millis(fault.delay_ms)).await;
         }
-        let room = fault.close_after_bytes.map_or(u64::MAX, |limit| limit.saturating_sub(handed));
-        let take = count.min(usize::try_from(room).unwrap_or(usize::MAX));
-        if write.write_all(&buffer[..take]).await.is_err() {
+        let remaining =
+            fault.close_after_bytes.map_or(u64::MAX, |limit| limit.saturating_sub(forwarded));
+        let sent = count.min(usize::try_from(remaining).unwrap_or(usize::MAX));
+        if write.write_all(&buffer[..sent]).await.is_err() {
             break;
         }
-        handed += take as u64;
-        passed_bytes.fetch_add(take as u64, Ordering::Relaxed);
-        if take < count {
+        forwarded += sent as u64;
+        total_bytes.fetch_add(sent as u64, Ordering::Relaxed);
+        if sent < count {
             break;
         }
     }
-    // A cut direction also loses the end of the stream.
-    if side(&faults.borrow()).is_blackholed {
+    // A blackholed direction also loses the end of the stream, so the connection stays open.
+    if direction(&faults.borrow()).is_blackholed {
         std::future::pending::<()>().await;
     }
     let _ = write.shutdown().await;
 }
 
-/// Relays datagrams between the last sender and the target.
+/// Forwards datagrams between the target and the client that sent last. Of the faults only `is_blackholed` applies.
 async fn relay_datagrams(socket: UdpSocket, target: SocketAddr, faults: watch::Receiver<Faults>) {
     let mut buffer = vec![0; 64 << 10];
-    let mut sender = target;
+    let mut client = target;
     while let Ok((count, from)) = socket.recv_from(&mut buffer).await {
-        let now = *faults.borrow();
+        let current = *faults.borrow();
         let (fault, to) =
-            if from == target { (now.reverse, sender) } else { (now.forward, target) };
+            if from == target { (current.reverse, client) } else { (current.forward, target) };
         if from != target {
-            sender = from;
+            client = from;
         }
         if !fault.is_blackholed {
             let _ = socket.send_to(&buffer[..count], to).await;
--- a/crates/leverstream-standin/src/script.rs
+++ b/crates/leverstream-standin/src/script.rs
@@ -1,4 +1,4 @@
-//! A backend server that sends scripted bytes, for answers no library would send.
+//! A backend server that sends scripted bytes, for malformed answers that no HTTP library produces.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,47 +9,47 @@
 
 /// A running server that answers each request with the same bytes.
 pub struct ScriptedServer {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// What has happened.
+    /// The counts of received requests and unsolicited sends.
     counts: Arc<Counts>,
 }
 
-/// What has happened at a script.
+/// The counts of one server.
 #[derive(Default)]
 struct Counts {
     /// Request heads that have arrived.
     requests: AtomicU64,
-    /// Times that unasked bytes were sent late.
-    late: AtomicU64,
+    /// How often unsolicited bytes were sent.
+    unsolicited: AtomicU64,
 }
 
-/// How long after an answer unasked bytes are sent.
-const LATE_MS: u64 = 20;
+/// The delay between an answer and the unsolicited bytes.
+const UNSOLICITED_DELAY_MS: u64 = 20;
 
-/// What the server sends.
+/// The bytes that the server sends.
 #[derive(Clone, Debug, Default)]
 pub struct ScriptedBytes {
-    /// Sent as soon as a connection opens.
+    /// Sent when a connection opens.
     pub greeting: Vec<u8>,
-    /// Sent after each request's head.
+    /// Sent after each request head.
     pub answer: Vec<u8>,
-    /// Sent some time after each answer, unasked.
+    /// Sent without a request, shortly after each answer.
     pub unsolicited: Vec<u8>,
-    /// Whether the connection closes after an answer.
+    /// Whether the server closes the connection after an answer.
     pub close: bool,
 }
 
 impl ScriptedServer {
-    /// Spawns the server on the present runtime.
-    pub async fn spawn(lines: ScriptedBytes) -> std::io::Result<ScriptedServer> {
+    /// Starts the server on the current runtime.
+    pub async fn spawn(bytes: ScriptedBytes) -> std::io::Result<ScriptedServer> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let counts = Arc::new(Counts::default());
         let shared = Arc::clone(&counts);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(serve(stream, lines.clone(), Arc::clone(&shared)));
+                tokio::spawn(serve(stream, bytes.clone(), Arc::clone(&shared)));
             }
         });
         Ok(ScriptedServer { address, counts })
@@ -60,15 +60,15 @@
         self.counts.requests.load(Ordering::SeqCst)
     }
 
-    /// Returns how often unasked bytes were sent late.
+    /// Returns how often unsolicited bytes were sent.
     pub fn unsolicited_count(&self) -> u64 {
-        self.counts.late.load(Ordering::SeqCst)
+        self.counts.unsolicited.load(Ordering::SeqCst)
     }
 }
 
 /// Serves one connection.
-async fn serve(mut stream: TcpStream, lines: ScriptedBytes, counts: Arc<Counts>) {
-    let _ = stream.write_all(&lines.greeting).await;
+async fn serve(mut stream: TcpStream, bytes: ScriptedBytes, counts: Arc<Counts>) {
+    let _ = stream.write_all(&bytes.greeting).await;
     let mut seen = Vec::new();
     let mut buffer = [0; 4096];
     while let Ok(count @ 1..) = stream.read(&mut buffer).await {
@@ -76,13 +76,13 @@
         while let Some(end) = seen.windows(4).position(|window| window == b"\r\n\r\n") {
             seen.drain(..end + 4);
             counts.requests.fetch_add(1, Ordering::SeqCst);
-            let _ = stream.write_all(&lines.answer).await;
-            if !lines.unsolicited.is_empty() {
-                tokio::time::sleep(std::time::Duration::from_millis(LATE_MS)).await;
-                let _ = stream.write_all(&lines.unsolicited).await;
-                counts.late.fetch_add(1, Ordering::SeqCst);
+            let _ = stream.write_all(&bytes.answer).await;
+            if !bytes.unsolicited.is_empty() {
+                tokio::time::sleep(std::time::Duration::from_millis(UNSOLICITED_DELAY_MS)).await;
+                let _ = stream.write_all(&bytes.unsolicited).await;
+                counts.unsolicited.fetch_add(1, Ordering::SeqCst);
             }
-            if lines.close {
+            if bytes.close {
                 return;
             }
         }
