--- a/crates/leverstream-standin/src/origin.rs
+++ b/crates/leverstream-standin/src/origin.rs
@@ -157,7 +157,7 @@
     }
 
     /// Returns all received requests.
-    pub fn seen(&self) -> Vec<ReceivedRequest> {
+    pub fn requests(&self) -> Vec<ReceivedRequest> {
         self.shared.seen.lock().clone()
     }
 
--- a/tests/src/ends.rs
+++ b/tests/src/ends.rs
@@ -121,7 +121,7 @@
         let mut ends: Vec<Instant> =
             origins.iter().filter_map(|origin| origin.ended_at()).collect();
         ends.sort();
-        let seen = origins.iter().flat_map(|origin| origin.seen());
+        let seen = origins.iter().flat_map(|origin| origin.requests());
         let sends: Vec<(Instant, usize)> = seen
             .filter(|seen| seen.ran && seen.line.contains(MARKER))
             .map(|seen| (seen.at, self.asked[seen.field(headers::REQUEST_ID).unwrap_or_default()]))
--- a/tests/src/flow.rs
+++ b/tests/src/flow.rs
@@ -64,7 +64,7 @@
 
     /// What a backend server saw of the flow from a moment on, by VM, in order.
     pub fn arrivals(&self, origin: &Origin, from: Instant) -> Vec<(usize, ReceivedRequest)> {
-        let seen = origin.seen().into_iter().filter(|seen| seen.at >= from);
+        let seen = origin.requests().into_iter().filter(|seen| seen.at >= from);
         let of_flow = seen.filter_map(|seen| {
             let vm = *self.vms.get(seen.field(headers::REQUEST_ID)?)?;
             Some((vm, seen))
--- a/tests/src/soak.rs
+++ b/tests/src/soak.rs
@@ -378,7 +378,7 @@
     /// Holds what callers got against what backend servers saw.
     fn judge(self, calls: &Calls) -> Findings {
         let mut runs: HashMap<String, usize> = HashMap::new();
-        for seen in self.site.origins.iter().flat_map(Origin::seen).filter(|seen| seen.ran) {
+        for seen in self.site.origins.iter().flat_map(Origin::requests).filter(|seen| seen.ran) {
             let id = seen.field(headers::REQUEST_ID).unwrap_or_default().to_owned();
             *runs.entry(id).or_default() += 1;
         }
@@ -395,7 +395,7 @@
             }
         }
         let arrivals: Vec<ReceivedRequest> =
-            self.site.origins.iter().flat_map(Origin::seen).collect();
+            self.site.origins.iter().flat_map(Origin::requests).collect();
         broken.extend(excess(&got, &arrivals));
         let served = got.iter().filter(|got| got.status == Some(200)).count();
         Findings { broken, served, asked: got.len(), story: self.story }
--- a/tests/tests/gateway.rs
+++ b/tests/tests/gateway.rs
@@ -32,7 +32,7 @@
     assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-0"));
     assert_eq!(answer.text(headers::REQUEST_ID), Some(call.id.as_str()));
     assert_eq!(answer.body, format!("i-0 {}", call.id));
-    let seen = site.origin(0).seen().remove(0);
+    let seen = site.origin(0).requests().remove(0);
     assert_eq!(seen.line, format!("PUT {ONCE}a%20b?q=1 HTTP/1.1"));
     assert_eq!(seen.body, b"the body");
     assert_eq!(seen.field("host"), Some(HOST));
@@ -102,7 +102,7 @@
         let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
         assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-1"));
     }
-    assert!(site.origin(0).seen().len() <= 1);
+    assert!(site.origin(0).requests().len() <= 1);
 }
 
 #[actix_rt::test]
@@ -261,7 +261,7 @@
         let answer = send(site.vms[0].callers(), shape.as_bytes()).await.expect("an answer comes");
         assert_eq!(answer.status, 400, "{shape}");
     }
-    assert!(site.origin(0).seen().is_empty());
+    assert!(site.origin(0).requests().is_empty());
 }
 
 #[actix_rt::test]
@@ -270,7 +270,7 @@
     let call = Call { method: "POST", body: vec![b'x'; (1 << 20) + 1], ..Call::new(ONCE) };
     let answer = call.send(&site.vms[0]).await.expect("an answer comes");
     assert_eq!(answer.status, 413);
-    assert!(site.origin(0).seen().is_empty());
+    assert!(site.origin(0).requests().is_empty());
 }
 
 #[actix_rt::test]
@@ -287,7 +287,7 @@
         );
         assert!(conn.is_reusable());
     }
-    let seen = site.origin(0).seen();
+    let seen = site.origin(0).requests();
     assert!(seen.iter().all(|seen| seen.connection == 1), "one connection serves them all");
 }
 
@@ -298,7 +298,7 @@
     for _ in 0..120 {
         let _ = Call::new(SAFE).send(&site.vms[0]).await;
     }
-    let arrivals: usize = site.origins.iter().map(|origin| origin.seen().len()).sum();
+    let arrivals: usize = site.origins.iter().map(|origin| origin.requests().len()).sum();
     // A fifth of the requests and the slack; the VM is new, so it has a part of that only.
     assert!((121..=120 + 24 + 62).contains(&arrivals), "{arrivals}");
 }
@@ -335,12 +335,12 @@
     let address = site.origin(0).address;
     site.list_backend(&Backend { is_leaving: true, ..backend("i-0", address) }).await;
     until("the VM knows", || async { vm.has_logged("\"is_leaving\":true").then_some(()) }).await;
-    let before = site.origin(0).seen().len();
+    let before = site.origin(0).requests().len();
     for _ in 0..10 {
         let answer = Call::new(ONCE).send(vm).await.expect("an answer comes");
         assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-1"));
     }
-    assert_eq!(site.origin(0).seen().len(), before);
+    assert_eq!(site.origin(0).requests().len(), before);
 }
 
 /// Seen: a request that came three seconds after the signal was cut as the process ended, its work having taken more than
--- a/tests/tests/gateway_keys.rs
+++ b/tests/tests/gateway_keys.rs
@@ -57,7 +57,7 @@
     open.fields.push((headers::WORKSPACE, "forged".to_owned()));
     assert_eq!(open.send(vm).await.expect("an answer comes").status, 200);
     assert_eq!(Call::new(OPEN).send(vm).await.expect("an answer comes").status, 200);
-    let seen = site.origin(0).seen();
+    let seen = site.origin(0).requests();
     let workspaces: Vec<_> = seen.iter().map(|seen| seen.field(headers::WORKSPACE)).collect();
     assert_eq!(workspaces, [Some("club"), Some("club"), None, None]);
     assert!(seen.iter().all(|seen| seen.field("authorization").is_none()));
