--- a/crates/leverstream-standin/src/origin.rs
+++ b/crates/leverstream-standin/src/origin.rs
@@ -88,7 +88,7 @@
     /// The reply to each request.
     reply: Mutex<Reply>,
     /// The received requests.
-    seen: Mutex<Vec<ReceivedRequest>>,
+    requests: Mutex<Vec<ReceivedRequest>>,
     /// The number of requests whose sender disconnected before the answer, by path.
     abandoned: Mutex<HashMap<String, u32>>,
     /// A request whose path contains this text shuts the server down.
@@ -109,7 +109,7 @@
         let shared = Arc::new(Shared {
             instance: Mutex::new(instance.to_owned()),
             reply: Mutex::new(Reply::After(0)),
-            seen: Mutex::default(),
+            requests: Mutex::default(),
             abandoned: Mutex::default(),
             end_marker: Mutex::default(),
             notice_fields: Mutex::default(),
@@ -158,13 +158,13 @@
 
     /// Returns all received requests.
     pub fn requests(&self) -> Vec<ReceivedRequest> {
-        self.shared.seen.lock().clone()
+        self.shared.requests.lock().clone()
     }
 
     /// Returns how many requests have run whose request line contains the path.
     pub fn runs(&self, path: &str) -> usize {
-        let seen = self.shared.seen.lock();
-        seen.iter().filter(|seen| seen.ran && seen.line.contains(path)).count()
+        let requests = self.shared.requests.lock();
+        requests.iter().filter(|request| request.ran && request.line.contains(path)).count()
     }
 
     /// Returns how many requests to a path were abandoned: their sender disconnected before the answer.
@@ -217,18 +217,18 @@
 /// Serves the requests of one connection until it closes.
 async fn serve(mut stream: TcpStream, connection: u64, shared: &Shared) -> std::io::Result<()> {
     let mut buffer = Vec::new();
-    while let Some(mut seen) = read_request(&mut stream, &mut buffer, connection).await? {
+    while let Some(mut request) = read_request(&mut stream, &mut buffer, connection).await? {
         let instance = shared.instance.lock().clone();
         let reply = *shared.reply.lock();
         let is_expected =
-            seen.field(headers::EXPECTED_INSTANCE).is_none_or(|expected| expected == instance);
-        seen.ran = is_expected && reply != Reply::Rejection;
+            request.field(headers::EXPECTED_INSTANCE).is_none_or(|expected| expected == instance);
+        request.ran = is_expected && reply != Reply::Rejection;
         if is_expected {
-            seen.notice_fields.clone_from(&shared.notice_fields.lock());
+            request.notice_fields.clone_from(&shared.notice_fields.lock());
         }
-        let id = seen.field(headers::REQUEST_ID).unwrap_or_default().to_owned();
-        let path = seen.line.split(' ').nth(1).unwrap_or_default().to_owned();
-        shared.seen.lock().push(seen);
+        let id = request.field(headers::REQUEST_ID).unwrap_or_default().to_owned();
+        let path = request.line.split(' ').nth(1).unwrap_or_default().to_owned();
+        shared.requests.lock().push(request);
         if !is_expected {
             let other = [("x-instance-id", instance.clone())];
             stream.write_all(&answer(421, &id, &instance, &other)).await?;
@@ -366,7 +366,7 @@
                 .filter_map(|line| line.split_once(':'))
                 .map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_owned()))
                 .collect();
-            let mut seen = ReceivedRequest {
+            let mut request = ReceivedRequest {
                 at: Instant::now(),
                 line,
                 fields,
@@ -375,14 +375,14 @@
                 connection,
                 notice_fields: Vec::new(),
             };
-            let length = seen.field("content-length").and_then(|text| text.parse().ok());
+            let length = request.field("content-length").and_then(|text| text.parse().ok());
             while buffer.len() < length.unwrap_or(0) {
                 if stream.read_buf(buffer).await? == 0 {
                     return Ok(None);
                 }
             }
-            seen.body = buffer.drain(..length.unwrap_or(0)).collect();
-            return Ok(Some(seen));
+            request.body = buffer.drain(..length.unwrap_or(0)).collect();
+            return Ok(Some(request));
         }
         if buffer.len() > MAX_HEAD_BYTES || stream.read_buf(buffer).await? == 0 {
             return Ok(None);
--- a/crates/leverstream-standin/src/script.rs
+++ b/crates/leverstream-standin/src/script.rs
@@ -69,12 +69,12 @@
 /// Serves one connection.
 async fn serve(mut stream: TcpStream, bytes: ScriptedBytes, counts: Arc<Counts>) {
     let _ = stream.write_all(&bytes.greeting).await;
-    let mut seen = Vec::new();
+    let mut received = Vec::new();
     let mut buffer = [0; 4096];
     while let Ok(count @ 1..) = stream.read(&mut buffer).await {
-        seen.extend_from_slice(&buffer[..count]);
-        while let Some(end) = seen.windows(4).position(|window| window == b"\r\n\r\n") {
-            seen.drain(..end + 4);
+        received.extend_from_slice(&buffer[..count]);
+        while let Some(end) = received.windows(4).position(|window| window == b"\r\n\r\n") {
+            received.drain(..end + 4);
             counts.requests.fetch_add(1, Ordering::SeqCst);
             let _ = stream.write_all(&bytes.answer).await;
             if !bytes.unsolicited.is_empty() {
