--- a/crates/leverstream-caller/src/caller.rs
+++ b/crates/leverstream-caller/src/caller.rs
@@ -1,3 +1,5 @@
+//! The client: cached connect answers, tries and retries.
+
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -13,16 +15,16 @@
 
 use crate::CallError;
 
-/// The largest answer that is read, in bytes.
-const ANSWER_LIMIT_BYTES: usize = 64 << 20;
+/// The maximum size of an answer.
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// The longest wait before a try, whatever the answer says, in milliseconds.
-const PAUSE_LIMIT_MS: u64 = 2_000;
+/// The maximum delay before a retry, whatever delay an answer asks for, and the timeout of asking where to connect.
+const MAX_RETRY_DELAY_MS: u64 = 2_000;
 
-/// The wait before a try when the answer says nothing, in milliseconds.
-const PAUSE_MS: u64 = 50;
+/// The delay before a retry if the answer specifies none.
+const RETRY_DELAY_MS: u64 = 50;
 
-/// One piece of work for a service.
+/// A request to a service.
 #[derive(Clone, Debug)]
 pub struct CallRequest {
     /// The method.
@@ -31,11 +33,11 @@
     pub path: String,
     /// The body.
     pub body: Bytes,
-    /// How long it may take, all tries together.
+    /// The time limit for all tries together.
     pub timeout_ms: u64,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// The status.
@@ -44,66 +46,66 @@
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// How many tries it took.
+    /// The number of tries, including the successful one.
     pub tries: u32,
-    /// Why the tries before the last gave no answer.
+    /// The errors of the failed tries.
     pub failures: Vec<CallError>,
 }
 
-/// A caller of one service.
+/// A client of one service.
 pub struct Caller {
-    /// Any addresses of the system, to ask where to connect.
-    systems: Vec<SocketAddr>,
-    /// The service.
+    /// Addresses of some VMs, to ask where to connect.
+    known_addresses: Vec<SocketAddr>,
+    /// The name of the service.
     service: String,
-    /// The hall that the caller is nearest to.
+    /// The data hall nearest to the caller.
     hall: Option<String>,
     /// The HTTP client.
     client: awc::Client,
-    /// The last answer to where to connect, and when it was given.
-    kept: Option<(ConnectAnswer, Instant)>,
+    /// The last connect answer and the time at which it was received.
+    cached_answer: Option<(ConnectAnswer, Instant)>,
 }
 
 impl Caller {
-    /// Opens a caller that knows some addresses of the system.
-    pub fn new(systems: Vec<SocketAddr>, service: &str, hall: Option<&str>) -> Caller {
+    /// Creates a client that knows the addresses of some VMs.
+    pub fn new(known_addresses: Vec<SocketAddr>, service: &str, hall: Option<&str>) -> Caller {
         let client = awc::Client::builder().disable_redirects().no_default_headers().finish();
         let (service, hall) = (service.to_owned(), hall.map(str::to_owned));
-        Caller { systems, service, hall, client, kept: None }
+        Caller { known_addresses, service, hall, client, cached_answer: None }
     }
 
-    /// Asks where to connect, or returns the answer kept while it holds.
+    /// Returns where to connect: the cached answer until it expires, then a new one.
     pub async fn ask(&mut self) -> Result<ConnectAnswer, CallError> {
-        if let Some((answer, asked)) = &self.kept
-            && asked.elapsed() < Duration::from_millis(answer.holds_ms)
+        if let Some((answer, received)) = &self.cached_answer
+            && received.elapsed() < Duration::from_millis(answer.holds_ms)
         {
             return Ok(answer.clone());
         }
-        let mut last = CallError::Unreachable;
-        for system in self.addresses_to_ask() {
-            match self.ask_at(system).await {
+        let mut last_error = CallError::Unreachable;
+        for address in self.addresses_to_ask() {
+            match self.ask_address(address).await {
                 Ok(answer) => {
-                    self.kept = Some((answer.clone(), Instant::now()));
+                    self.cached_answer = Some((answer.clone(), Instant::now()));
                     return Ok(answer);
                 }
-                Err(error) => last = error,
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    /// Forgets the answer kept, so that the next call asks again.
+    /// Marks the cached answer as expired, so that the next call asks again where to connect.
     pub fn invalidate_answer(&mut self) {
-        if let Some((answer, _)) = &mut self.kept {
+        if let Some((answer, _)) = &mut self.cached_answer {
             answer.holds_ms = 0;
         }
     }
 
-    /// Has a piece of work done, with tries as they are allowed.
+    /// Makes a call and retries it where that is safe, until its time limit.
     ///
-    /// All tries carry the ticket and key of the first, at whichever address they arrive.
-    pub async fn call(&mut self, work: &CallRequest) -> Result<Reply, CallError> {
-        let until = Instant::now() + Duration::from_millis(work.timeout_ms);
+    /// All tries carry the ticket and key of the first, whichever address they are sent to.
+    pub async fn call(&mut self, call: &CallRequest) -> Result<Reply, CallError> {
+        let deadline = Instant::now() + Duration::from_millis(call.timeout_ms);
         let key = format!("{:032x}", rand::rng().random::<u128>());
         let answer = self.ask().await?;
         let ticket = answer.addresses.first().and_then(|entry| entry.ticket.clone());
@@ -114,118 +116,120 @@
             let index = tries as usize % answer.addresses.len().max(1);
             let entry = answer.addresses.get(index).ok_or(CallError::Unreachable)?;
             tries += 1;
-            let error = match self.try_at(entry, work, ticket.as_deref(), &key, until).await {
+            let error = match self.try_address(entry, call, ticket.as_deref(), &key, deadline).await
+            {
                 Ok(reply) => return Ok(Reply { tries, failures, ..reply }),
                 Err(error) => error,
             };
             may_have_run |= error.0.outcome() != Outcome::NotRun;
-            let pause = Duration::from_millis(error.1);
-            let is_guarded = ticket.is_some() || work.method.is_safe() || !may_have_run;
-            if !is_guarded || !may_try_again(&error.0) || Instant::now() + pause >= until {
+            let delay = Duration::from_millis(error.1);
+            let is_retry_safe = ticket.is_some() || call.method.is_safe() || !may_have_run;
+            if !is_retry_safe || !is_retryable(&error.0) || Instant::now() + delay >= deadline {
                 return Err(final_error(error.0, may_have_run));
             }
             failures.push(error.0);
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(delay).await;
         }
     }
 
-    /// Where to ask: the known addresses, then those of the last answer, for VMs come and go.
+    /// Returns the addresses to ask: the known ones, then those of the last answer, since the known VMs may be gone.
     fn addresses_to_ask(&self) -> Vec<SocketAddr> {
-        let told = self.kept.iter().flat_map(|(answer, _)| &answer.addresses);
-        let told = told.filter(|entry| entry.ticket.is_some()).map(|entry| entry.address);
-        self.systems.iter().copied().chain(told).collect()
+        let from_answer = self.cached_answer.iter().flat_map(|(answer, _)| &answer.addresses);
+        let from_answer =
+            from_answer.filter(|entry| entry.ticket.is_some()).map(|entry| entry.address);
+        self.known_addresses.iter().copied().chain(from_answer).collect()
     }
 
-    /// Asks one address of the system.
-    async fn ask_at(&self, system: SocketAddr) -> Result<ConnectAnswer, CallError> {
-        let mut url = format!("http://{system}/v1/connect/{}", self.service);
+    /// Asks one VM where to connect.
+    async fn ask_address(&self, address: SocketAddr) -> Result<ConnectAnswer, CallError> {
+        let mut url = format!("http://{address}/v1/connect/{}", self.service);
         if let Some(hall) = &self.hall {
             url.push_str(&format!("?hall={hall}"));
         }
-        let request = self.client.get(url).timeout(Duration::from_millis(PAUSE_LIMIT_MS));
+        let request = self.client.get(url).timeout(Duration::from_millis(MAX_RETRY_DELAY_MS));
         let mut response = request.send().await.map_err(|_| CallError::Unreachable)?;
-        if let Some(kind) = kind_of(response.headers()) {
-            return Err(CallError::Refused(kind));
+        if let Some(kind) = error_kind(response.headers()) {
+            return Err(CallError::Rejected(kind));
         }
         let body = response.body().await;
         let body = body.map_err(|error| CallError::Malformed(error.to_string()))?;
         serde_json::from_slice(&body).map_err(|error| CallError::Malformed(error.to_string()))
     }
 
-    /// Makes one try; an error comes with how long to wait before the next.
-    async fn try_at(
+    /// Makes one try; an error includes the delay before the next try, in milliseconds.
+    async fn try_address(
         &self,
         entry: &ConnectAddress,
-        work: &CallRequest,
+        call: &CallRequest,
         ticket: Option<&str>,
         key: &str,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Reply, (CallError, u64)> {
-        let left = until.saturating_duration_since(Instant::now());
-        let url = format!("http://{}{}", entry.address, work.path);
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let url = format!("http://{}{}", entry.address, call.path);
         let mut request = self
             .client
-            .request(work.method.clone(), url)
-            .timeout(left)
+            .request(call.method.clone(), url)
+            .timeout(remaining)
             .insert_header((SERVICE_HEADER, self.service.as_str()))
-            .insert_header((DEADLINE_HEADER, left.as_millis().to_string()));
+            .insert_header((DEADLINE_HEADER, remaining.as_millis().to_string()));
         if let Some(ticket) = ticket {
             request =
                 request.insert_header((TICKET_HEADER, ticket)).insert_header((KEY_HEADER, key));
         }
-        let sent = request.send_body(work.body.clone()).await;
-        let mut response = sent.map_err(|error| (send_error(&error), PAUSE_MS))?;
+        let sent = request.send_body(call.body.clone()).await;
+        let mut response = sent.map_err(|error| (send_error(&error), RETRY_DELAY_MS))?;
         let headers = response.headers().clone();
-        if let Some(kind) = kind_of(&headers) {
-            return Err((CallError::Refused(kind), pause_of(&headers)));
+        if let Some(kind) = error_kind(&headers) {
+            return Err((CallError::Rejected(kind), retry_delay_ms(&headers)));
         }
-        let body = response.body().limit(ANSWER_LIMIT_BYTES).await;
-        let body = body.map_err(|_| (CallError::Broken, PAUSE_MS))?;
-        if is_cut(&headers, &body) {
-            return Err((CallError::Broken, PAUSE_MS));
+        let body = response.body().limit(MAX_ANSWER_BYTES).await;
+        let body = body.map_err(|_| (CallError::Disconnected, RETRY_DELAY_MS))?;
+        if is_truncated(&headers, &body) {
+            return Err((CallError::Disconnected, RETRY_DELAY_MS));
         }
         let status = response.status().as_u16();
         Ok(Reply { status, headers, body, tries: 0, failures: Vec::new() })
     }
 }
 
-/// Tells whether another try can help and cannot harm.
-fn may_try_again(error: &CallError) -> bool {
+/// Returns whether a retry of the same request can succeed after this error.
+fn is_retryable(error: &CallError) -> bool {
     match error {
-        CallError::Unreachable | CallError::Broken => true,
-        CallError::Refused(kind) => kind.answer().next == Next::RetrySame,
+        CallError::Unreachable | CallError::Disconnected => true,
+        CallError::Rejected(kind) => kind.answer().next == Next::RetrySame,
         CallError::Malformed(_) => false,
     }
 }
 
-/// The error to end with: once one try may have run, the work is not said not to have run.
+/// Returns the error of the whole call. If an earlier try may have run, the outcome is not reported as not run.
 fn final_error(error: CallError, may_have_run: bool) -> CallError {
-    if may_have_run && error.outcome() == Outcome::NotRun { CallError::Broken } else { error }
+    if may_have_run && error.outcome() == Outcome::NotRun { CallError::Disconnected } else { error }
 }
 
-/// The kind of an answer of leverstream's own.
-fn kind_of(headers: &HeaderMap) -> Option<Kind> {
+/// Returns the error kind of an answer that leverstream itself produced.
+fn error_kind(headers: &HeaderMap) -> Option<Kind> {
     Kind::from_name(headers.get(KIND_HEADER)?.to_str().ok()?)
 }
 
-/// How long an answer asks to wait.
-fn pause_of(headers: &HeaderMap) -> u64 {
-    let told = headers.get(RETRY_AFTER_HEADER).and_then(|value| value.to_str().ok());
-    let told_ms = told.and_then(|text| text.parse().ok()).unwrap_or(PAUSE_MS);
-    told_ms.min(PAUSE_LIMIT_MS)
+/// Returns the retry delay that an answer asks for, in milliseconds, up to the maximum.
+fn retry_delay_ms(headers: &HeaderMap) -> u64 {
+    let value = headers.get(RETRY_AFTER_HEADER).and_then(|value| value.to_str().ok());
+    let delay_ms = value.and_then(|text| text.parse().ok()).unwrap_or(RETRY_DELAY_MS);
+    delay_ms.min(MAX_RETRY_DELAY_MS)
 }
 
-/// Tells whether a body is shorter than its head said; the HTTP client does not.
-fn is_cut(headers: &HeaderMap, body: &Bytes) -> bool {
-    let told = headers.get("content-length").and_then(|value| value.to_str().ok());
-    told.and_then(|text| text.parse::<usize>().ok()).is_some_and(|length| body.len() < length)
+/// Returns whether a body is shorter than its `content-length`, which the HTTP client does not check.
+fn is_truncated(headers: &HeaderMap, body: &Bytes) -> bool {
+    let value = headers.get("content-length").and_then(|value| value.to_str().ok());
+    value.and_then(|text| text.parse::<usize>().ok()).is_some_and(|length| body.len() < length)
 }
 
-/// Tells a request that was never sent from one that may have been.
+/// Distinguishes a request that was certainly not sent from one that may have been.
 fn send_error(error: &SendRequestError) -> CallError {
     match error {
-        SendRequestError::Connect(ConnectError::Disconnected) => CallError::Broken,
+        SendRequestError::Connect(ConnectError::Disconnected) => CallError::Disconnected,
         SendRequestError::Connect(_) | SendRequestError::Url(_) => CallError::Unreachable,
-        _ => CallError::Broken,
+        _ => CallError::Disconnected,
     }
 }
--- a/crates/leverstream-caller/src/error.rs
+++ b/crates/leverstream-caller/src/error.rs
@@ -1,28 +1,30 @@
+//! Errors of calls.
+
 use displaydoc::Display;
 use leverstream_error::{Kind, Outcome};
 
-/// Why a call gave no answer.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum CallError {
     /// none of the known addresses could be reached
     Unreachable,
-    /// the answer to where to connect could not be read: {0}
+    /// the connect answer could not be read: {0}
     Malformed(String),
-    /// leverstream refused: {0}
-    Refused(Kind),
-    /// the connection failed after the request was sent
-    Broken,
+    /// leverstream rejected the request: {0}
+    Rejected(Kind),
+    /// the connection failed after the request may have been sent
+    Disconnected,
 }
 
 impl std::error::Error for CallError {}
 
 impl CallError {
-    /// What became of the request.
+    /// Returns whether the request ran.
     pub fn outcome(&self) -> Outcome {
         match self {
             CallError::Unreachable | CallError::Malformed(_) => Outcome::NotRun,
-            CallError::Refused(kind) => kind.answer().outcome,
-            CallError::Broken => Outcome::Unknown,
+            CallError::Rejected(kind) => kind.answer().outcome,
+            CallError::Disconnected => Outcome::Unknown,
         }
     }
 }
--- a/crates/leverstream-caller/src/lib.rs
+++ b/crates/leverstream-caller/src/lib.rs
@@ -1,7 +1,7 @@
-//! A client for callers: asks where to connect, keeps the answer, retries as it is allowed to.
+//! A client for callers: it asks leverstream where to connect, caches the answer and retries requests.
 //!
-//! A request that may not be repeated keeps its ticket and key through all its tries, so that the
-//! work runs at most once and the caller ends with its real answer where there is one.
+//! All tries of a request carry the same ticket and idempotency key. A request that may not be repeated thus runs at
+//! most once, and a retry after a lost answer receives the stored one.
 
 mod caller;
 mod error;
