--- a/crates/leverctl/src/api.rs
+++ b/crates/leverctl/src/api.rs
@@ -1,3 +1,5 @@
+//! The client of the operators' API.
+
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -9,38 +11,38 @@
 
 use crate::error::CtlError;
 
-/// How long one call may take.
-const CALL_MS: u64 = 15_000;
+/// The timeout of one call.
+const CALL_TIMEOUT_MS: u64 = 15_000;
 
-/// The largest answer that is read, in bytes.
-const ANSWER_LIMIT_BYTES: usize = 64 << 20;
+/// The maximum size of an answer.
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
 /// A client of the operators' API.
 pub struct Api {
-    /// The listener.
-    at: SocketAddr,
+    /// The address of the operators' listener of a VM.
+    address: SocketAddr,
     /// The operators' key.
     key: String,
-    /// The operator's name.
+    /// The operator's name, recorded with each edit.
     who: String,
     /// The HTTP client.
     client: awc::Client,
 }
 
 impl Api {
-    /// Opens a client; no call is made yet.
-    pub fn open(at: SocketAddr, key: String, who: String) -> Api {
-        Api { at, key, who, client: awc::Client::builder().disable_redirects().finish() }
+    /// Creates a client. It makes no call yet.
+    pub fn new(address: SocketAddr, key: String, who: String) -> Api {
+        Api { address, key, who, client: awc::Client::builder().disable_redirects().finish() }
     }
 
-    /// Reads something as JSON.
+    /// Gets a path and decodes the JSON answer.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CtlError> {
         let request = self.client.get(self.url(path));
         let sent = self.prepare(request).send().await;
-        read(sent.map_err(|error| CtlError::Unreachable(error.to_string()))?).await
+        decode_answer(sent.map_err(|error| CtlError::Unreachable(error.to_string()))?).await
     }
 
-    /// Reads all documents, or one.
+    /// Reads the documents of all services, or of one.
     pub async fn docs(&self, service: Option<&str>) -> Result<Vec<ServiceDoc>, CtlError> {
         match service {
             Some(service) => Ok(vec![self.get(&format!("/v1/table/{service}")).await?]),
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Reads one document, or an empty one where there is none.
+    /// Reads the document of one service; returns an empty one if the service is unknown.
     pub async fn doc(&self, service: &str) -> Result<ServiceDoc, CtlError> {
         match self.get(&format!("/v1/table/{service}")).await {
             Err(CtlError::Failed(failure)) if failure.error == "service-unknown" => {
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Makes an edit under an id.
+    /// Makes an edit with the given id, or with a random one.
     pub async fn edit(
         &self,
         id: Option<String>,
@@ -68,7 +70,7 @@
         let edit = Edit { id: id.clone(), who: self.who.clone(), changes };
         let request = self.client.post(self.url("/v1/edits"));
         match self.prepare(request).send_json(&edit).await {
-            Ok(response) => read(response).await,
+            Ok(response) => decode_answer(response).await,
             Err(awc::error::SendRequestError::Connect(error)) => {
                 Err(CtlError::Unreachable(error.to_string()))
             }
@@ -76,26 +78,28 @@
         }
     }
 
-    /// The address of a path.
+    /// Returns the URL of a path.
     fn url(&self, path: &str) -> String {
-        format!("http://{}{path}", self.at)
+        format!("http://{}{path}", self.address)
     }
 
-    /// Shows the key and bounds the time.
+    /// Adds the operators' key and the timeout to a request.
     fn prepare(&self, request: ClientRequest) -> ClientRequest {
         request
-            .timeout(Duration::from_millis(CALL_MS))
+            .timeout(Duration::from_millis(CALL_TIMEOUT_MS))
             .insert_header(("authorization", format!("Bearer {}", self.key)))
     }
 }
 
-/// Reads an answer, or the failure in it.
-async fn read<T: DeserializeOwned, S>(mut response: awc::ClientResponse<S>) -> Result<T, CtlError>
+/// Decodes an answer, or the failure in one whose status is not a success.
+async fn decode_answer<T: DeserializeOwned, S>(
+    mut response: awc::ClientResponse<S>,
+) -> Result<T, CtlError>
 where
     S: futures_core::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>>,
 {
     let malformed = |error: &dyn std::error::Error| CtlError::Malformed(error.to_string());
-    let bytes = response.body().limit(ANSWER_LIMIT_BYTES).await.map_err(|e| malformed(&e))?;
+    let bytes = response.body().limit(MAX_ANSWER_BYTES).await.map_err(|e| malformed(&e))?;
     if !response.status().is_success() {
         let failure: Failure = serde_json::from_slice(&bytes).map_err(|e| malformed(&e))?;
         return Err(CtlError::Failed(failure));
--- a/crates/leverctl/src/args.rs
+++ b/crates/leverctl/src/args.rs
@@ -1,3 +1,5 @@
+//! The command line arguments.
+
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -29,23 +31,23 @@
     /// Shows and edits the table
     #[bpaf(command("table"))]
     Table(#[bpaf(external(table_command))] TableCommand),
-    /// Shows the fleet and how many VMs have which version in force
+    /// Shows the fleet and on how many VMs each version is in force
     #[bpaf(command("status"))]
     Status,
-    /// Shows why each backend server of a service gets work or does not
+    /// Shows why each backend server of a service gets requests or not
     #[bpaf(command("health"))]
     Health {
         /// The service
         #[bpaf(positional("SERVICE"))]
         service: String,
     },
-    /// Shows a service's backend servers live
+    /// Shows the backend servers of a service and refreshes the output
     #[bpaf(command("top"))]
     Top {
-        /// How many rounds to show; 0 for no end
+        /// The number of refreshes; 0 for no limit
         #[bpaf(argument("COUNT"), fallback(0))]
         rounds: u32,
-        /// The time between two rounds, in milliseconds
+        /// The time between two refreshes, in milliseconds
         #[bpaf(argument("MS"), fallback(1_000))]
         every_ms: u64,
         /// The service
@@ -55,10 +57,10 @@
     /// Asks where to connect, as a caller
     #[bpaf(command("ask"))]
     Ask {
-        /// Where callers ask
+        /// The callers' listener of any VM
         #[bpaf(argument("ADDRESS"))]
         callers: SocketAddr,
-        /// The hall to be nearest to
+        /// The data hall nearest to the caller
         #[bpaf(argument("HALL"), optional)]
         hall: Option<String>,
         /// The service
@@ -73,7 +75,7 @@
 /// A request to make.
 #[derive(Clone, Debug, Bpaf)]
 pub struct RequestArgs {
-    /// Where callers ask
+    /// The callers' listener of any VM
     #[bpaf(argument("ADDRESS"))]
     pub callers: SocketAddr,
     /// The method
@@ -82,7 +84,7 @@
     /// The body
     #[bpaf(argument("TEXT"), fallback(String::new()))]
     pub body: String,
-    /// How long it may take, all tries together, in milliseconds
+    /// The time limit for all tries together, in milliseconds
     #[bpaf(argument("MS"), fallback(10_000))]
     pub timeout_ms: u64,
     /// The service
@@ -106,24 +108,24 @@
     /// Sets cells of one service, all or none, such as `shop/b1.weight=50`
     #[bpaf(command("set"))]
     Set {
-        /// Refuse unless the first cell still holds this
+        /// Reject the edit unless the first cell still has this value
         #[bpaf(argument("VALUE"), optional)]
         was: Option<String>,
-        /// Use this id, to make an earlier edit again whose answer was lost
+        /// Use this id, to repeat an earlier edit whose answer was lost
         #[bpaf(argument("ID"), optional)]
         id: Option<String>,
-        /// The cells with their new values
+        /// The cells and their new values
         #[bpaf(positional("CELL=VALUE"), some("name a cell and its value"))]
         cells: Vec<String>,
     },
-    /// Takes a row out, such as `shop/b1`
+    /// Removes a row, such as `shop/b1`
     #[bpaf(command("remove"))]
     Remove {
         /// The row
         #[bpaf(positional("ROW"))]
         row: String,
     },
-    /// Makes the table's rows those of a TOML or CSV file
+    /// Replaces the table's rows by those of a TOML or CSV file
     #[bpaf(command("import"))]
     Import {
         /// Import although the table has changed since the file was exported
@@ -148,7 +150,7 @@
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Shows the last edits of a service
+    /// Shows the latest edits of a service
     #[bpaf(command("history"))]
     History {
         /// The service
--- a/crates/leverctl/src/error.rs
+++ b/crates/leverctl/src/error.rs
@@ -1,3 +1,5 @@
+//! Errors of commands and their exit codes.
+
 use displaydoc::Display;
 use leverstream_caller::CallError;
 use leverstream_error::{Kind, Outcome};
@@ -11,9 +13,9 @@
     Failed(Failure),
     /// {0}
     Call(CallError),
-    /// the system could not be reached: {0}
+    /// the VM could not be reached: {0}
     Unreachable(String),
-    /// the edit was sent but not answered; make it again with `--id {0}` to learn what became of it
+    /// the edit was sent but not answered; repeat it with `--id {0}` to find out whether it was applied
     Unanswered(String),
     /// the answer could not be read: {0}
     Malformed(String),
@@ -22,17 +24,17 @@
     /// {0}
     File(FileError),
     /// `{0}`: {1}
-    Read(String, std::io::Error),
-    /// `{0}` is not a cell, `=` and a value
-    Cell(String),
-    /// {0} has version {1} by now, the file {2}; look at `table diff`, then use `--force`
-    Moved(String, u64, u64),
+    ReadFile(String, std::io::Error),
+    /// `{0}` is not of the form CELL=VALUE
+    CellSyntax(String),
+    /// {0} has version {1}, but the file has version {2}; check `table diff`, then use `--force`
+    VersionConflict(String, u64, u64),
 }
 
 impl std::error::Error for CtlError {}
 
 impl CtlError {
-    /// The exit code.
+    /// Returns the exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             CtlError::Failed(failure) if failure.kind() == Kind::EditConflict => 3,
@@ -40,8 +42,11 @@
             CtlError::Call(error) if error.outcome() == Outcome::Unknown => 4,
             CtlError::Unanswered(_) => 4,
             CtlError::Unreachable(_) | CtlError::Call(CallError::Unreachable) => 5,
-            CtlError::Moved(..) => 3,
-            CtlError::Cell(_) | CtlError::File(_) | CtlError::Read(..) | CtlError::Table(_) => 2,
+            CtlError::VersionConflict(..) => 3,
+            CtlError::CellSyntax(_)
+            | CtlError::File(_)
+            | CtlError::ReadFile(..)
+            | CtlError::Table(_) => 2,
             CtlError::Failed(_) | CtlError::Call(_) | CtlError::Malformed(_) => 1,
         }
     }
--- a/crates/leverctl/src/fleet.rs
+++ b/crates/leverctl/src/fleet.rs
@@ -1,3 +1,5 @@
+//! The commands that show the state of the fleet and of backend servers.
+
 use std::time::Duration;
 
 use leverstream_node::{BackendReport, HealthReport, StatusReport};
@@ -6,18 +8,24 @@
 use crate::error::CtlError;
 use crate::table::print_json;
 
-/// Prints the fleet and how far each version is in force.
+/// Prints the members of the fleet and on how many VMs each version is in force.
 pub async fn status(api: &Api, json: bool) -> Result<(), CtlError> {
     let report: StatusReport = api.get("/v1/status").await?;
     if json {
         print_json(&report);
         return Ok(());
     }
-    let notes = [(report.is_isolated, "hears no other VM"), (report.is_stopping, "is stopping")];
-    for (_, note) in notes.iter().filter(|(holds, _)| *holds) {
+    let notes = [
+        (report.is_isolated, "receives nothing from other VMs"),
+        (report.is_stopping, "is shutting down"),
+    ];
+    for (_, note) in notes.iter().filter(|(is_true, _)| *is_true) {
         println!("{} {note}", report.vm);
     }
-    println!("{}: last news {} ms ago", report.vm, report.news_age_ms);
+    println!(
+        "{}: last heard from the store or another VM {} ms ago",
+        report.vm, report.news_age_ms
+    );
     println!("{:<18}{:<12}{:<10}{:<22}PEERS", "VM", "HALL", "STATE", "CALLERS");
     for member in &report.members {
         println!(
@@ -38,7 +46,7 @@
     Ok(())
 }
 
-/// Prints why each backend server gets work or does not.
+/// Prints why each backend server of a service gets requests or not.
 pub async fn health(api: &Api, service: &str, json: bool) -> Result<(), CtlError> {
     let report: HealthReport = api.get(&format!("/v1/health/{service}")).await?;
     if json {
@@ -49,12 +57,12 @@
     Ok(())
 }
 
-/// Prints a service's backend servers again and again.
+/// Prints the backend servers of a service repeatedly; 0 rounds mean no limit.
 pub async fn top(api: &Api, service: &str, rounds: u32, every_ms: u64) -> Result<(), CtlError> {
     let mut round = 0;
     loop {
         let report: HealthReport = api.get(&format!("/v1/health/{service}")).await?;
-        // Clears the screen and goes to its top.
+        // Clears the terminal and moves the cursor to the top left.
         print!("\x1b[2J\x1b[H");
         print_health(&report);
         round += 1;
@@ -65,7 +73,7 @@
     }
 }
 
-/// Prints a service's backend servers.
+/// Prints the backend servers of a service as a table.
 fn print_health(report: &HealthReport) {
     println!(
         "{}: {:.0} % of the weight in service (floor {:.0} %), {} waiting",
@@ -94,23 +102,23 @@
     }
 }
 
-/// Says in a sentence why a backend server gets work or does not.
+/// Returns a short explanation why a backend server gets requests or not.
 fn reason(backend: &BackendReport) -> String {
     if backend.is_leaving {
-        return "its row says that it leaves".to_owned();
+        return "its row is marked as leaving".to_owned();
     }
     if backend.is_draining {
-        return "it says that it drains".to_owned();
+        return "it announces that it is draining".to_owned();
     }
     let limit = backend.eject_score;
     match (backend.standing.as_str(), backend.trial_in_ms) {
         ("ejected", Some(trial_in_ms)) => {
-            format!("{} (limit {limit}); tried in {trial_in_ms} ms", backend.reason)
+            format!("{} (limit {limit}); next trial in {trial_in_ms} ms", backend.reason)
         }
-        ("trial", _) => "gets single repeatable requests until three went well".to_owned(),
-        ("ramping", _) => "its share is rising".to_owned(),
+        ("trial", _) => "gets single repeatable requests until three succeed".to_owned(),
+        ("ramping", _) => "its share is ramping up".to_owned(),
         _ if backend.own_score > 0.0 => {
-            format!("its share is lowered by its score (ejected from {limit})")
+            format!("its score reduces its share (ejected at a score of {limit})")
         }
         _ => String::new(),
     }
--- a/crates/leverctl/src/main.rs
+++ b/crates/leverctl/src/main.rs
@@ -1,7 +1,8 @@
-//! The operators' command line: the table, its history, the fleet's state, requests as a caller.
+//! The operators' command line: it edits the table, shows its history and the state of the fleet, and makes requests as
+//! a caller.
 //!
-//! Exit codes: 0 done, 1 refused, 2 wrong usage, 3 another edit came first, 4 the outcome is
-//! unknown, 5 the system could not be reached.
+//! Exit codes: 0 success, 1 rejected or failed, 2 wrong usage, 3 conflict with another edit, 4 outcome unknown, 5 no VM
+//! could be reached.
 
 mod api;
 mod args;
@@ -20,7 +21,7 @@
 fn main() -> ExitCode {
     let options = options().run();
     let result = actix_rt::System::new().block_on(async {
-        let api = Api::open(options.at, options.key, options.who);
+        let api = Api::new(options.at, options.key, options.who);
         run(&api, options.command, options.json).await
     });
     match result {
@@ -44,6 +45,6 @@
         Command::Ask { callers, hall, service } => {
             request::ask(callers, hall.as_deref(), &service).await
         }
-        Command::Request(wanted) => request::request(wanted, json).await,
+        Command::Request(args) => request::request(args, json).await,
     }
 }
--- a/crates/leverctl/src/table.rs
+++ b/crates/leverctl/src/table.rs
@@ -1,3 +1,5 @@
+//! The commands that show and edit the table.
+
 use std::path::Path;
 
 use leverstream_node::EditReply;
@@ -8,7 +10,7 @@
 use crate::args::TableCommand;
 use crate::error::CtlError;
 
-/// Runs a command on the table.
+/// Runs a table command.
 pub async fn run(api: &Api, command: TableCommand, json: bool) -> Result<(), CtlError> {
     match command {
         TableCommand::Show { service } => show(api, service.as_deref(), json).await,
@@ -21,7 +23,7 @@
     }
 }
 
-/// Prints the rows, one cell a line.
+/// Prints the rows with one cell per line.
 async fn show(api: &Api, service: Option<&str>, json: bool) -> Result<(), CtlError> {
     let docs = api.docs(service).await?;
     if json {
@@ -38,13 +40,13 @@
 }
 
 /// Prints the cells of a row.
-fn print_row(place: &str, row: &Value) {
-    for (column, value) in row.as_object().into_iter().flatten() {
-        println!("{place}.{column}={value}");
+fn print_row(row_name: &str, cells: &Value) {
+    for (column, value) in cells.as_object().into_iter().flatten() {
+        println!("{row_name}.{column}={value}");
     }
 }
 
-/// Sets cells; without `--was` the edit is tied to what the table holds now.
+/// Sets cells as one edit. With `--was`, the edit is rejected unless the first cell still has that value.
 async fn set(
     api: &Api,
     was: Option<String>,
@@ -60,7 +62,7 @@
     Ok(())
 }
 
-/// Takes a row out.
+/// Removes a row.
 async fn remove(api: &Api, row: &str, json: bool) -> Result<(), CtlError> {
     let cell: Cell = row.parse().map_err(CtlError::Table)?;
     if cell.column.is_some() {
@@ -71,22 +73,26 @@
     Ok(())
 }
 
-/// Makes the table's rows those of a file, one edit a service.
+/// Replaces the table's rows by those of a file, with one edit per service.
 async fn import(api: &Api, force: bool, file: &Path, json: bool) -> Result<(), CtlError> {
-    for (held, wanted) in compare(api, file).await? {
-        let changes = diff(&held, &wanted);
+    for (current, imported) in compare(api, file).await? {
+        let changes = diff(&current, &imported);
         if changes.is_empty() {
             continue;
         }
-        if wanted.version != held.version && !force {
-            return Err(CtlError::Moved(wanted.service, held.version, wanted.version));
+        if imported.version != current.version && !force {
+            return Err(CtlError::VersionConflict(
+                imported.service,
+                current.version,
+                imported.version,
+            ));
         }
         report(&api.edit(None, changes).await?, json);
     }
     Ok(())
 }
 
-/// Prints the rows as a file.
+/// Prints the rows in the format of a TOML or CSV file.
 async fn export(api: &Api, csv: bool, service: Option<&str>) -> Result<(), CtlError> {
     let docs = api.docs(service).await?;
     if csv {
@@ -100,7 +106,8 @@
 /// Prints what an import would change.
 async fn show_diff(api: &Api, file: &Path, json: bool) -> Result<(), CtlError> {
     let pairs = compare(api, file).await?;
-    let changes: Vec<Change> = pairs.iter().flat_map(|(held, wanted)| diff(held, wanted)).collect();
+    let changes: Vec<Change> =
+        pairs.iter().flat_map(|(current, imported)| diff(current, imported)).collect();
     if json {
         print_json(&changes);
         return Ok(());
@@ -112,7 +119,7 @@
     Ok(())
 }
 
-/// Prints the last edits of a service.
+/// Prints the latest edits of a service.
 async fn history(api: &Api, service: &str, json: bool) -> Result<(), CtlError> {
     let doc = api.doc(service).await?;
     if json {
@@ -131,39 +138,40 @@
     Ok(())
 }
 
-/// Pairs each service of a file with what the table holds of it.
+/// Reads a file and returns each of its services as the table has it and as the file has it.
 async fn compare(api: &Api, file: &Path) -> Result<Vec<(ServiceDoc, ServiceDoc)>, CtlError> {
     let name = file.display().to_string();
     let text =
-        std::fs::read_to_string(file).map_err(|error| CtlError::Read(name.clone(), error))?;
+        std::fs::read_to_string(file).map_err(|error| CtlError::ReadFile(name.clone(), error))?;
     let is_csv = file.extension().is_some_and(|extension| extension == "csv");
-    let read = if is_csv { from_csv(&text) } else { TableFile::from_toml(&text) };
+    let parsed = if is_csv { from_csv(&text) } else { TableFile::from_toml(&text) };
     let mut pairs = Vec::new();
-    for wanted in read.map_err(CtlError::File)?.into_docs() {
-        wanted.validate().map_err(CtlError::Table)?;
-        pairs.push((api.doc(&wanted.service).await?, wanted));
+    for imported in parsed.map_err(CtlError::File)?.into_docs() {
+        imported.validate().map_err(CtlError::Table)?;
+        pairs.push((api.doc(&imported.service).await?, imported));
     }
     Ok(pairs)
 }
 
-/// Reads `CELL=VALUE`.
+/// Parses `CELL=VALUE`.
 fn parse_change(text: &str) -> Result<Change, CtlError> {
-    let (cell, value) = text.split_once('=').ok_or_else(|| CtlError::Cell(text.to_owned()))?;
+    let (cell, value) =
+        text.split_once('=').ok_or_else(|| CtlError::CellSyntax(text.to_owned()))?;
     let cell = cell.trim().parse().map_err(CtlError::Table)?;
     Ok(Change { cell, was: None, to: parse_value(value) })
 }
 
-/// Reads a value: JSON where it is some, else a plain string.
+/// Parses a value as JSON; anything else is taken as a plain string.
 fn parse_value(text: &str) -> Value {
     serde_json::from_str(text).unwrap_or_else(|_| Value::String(text.to_owned()))
 }
 
-/// Prints what came of an edit.
+/// Prints the result of an edit.
 fn report(reply: &EditReply, json: bool) {
     if json {
         print_json(reply);
     } else if reply.landed_before {
-        println!("had landed before, with version {}", reply.version);
+        println!("already applied with version {}", reply.version);
     } else {
         println!("accepted with version {}", reply.version);
     }
--- a/crates/leverstreamd/src/gateway.rs
+++ b/crates/leverstreamd/src/gateway.rs
@@ -1,3 +1,5 @@
+//! The subcommand that runs a gateway VM: settings, signals and reload.
+
 use std::env;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -8,70 +10,70 @@
 use leverstream_observe::{LevelFilter, Lines};
 use tracing::{error, info, warn};
 
-use crate::{BAD_SETTINGS, BAD_START};
+use crate::{EXIT_INVALID_SETTINGS, EXIT_START_FAILED};
 
-/// The variable that names the settings file when the command line does not.
+/// The environment variable with the path of the settings file, used if the command line gives none.
 const SETTINGS_VARIABLE: &str = "LEVERSTREAM_SETTINGS";
 
-/// How often the settings file is looked at for a change that no signal told of.
-const LOOK_MS: u64 = 2_000;
+/// The interval at which the modification time of the settings file is checked, for changes without a SIGHUP.
+const SETTINGS_POLL_MS: u64 = 2_000;
 
-/// The settings file that the environment names.
+/// Returns the settings file that the environment specifies.
 pub fn settings_file() -> Result<PathBuf, String> {
     env::var_os(SETTINGS_VARIABLE)
         .map(PathBuf::from)
-        .ok_or_else(|| format!("name the settings FILE, or set {SETTINGS_VARIABLE} to its path"))
+        .ok_or_else(|| format!("specify the settings FILE, or set {SETTINGS_VARIABLE} to its path"))
 }
 
-/// Runs a gateway VM until it is told to stop.
+/// Runs a gateway VM until a signal stops it.
 pub fn run(file: &Path) -> ExitCode {
     let settings = match load(file) {
         Ok(settings) => settings,
         Err(fault) => {
             eprintln!("{}: {fault}", file.display());
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
-    let lines = Lines::open(LevelFilter::INFO);
+    let log_lines = Lines::open(LevelFilter::INFO);
     let code = actix_rt::System::new().block_on(async move {
         let gateway = match Gateway::open(settings).await {
             Ok(gateway) => gateway,
             Err(fault) => {
                 error!(%fault, "cannot start");
-                return ExitCode::from(BAD_START);
+                return ExitCode::from(EXIT_START_FAILED);
             }
         };
         serve(&gateway, file).await
     });
-    lines.flush();
+    log_lines.flush();
     code
 }
 
-/// Reads the settings.
+/// Reads and validates the settings file.
 fn load(file: &Path) -> Result<Settings, String> {
     let text = std::fs::read_to_string(file).map_err(|error| error.to_string())?;
     Settings::from_toml(&text).map_err(|error| error.to_string())
 }
 
-/// Serves until a signal asks for the end; settings that change meanwhile are read again.
+/// Serves until SIGTERM or SIGINT; reloads the settings on SIGHUP and when the file changes.
 async fn serve(gateway: &Gateway, file: &Path) -> ExitCode {
     let signals =
         [SignalKind::terminate(), SignalKind::interrupt(), SignalKind::hangup()].map(signal);
     let [Ok(mut terminate), Ok(mut interrupt), Ok(mut hangup)] = signals else {
-        error!("signals cannot be heard");
-        return ExitCode::from(BAD_START);
+        error!("cannot install the signal handlers");
+        return ExitCode::from(EXIT_START_FAILED);
     };
-    let mut seen = changed_at(file);
+    let mut last_modified = modified_at(file);
     loop {
-        let is_told = tokio::select! {
+        let is_hangup = tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
             _ = hangup.recv() => true,
-            () = tokio::time::sleep(Duration::from_millis(LOOK_MS)) => false,
+            () = tokio::time::sleep(Duration::from_millis(SETTINGS_POLL_MS)) => false,
         };
-        let present = changed_at(file);
-        if is_told || present != seen {
-            seen = present;
+        let modified = modified_at(file);
+        if is_hangup || modified != last_modified {
+            last_modified = modified;
             reload(gateway, file);
         }
     }
@@ -79,7 +81,7 @@
     ExitCode::SUCCESS
 }
 
-/// Stops as planned; a second SIGINT ends the stop at once.
+/// Shuts down gracefully; a SIGINT in the meantime stops the process at once, a SIGTERM does not.
 async fn stop(gateway: &Gateway, terminate: &mut Signal, interrupt: &mut Signal) {
     let stopping = gateway.stop();
     tokio::pin!(stopping);
@@ -88,22 +90,24 @@
             () = &mut stopping => return,
             _ = terminate.recv() => info!("already stopping"),
             _ = interrupt.recv() => {
-                warn!("a second signal ends it at once");
+                warn!("second signal received; stopping at once");
                 return;
             }
         }
     }
 }
 
-/// Reads the settings again; those that cannot be used change nothing.
+/// Reloads the settings; invalid ones are logged and the previous ones stay in force.
 fn reload(gateway: &Gateway, file: &Path) {
     match load(file) {
         Ok(settings) => gateway.reload(&settings),
-        Err(fault) => warn!(%fault, "changed settings refused; the last stay in force"),
+        Err(fault) => {
+            warn!(%fault, "the changed settings are invalid; the previous ones stay in force")
+        }
     }
 }
 
-/// When the file was last changed.
-fn changed_at(file: &Path) -> Option<SystemTime> {
+/// Returns the modification time of the file, or `None` if it cannot be read.
+fn modified_at(file: &Path) -> Option<SystemTime> {
     std::fs::metadata(file).and_then(|data| data.modified()).ok()
 }
--- a/crates/leverstreamd/src/main.rs
+++ b/crates/leverstreamd/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: one process of the fleet, run from a settings file.
+//! The daemon: runs one VM of a fleet with the settings of a file.
 
 mod gateway;
 
@@ -10,17 +10,17 @@
 use leverstream_node::{Node, Settings};
 use leverstream_observe::{Traces, open_logs};
 
-/// The exit code for a settings file that does not hold together.
-const BAD_SETTINGS: u8 = 2;
+/// The exit code for a missing or invalid settings file.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 /// The exit code for a failure to start.
-const BAD_START: u8 = 3;
+const EXIT_START_FAILED: u8 = 3;
 
 /// Serves callers as one VM of a leverstream fleet.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Command {
-    /// Runs the daemon until SIGTERM or SIGINT; a second signal ends it at once.
+    /// Runs the daemon until SIGTERM or SIGINT; a second signal stops it at once.
     #[bpaf(command)]
     Run {
         /// The settings file
@@ -30,7 +30,7 @@
     /// Runs a VM of a gateway fleet on the users' platform, until SIGTERM.
     #[bpaf(command)]
     Gateway {
-        /// The settings file; SIGHUP has it read again
+        /// The settings file; SIGHUP reloads it
         #[bpaf(positional("FILE"), fallback_with(gateway::settings_file))]
         file: PathBuf,
     },
@@ -41,7 +41,7 @@
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Prints a settings file with every key.
+    /// Prints a settings file with all keys.
     #[bpaf(command)]
     Example,
 }
@@ -68,21 +68,21 @@
     }
 }
 
-/// Reads a settings file, or prints what is wrong with it.
+/// Reads a settings file, or prints all faults in it.
 fn load(file: &PathBuf) -> Result<Settings, ExitCode> {
     let text = std::fs::read_to_string(file).map_err(|error| {
         eprintln!("{}: {error}", file.display());
-        ExitCode::from(BAD_SETTINGS)
+        ExitCode::from(EXIT_INVALID_SETTINGS)
     })?;
     Settings::from_toml(&text).map_err(|error| {
         for line in error.to_string().lines() {
             eprintln!("{}: {line}", file.display());
         }
-        ExitCode::from(BAD_SETTINGS)
+        ExitCode::from(EXIT_INVALID_SETTINGS)
     })
 }
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until a signal stops it.
 fn run(settings: Settings) -> ExitCode {
     open_logs(settings.log.level.parse().unwrap_or(log::LevelFilter::Info));
     actix_rt::System::new().block_on(async move {
@@ -94,7 +94,7 @@
             Ok(node) => node,
             Err(error) => {
                 log::error!("node: cannot start: {error}.");
-                return ExitCode::from(BAD_START);
+                return ExitCode::from(EXIT_START_FAILED);
             }
         };
         let code = serve(&node).await;
@@ -105,7 +105,7 @@
     })
 }
 
-/// Opens the export of traces, if the settings name a collector.
+/// Starts the export of traces if the settings specify a collector.
 fn open_traces(settings: &Settings) -> Result<Option<Traces>, ExitCode> {
     let endpoint = &settings.traces.otlp;
     if endpoint.is_empty() {
@@ -113,17 +113,17 @@
     }
     Traces::open(endpoint, &settings.vm).map(Some).map_err(|error| {
         log::error!("node: {error}.");
-        ExitCode::from(BAD_START)
+        ExitCode::from(EXIT_START_FAILED)
     })
 }
 
-/// Waits for a signal, then stops as planned; a second signal ends the stop.
+/// Waits for a signal, then shuts down gracefully; a second signal stops the process at once.
 async fn serve(node: &Node) -> ExitCode {
     let (Ok(mut terminate), Ok(mut interrupt)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
     else {
-        log::error!("node: signals cannot be heard.");
-        return ExitCode::from(BAD_START);
+        log::error!("node: cannot install the signal handlers.");
+        return ExitCode::from(EXIT_START_FAILED);
     };
     tokio::select! {
         _ = terminate.recv() => {}
@@ -131,8 +131,8 @@
     }
     tokio::select! {
         () = node.stop() => {}
-        _ = terminate.recv() => log::warn!("node: a second signal ends it at once."),
-        _ = interrupt.recv() => log::warn!("node: a second signal ends it at once."),
+        _ = terminate.recv() => log::warn!("node: second signal received; stopping at once."),
+        _ = interrupt.recv() => log::warn!("node: second signal received; stopping at once."),
     }
     ExitCode::SUCCESS
 }
