--- a/crates/leverstream-ask/src/answer.rs
+++ b/crates/leverstream-ask/src/answer.rs
@@ -13,7 +13,7 @@
     pub addresses: Vec<ConnectAddress>,
     /// How long the caller may cache the answer.
     pub holds_ms: u64,
-    /// Whether leverstream serves the service; otherwise the addresses come from the scripts.
+    /// Whether leverstream serves the service; otherwise the addresses are the `script_addresses` of its row.
     pub taken_over: bool,
 }
 
--- a/crates/leverstream-caller/src/error.rs
+++ b/crates/leverstream-caller/src/error.rs
@@ -19,7 +19,7 @@
 impl std::error::Error for CallError {}
 
 impl CallError {
-    /// Returns whether the request ran.
+    /// Returns whether the request ran, as far as this is known.
     pub fn outcome(&self) -> Outcome {
         match self {
             CallError::Unreachable | CallError::Malformed(_) => Outcome::NotRun,
--- a/crates/leverstreamd/src/gateway.rs
+++ b/crates/leverstreamd/src/gateway.rs
@@ -101,9 +101,7 @@
 fn reload(gateway: &Gateway, file: &Path) {
     match load(file) {
         Ok(settings) => gateway.reload(&settings),
-        Err(fault) => {
-            warn!(%fault, "the changed settings are invalid; the previous ones stay in force")
-        }
+        Err(fault) => warn!(%fault, "changed settings are invalid; keeping the previous ones"),
     }
 }
 
