--- a/crates/leverstream-node/src/edit.rs
+++ b/crates/leverstream-node/src/edit.rs
@@ -54,13 +54,14 @@
             Ok(Attempt::Conflict) => {}
             Err(AttemptError::Refused(reply)) => return Err(reply),
             Err(AttemptError::Platform(error)) => {
-                if error.may_have_landed() && !may_have_landed {
+                if error.may_have_taken_effect() && !may_have_landed {
                     may_have_landed = true;
                     deadline_ms += RESOLVE_TIMEOUT_MS;
                 }
                 let is_past_deadline = clock.now_ms() + RETRY_DELAY_MS >= deadline_ms;
                 let is_unreachable =
-                    matches!(error, StoreError::Away | StoreError::Refused) && !may_have_landed;
+                    matches!(error, StoreError::Unreachable | StoreError::Unavailable)
+                        && !may_have_landed;
                 if is_past_deadline || is_unreachable {
                     return Err(platform_error(may_have_landed, &error));
                 }
@@ -68,7 +69,7 @@
             }
         }
         if clock.now_ms() >= deadline_ms {
-            return Err(platform_error(may_have_landed, &StoreError::Unanswered));
+            return Err(platform_error(may_have_landed, &StoreError::Timeout));
         }
     }
 }
@@ -102,7 +103,7 @@
     // A read changes nothing, so its failure never means that the edit may have landed.
     let result = store.read(TABLE_KIND, service).await;
     let object = result.map_err(|error| match error {
-        StoreError::Away | StoreError::Refused | StoreError::OverBudget => {
+        StoreError::Unreachable | StoreError::Unavailable | StoreError::OverBudget => {
             AttemptError::Platform(error)
         }
         _ => AttemptError::Platform(StoreError::OverBudget),
--- a/crates/leverstream-proxy/src/ask.rs
+++ b/crates/leverstream-proxy/src/ask.rs
@@ -4,7 +4,7 @@
 
 use actix_web::HttpResponse;
 use actix_web::web::{Data, Path, Query};
-use leverstream_ask::{AskAnswer, Entry};
+use leverstream_ask::{ConnectAddress, ConnectAnswer};
 use leverstream_error::Kind;
 use leverstream_ticket::{Stem, Ticket};
 use rand::Rng;
@@ -69,7 +69,7 @@
         proxy.metrics.count_refusal(Kind::NoBackend);
         return error_response(Kind::NoBackend);
     }
-    HttpResponse::Ok().json(AskAnswer {
+    HttpResponse::Ok().json(ConnectAnswer {
         service: view.doc.service.clone(),
         addresses: entries,
         holds_ms: proxy.settings.answer_holds_ms,
@@ -79,14 +79,14 @@
 
 /// The answer for a service that is not taken over yet: the addresses of the scripts that still
 /// serve it, without tickets.
-fn script_answer(proxy: &Proxy, view: &ServiceView) -> AskAnswer {
-    let entry = |address: SocketAddr| Entry {
+fn script_answer(proxy: &Proxy, view: &ServiceView) -> ConnectAnswer {
+    let entry = |address: SocketAddr| ConnectAddress {
         address,
         hall: String::new(),
         ticket: None,
         ticket_holds_ms: None,
     };
-    AskAnswer {
+    ConnectAnswer {
         service: view.doc.service.clone(),
         addresses: view.doc.row.script_addresses.iter().map(|address| entry(address.0)).collect(),
         holds_ms: proxy.settings.answer_holds_ms,
@@ -97,7 +97,7 @@
 /// The entry VMs that accept callers and whose ticket stem is known, nearest hall first.
 ///
 /// The order within a hall is random, which spreads the callers.
-async fn entries(proxy: &Proxy, view: &ServiceView, hall: Option<&str>) -> Vec<Entry> {
+async fn entries(proxy: &Proxy, view: &ServiceView, hall: Option<&str>) -> Vec<ConnectAddress> {
     let own_vm = proxy.snapshot.load().own_vm.clone();
     let mut vms: Vec<VmView> =
         view.entry_vms.iter().filter(|vm| vm.takes_callers).cloned().collect();
@@ -131,7 +131,7 @@
 }
 
 /// The answer's entry for a VM, with a new ticket, if the stem of the VM is known.
-fn entry(proxy: &Proxy, vm: &VmView, own_id: u64) -> Option<Entry> {
+fn entry(proxy: &Proxy, vm: &VmView, own_id: u64) -> Option<ConnectAddress> {
     let now_ms = proxy.now_ms();
     let (stem, ttl_ms) = if vm.id == own_id {
         (proxy.ticket_issuer.stem(now_ms), proxy.ticket_issuer.ttl_ms())
@@ -141,7 +141,7 @@
         (cached.stem, cached.ttl_ms.checked_sub(age_ms).filter(|left_ms| *left_ms > 0)?)
     };
     let ticket = Ticket { stem, nonce: rand::rng().random() };
-    Some(Entry {
+    Some(ConnectAddress {
         address: vm.caller_address,
         hall: vm.hall.clone(),
         ticket: Some(ticket.to_string()),
--- a/tests/src/ends.rs
+++ b/tests/src/ends.rs
@@ -121,7 +121,7 @@
         let mut ends: Vec<Instant> =
             origins.iter().filter_map(|origin| origin.ended_at()).collect();
         ends.sort();
-        let seen = origins.iter().flat_map(|origin| origin.seen());
+        let seen = origins.iter().flat_map(|origin| origin.requests());
         let sends: Vec<(Instant, usize)> = seen
             .filter(|seen| seen.ran && seen.line.contains(MARKER))
             .map(|seen| (seen.at, self.asked[seen.field(headers::REQUEST_ID).unwrap_or_default()]))
@@ -184,5 +184,5 @@
 /// Has a backend server end under the request.
 fn prepare(origin: &Origin) {
     origin.set(Reply::After(20));
-    origin.end_under(MARKER);
+    origin.end_on_request(MARKER);
 }
--- a/tests/tests/gateway.rs
+++ b/tests/tests/gateway.rs
@@ -29,10 +29,10 @@
     };
     let answer = call.send(vm).await.expect("an answer comes");
     assert_eq!(answer.status, 200);
-    assert_eq!(answer.text(headers::STAMP), Some("i-0"));
+    assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-0"));
     assert_eq!(answer.text(headers::REQUEST_ID), Some(call.id.as_str()));
     assert_eq!(answer.body, format!("i-0 {}", call.id));
-    let seen = site.origin(0).seen().remove(0);
+    let seen = site.origin(0).requests().remove(0);
     assert_eq!(seen.line, format!("PUT {ONCE}a%20b?q=1 HTTP/1.1"));
     assert_eq!(seen.body, b"the body");
     assert_eq!(seen.field("host"), Some(HOST));
@@ -41,7 +41,7 @@
     assert_eq!(seen.field(headers::REQUEST_ID), Some(call.id.as_str()));
     assert_eq!(seen.field(headers::EXPECTED_INSTANCE), Some("i-0"));
     let left_ms: u64 =
-        seen.field(headers::TIME_LEFT_MS).expect("it is set").parse().expect("a number");
+        seen.field(headers::REMAINING_MS).expect("it is set").parse().expect("a number");
     assert!((1..=1_000).contains(&left_ms), "the route's time bounds the caller's: {left_ms}");
 }
 
@@ -82,12 +82,12 @@
 #[actix_rt::test]
 async fn one_that_did_not_run_it_hands_it_on_also_if_it_may_run_once_only() {
     let site = Site::start(1, 2).await;
-    site.origin(0).set(Reply::Full);
+    site.origin(0).set(Reply::Rejection);
     for _ in 0..6 {
         let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
         assert_eq!(answer.status, 200);
     }
-    site.origin(1).set(Reply::Full);
+    site.origin(1).set(Reply::Rejection);
     let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
     assert_eq!(answer.status, 503);
     assert!(answer.text("retry-after").is_some());
@@ -97,12 +97,12 @@
 #[actix_rt::test]
 async fn an_address_that_passed_on_is_not_asked_again() {
     let site = Site::start(1, 2).await;
-    site.origin(0).rename("i-new");
+    site.origin(0).set_instance("i-new");
     for _ in 0..8 {
         let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
-        assert_eq!(answer.text(headers::STAMP), Some("i-1"));
+        assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-1"));
     }
-    assert!(site.origin(0).seen().len() <= 1);
+    assert!(site.origin(0).requests().len() <= 1);
 }
 
 #[actix_rt::test]
@@ -110,11 +110,11 @@
     let site = Site::start(1, 2).await;
     let broken = [
         Reply::Reset,
-        Reply::Cut,
-        Reply::Garbage,
-        Reply::UnframedReset,
+        Reply::Truncated,
+        Reply::Malformed,
+        Reply::WithoutLengthReset,
         Reply::Failure,
-        Reply::Silence,
+        Reply::NoAnswer,
     ];
     for (number, reply) in broken.into_iter().enumerate() {
         site.set_all(reply);
@@ -129,7 +129,7 @@
 async fn what_may_run_again_survives_one_bad_answer() {
     let site = Site::start(1, 2).await;
     for (number, reply) in
-        [Reply::Reset, Reply::Cut, Reply::Garbage, Reply::Failure, Reply::Silence]
+        [Reply::Reset, Reply::Truncated, Reply::Malformed, Reply::Failure, Reply::NoAnswer]
             .into_iter()
             .enumerate()
     {
@@ -146,7 +146,7 @@
 #[actix_rt::test]
 async fn late_and_surplus_answers_reach_nobody() {
     let site = Site::start(1, 1).await;
-    for reply in [Reply::LateOneFirst, Reply::Surplus] {
+    for reply in [Reply::StaleAnswerFirst, Reply::ExtraAnswer] {
         site.set_all(reply);
         for _ in 0..10 {
             let call = Call::new(SAFE);
@@ -162,10 +162,10 @@
 #[actix_rt::test]
 async fn an_answer_without_a_length_is_whole_at_its_end_only() {
     let site = Site::start(1, 1).await;
-    site.set_all(Reply::Unframed);
+    site.set_all(Reply::WithoutLength);
     let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
     assert_eq!((answer.status, &*answer.body), (200, &b"unframed"[..]));
-    site.set_all(Reply::UnframedReset);
+    site.set_all(Reply::WithoutLengthReset);
     let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
     assert_eq!(answer.status, 502);
 }
@@ -173,7 +173,7 @@
 #[actix_rt::test]
 async fn the_routes_time_ends_a_request() {
     let site = Site::start(1, 1).await;
-    site.set_all(Reply::Silence);
+    site.set_all(Reply::NoAnswer);
     let started = Instant::now();
     let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
     let took = started.elapsed();
@@ -214,8 +214,10 @@
             socket.set_linger(Some(Duration::ZERO)).expect("it can be reset");
         }
         drop(stream);
-        until("the work is left", || async { (site.origin(0).left(path) == 1).then_some(()) })
-            .await;
+        until("the work is left", || async {
+            (site.origin(0).abandoned_count(path) == 1).then_some(())
+        })
+        .await;
     }
 }
 
@@ -259,7 +261,7 @@
         let answer = send(site.vms[0].callers(), shape.as_bytes()).await.expect("an answer comes");
         assert_eq!(answer.status, 400, "{shape}");
     }
-    assert!(site.origin(0).seen().is_empty());
+    assert!(site.origin(0).requests().is_empty());
 }
 
 #[actix_rt::test]
@@ -268,7 +270,7 @@
     let call = Call { method: "POST", body: vec![b'x'; (1 << 20) + 1], ..Call::new(ONCE) };
     let answer = call.send(&site.vms[0]).await.expect("an answer comes");
     assert_eq!(answer.status, 413);
-    assert!(site.origin(0).seen().is_empty());
+    assert!(site.origin(0).requests().is_empty());
 }
 
 #[actix_rt::test]
@@ -285,7 +287,7 @@
         );
         assert!(conn.is_reusable());
     }
-    let seen = site.origin(0).seen();
+    let seen = site.origin(0).requests();
     assert!(seen.iter().all(|seen| seen.connection == 1), "one connection serves them all");
 }
 
@@ -296,7 +298,7 @@
     for _ in 0..120 {
         let _ = Call::new(SAFE).send(&site.vms[0]).await;
     }
-    let arrivals: usize = site.origins.iter().map(|origin| origin.seen().len()).sum();
+    let arrivals: usize = site.origins.iter().map(|origin| origin.requests().len()).sum();
     // A fifth of the requests and the slack; the VM is new, so it has a part of that only.
     assert!((121..=120 + 24 + 62).contains(&arrivals), "{arrivals}");
 }
@@ -333,12 +335,12 @@
     let address = site.origin(0).address;
     site.list_backend(&Backend { is_leaving: true, ..backend("i-0", address) }).await;
     until("the VM knows", || async { vm.has_logged("\"is_leaving\":true").then_some(()) }).await;
-    let before = site.origin(0).seen().len();
+    let before = site.origin(0).requests().len();
     for _ in 0..10 {
         let answer = Call::new(ONCE).send(vm).await.expect("an answer comes");
-        assert_eq!(answer.text(headers::STAMP), Some("i-1"));
+        assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-1"));
     }
-    assert_eq!(site.origin(0).seen().len(), before);
+    assert_eq!(site.origin(0).requests().len(), before);
 }
 
 /// Seen: a request that came three seconds after the signal was cut as the process ended, its work having taken more than
