--- a/tests/tests/fleet.rs
+++ b/tests/tests/fleet.rs
@@ -252,7 +252,7 @@
     let named = answer.addresses[0].address;
     let index = fleet.daemons.iter().position(|daemon| daemon.callers == named);
     let index = index.expect("the answer names a daemon");
-    let killed = Instant::now();
+    let killed_at = Instant::now();
     fleet.daemons[index].process.kill();
     let dead = fleet.daemons.remove(index);
     until("the directory names a live VM instead of the dead one", || async {
@@ -261,7 +261,7 @@
         (!names_dead && answer.addresses.len() == 2).then_some(())
     })
     .await;
-    println!("the directory replaced a dead VM within {:?}", killed.elapsed());
+    println!("the directory replaced a dead VM within {:?}", killed_at.elapsed());
 }
 
 #[actix_rt::test]
--- a/tests/tests/gateway.rs
+++ b/tests/tests/gateway.rs
@@ -293,14 +293,14 @@
 }
 
 #[actix_rt::test]
-async fn retries_stay_within_the_retry_budget() {
+async fn repeats_stay_within_the_retry_budget() {
     let site = Site::start(1, 3).await;
     site.set_all(Reply::Failure);
     for _ in 0..120 {
         let _ = Call::new(SAFE).send(&site.vms[0]).await;
     }
     let arrivals: usize = site.origins.iter().map(|origin| origin.seen().len()).sum();
-    // The allowance is a fifth of the requests plus the slack; a VM that has just started has only part of it.
+    // The retry budget is a fifth of the requests plus the slack; a VM that has just started has only part of it.
     assert!((121..=120 + 24 + 62).contains(&arrivals), "{arrivals}");
 }
 
--- a/tests/tests/gateway_emptied.rs
+++ b/tests/tests/gateway_emptied.rs
@@ -51,9 +51,9 @@
     site.vms[1].restart();
     site.until_ready().await;
     flow.run(&site, Duration::from_millis(1_500)).await;
-    let share = served(&flow.answers().await);
+    let served_share = served(&flow.answers().await);
     assert_eq!(arrival_count(&flow, &site, known_at), 0);
-    assert!(share >= 0.97, "{share} served");
+    assert!(served_share >= 0.97, "{served_share} served");
     site.unput(standin::EMPTIED, OTHER_HALL).await;
     let restored_at = Instant::now();
     flow.run(&site, Duration::from_millis(2_500)).await;
--- a/tests/tests/gateway_ends.rs
+++ b/tests/tests/gateway_ends.rs
@@ -33,7 +33,7 @@
 }
 
 #[actix_rt::test]
-async fn the_last_backend_server_of_a_service_is_not_sent_a_crashing_request() {
+async fn a_crashing_request_leaves_the_last_backend_server_of_a_service_up() {
     let mut story = EndsStory::start(1, 3).await;
     story.play(SAFE, Duration::from_secs(5)).await;
     let outcome = story.judge().await;
--- a/tests/tests/gateway_keys.rs
+++ b/tests/tests/gateway_keys.rs
@@ -150,9 +150,9 @@
     let limited =
         KeyedWorkspace { rate_per_s: 10.0, burst: 10.0, ..workspace("club", &["key-one"]) };
     site.put_workspaces(3, &[limited, workspace("other", &["key-two"])]).await;
-    let began = Instant::now();
+    let started_at = Instant::now();
     let (mut served, mut refused) = (0, Vec::new());
-    while began.elapsed() < Duration::from_secs(3) {
+    while started_at.elapsed() < Duration::from_secs(3) {
         for vm in &site.vms {
             let answer = send(vm, SAFE, "key-one").await;
             match answer.status {
@@ -163,11 +163,11 @@
             assert_eq!(send(vm, SAFE, "key-two").await.status, 200);
         }
     }
-    let passed_s = began.elapsed().as_secs_f64();
+    let elapsed_s = started_at.elapsed().as_secs_f64();
     // At most rate and burst plus a tenth and the slack; little is refused below rate and burst.
-    let nominal = 10.0 * passed_s + 10.0;
-    assert!(f64::from(served) <= nominal * 1.1 + 20.0, "{served} in {passed_s:.1} s");
-    assert!(f64::from(served) >= nominal * 0.95 - 5.0, "{served} in {passed_s:.1} s");
+    let nominal = 10.0 * elapsed_s + 10.0;
+    assert!(f64::from(served) <= nominal * 1.1 + 20.0, "{served} in {elapsed_s:.1} s");
+    assert!(f64::from(served) >= nominal * 0.95 - 5.0, "{served} in {elapsed_s:.1} s");
     let last = refused.last().expect("some are refused");
     let after_s: f64 =
         last.text("retry-after").and_then(|text| text.parse().ok()).expect("a number of seconds");
--- a/tests/tests/gateway_limits.rs
+++ b/tests/tests/gateway_limits.rs
@@ -82,8 +82,8 @@
     flow.run(&site, Duration::from_secs(2)).await;
     flow.answers().await;
     let arrivals = flow.arrivals(site.origin(0), lifted_at);
-    let second = |seen: Instant| (1..2).contains(&(seen - lifted_at).as_secs());
-    let in_second = arrivals.iter().filter(|(_, seen)| second(seen.at)).count();
+    let is_counted = |seen: Instant| (1..2).contains(&(seen - lifted_at).as_secs());
+    let in_second = arrivals.iter().filter(|(_, seen)| is_counted(seen.at)).count();
     println!("{in_second} requests in the second after");
     assert!(in_second >= 8, "the backend server gets its share of requests again: {in_second}");
 }
@@ -107,12 +107,21 @@
     }
     let is_refused = |answer: &&Answered| answer.status == Some(503);
     let refused: Vec<&Answered> = answers.iter().filter(is_refused).collect();
-    let mut took: Vec<Duration> = refused.iter().map(|answer| answer.took).collect();
-    took.sort_unstable();
-    let late = took.iter().filter(|took| **took > Duration::from_millis(100)).count();
-    println!("{:.3} served, {} refused, {late} of them after 0.1 s", served(&answers), took.len());
+    let mut refusal_times: Vec<Duration> = refused.iter().map(|answer| answer.took).collect();
+    refusal_times.sort_unstable();
+    let slow_count =
+        refusal_times.iter().filter(|took| **took > Duration::from_millis(100)).count();
+    println!(
+        "{:.3} served, {} refused, {slow_count} of them after 0.1 s",
+        served(&answers),
+        refusal_times.len()
+    );
     assert!(refused.iter().all(|answer| answer.retry_after_s.is_some_and(|after_s| after_s > 0.0)));
-    assert!(late * 20 <= refused.len(), "{late} of {} refusals were late", refused.len());
+    assert!(
+        slow_count * 20 <= refused.len(),
+        "{slow_count} of {} refusals took over 0.1 s",
+        refused.len()
+    );
 }
 
 #[actix_rt::test]
--- a/tests/tests/gateway_store.rs
+++ b/tests/tests/gateway_store.rs
@@ -139,8 +139,8 @@
     }
     assert!(written_at.elapsed() < Duration::from_millis(1_500), "{:?}", written_at.elapsed());
     let after = site.platform.counts().await;
-    let lists = |counts: &std::collections::BTreeMap<String, u64>| counts.get("list").copied();
-    assert_eq!(lists(&after), lists(&before), "no VM reads the list again");
+    let list_count = |counts: &std::collections::BTreeMap<String, u64>| counts.get("list").copied();
+    assert_eq!(list_count(&after), list_count(&before), "no VM reads the list again");
 }
 
 #[actix_rt::test]
@@ -155,13 +155,13 @@
         Catalog::build(2, routes.collect(), services, limits).expect("the catalog is sound");
     let size = serde_json::to_vec(&large).expect("the catalog serializes").len();
     site.put_config(standin::config(&large)).await;
-    let mut sent = 0.0;
+    let mut sent_bytes = 0.0;
     for vm in 0..4 {
         until_version(&site, vm, 2).await;
-        sent += site.vms[vm].metric("leverstream_news_bytes_total").await;
+        sent_bytes += site.vms[vm].metric("leverstream_news_bytes_total").await;
     }
     // The VM that receives it first from the store notifies the others, and each fetches it once.
-    assert!(sent > 0.0 && sent < size as f64 / 2.0, "{sent} bytes for {size}");
+    assert!(sent_bytes > 0.0 && sent_bytes < size as f64 / 2.0, "{sent_bytes} bytes for {size}");
 }
 
 #[actix_rt::test]
@@ -173,10 +173,10 @@
         (named[0].len() == 1 && named[0] == named[1]).then(|| named[0][0].clone())
     })
     .await;
-    let at = site.vms.iter().position(|vm| vm.callers().to_string() == address);
-    let at = at.expect("the address is one of the two");
+    let index = site.vms.iter().position(|vm| vm.callers().to_string() == address);
+    let index = index.expect("the address is one of the two");
     site.set_all(leverstream_standin::origin::Reply::After(600));
-    let (call, vm, other) = (Call::new(ONCE), &site.vms[at], &site.vms[1 - at]);
+    let (call, vm, other) = (Call::new(ONCE), &site.vms[index], &site.vms[1 - index]);
     let during = async {
         until("the request runs", || async { (site.runs(ONCE) == 1).then_some(()) }).await;
         vm.signal(Signal::TERM);
@@ -193,9 +193,9 @@
     };
     let (answer, ()) = futures_util::future::join(call.send(vm), during).await;
     assert_eq!(answer.expect("an answer arrives").status, 200);
-    let ended = site.vms[at].process.wait().await;
+    let ended = site.vms[index].process.wait().await;
     assert_eq!(ended, Some(0));
-    assert!(site.vms[at].has_logged("stop ends"));
+    assert!(site.vms[index].has_logged("stop ends"));
 }
 
 #[actix_rt::test]
@@ -220,16 +220,16 @@
         (named.len() == 1 && named == site.vms[2].resolve("hall-a").await).then(|| named[0].clone())
     })
     .await;
-    let at = site.vms.iter().position(|vm| vm.callers().to_string() == entry);
-    let at = at.expect("the address is one of the three");
-    site.vms[at].process.kill();
-    let observer = (at + 1) % 3;
+    let index = site.vms.iter().position(|vm| vm.callers().to_string() == entry);
+    let index = index.expect("the address is one of the three");
+    site.vms[index].process.kill();
+    let observer = (index + 1) % 3;
     until("the directory names another VM", || async {
         let named = site.vms[observer].resolve("hall-a").await;
         (!named.is_empty() && !named.contains(&entry)).then_some(())
     })
     .await;
-    site.vms[at].restart();
+    site.vms[index].restart();
     site.until_ready().await;
     until("the directory names the restarted VM again", || async {
         (site.vms[observer].resolve("hall-a").await == [entry.clone()]).then_some(())
@@ -246,15 +246,17 @@
     };
     until("two VMs watch two kinds each", watching).await;
     site.platform.set_faults(&Faults { away: true, ..Faults::default() }).await;
-    let lost = || site.vms.iter().filter(|vm| vm.has_logged("store lost")).count();
-    until("the VMs that replace the watchers have tried", || async { (lost() >= 4).then_some(()) })
-        .await;
+    let lost_count = || site.vms.iter().filter(|vm| vm.has_logged("store lost")).count();
+    until("the VMs that replace the watchers have tried", || async {
+        (lost_count() >= 4).then_some(())
+    })
+    .await;
     let calls = site.platform.counts().await.values().sum::<u64>();
     until("the VMs that lost the store keep retrying", || async {
         (site.platform.counts().await.values().sum::<u64>() > calls + 8).then_some(())
     })
     .await;
-    assert!(lost() <= 5, "{} of 7 have asked", lost());
+    assert!(lost_count() <= 5, "{} of 7 have asked", lost_count());
     let watcher =
         site.vms.iter().find(|vm| vm.has_logged("store lost")).expect("one VM has lost the store");
     assert!(watcher.metric("leverstream_store_failures_total").await >= 1.0);
--- a/tests/tests/gray.rs
+++ b/tests/tests/gray.rs
@@ -81,17 +81,17 @@
     let fixture = Fixture::start(&json!({})).await;
     let stalled = Mode { work_ms: 5, stall_share: 1.0, ..Mode::default() };
     fixture.backends[0].set_mode(&stalled).await;
-    let mut failed = 0;
+    let mut wrongly_ejected = 0;
     until("all VMs have ejected the backend server", || async {
-        let failed_now = fixture.send_requests(60).await;
-        assert_eq!(failed_now, 0, "no caller sees the stall");
+        let failed = fixture.send_requests(60).await;
+        assert_eq!(failed, 0, "no caller sees the stall");
         (fixture.ejected_vm_count("b1").await == 3).then_some(())
     })
     .await;
     for other in ["b2", "b3", "b4"] {
-        failed += fixture.ejected_vm_count(other).await;
+        wrongly_ejected += fixture.ejected_vm_count(other).await;
     }
-    assert_eq!(failed, 0, "healthy backend servers were ejected");
+    assert_eq!(wrongly_ejected, 0, "healthy backend servers were ejected");
     fixture.backends[0].set_mode(&Mode { work_ms: 5, ..Mode::default() }).await;
     until("the backend server is back in service at all VMs", || async {
         fixture.send_requests(60).await;
--- a/tests/tests/scale.rs
+++ b/tests/tests/scale.rs
@@ -61,7 +61,7 @@
         let version = fleet.daemons[round as usize]
             .must_edit(&[change("shop.queue", json!(1_000 + round))])
             .await;
-        let accepted = Instant::now();
+        let accepted_at = Instant::now();
         let waits = fleet.daemons.iter().map(|daemon| async move {
             until("the edit is in force", || async {
                 (daemon.doc("shop").await?.version >= version).then_some(())
@@ -69,7 +69,7 @@
             .await;
         });
         futures_util::future::join_all(waits).await;
-        times_to_force.push(accepted.elapsed());
+        times_to_force.push(accepted_at.elapsed());
     }
     times_to_force.sort_unstable();
     println!(
@@ -91,7 +91,7 @@
         let victim = victim.expect("another VM is named").address;
         let index = fleet.daemons.iter().position(|daemon| daemon.callers == victim);
         let mut dead = fleet.daemons.remove(index.expect("the answer names a daemon"));
-        let killed = Instant::now();
+        let killed_at = Instant::now();
         dead.process.kill();
         // A caller that still uses the old answer tries its next address.
         let mut caller = Caller::open(addresses.clone(), "shop", None);
@@ -111,9 +111,9 @@
             if answer.addresses.iter().all(|entry| entry.address != victim) {
                 break;
             }
-            assert!(killed.elapsed() < PATIENCE, "the directory still names the dead VM");
+            assert!(killed_at.elapsed() < PATIENCE, "the directory still names the dead VM");
         }
-        times_to_drop.push(killed.elapsed());
+        times_to_drop.push(killed_at.elapsed());
         let options = options(index.unwrap_or(0), fleet);
         fleet.add(&options);
         fleet.list_all().await;
@@ -132,14 +132,14 @@
 /// Prints the CPU time, memory, datagrams and platform calls of the control plane over some seconds.
 async fn print_control_cost(fleet: &Fleet, what: &str) {
     const SECONDS: u64 = 5;
-    let used = |fleet: &Fleet| -> Vec<u64> {
+    let cpu_times_ms = |fleet: &Fleet| -> Vec<u64> {
         fleet.daemons.iter().map(|daemon| cpu_ms(daemon.process.pid()).unwrap_or(0)).collect()
     };
-    let calls = |counts: &BTreeMap<String, u64>| counts.values().sum::<u64>();
-    let (before, calls_before) = (used(fleet), calls(&fleet.platform.counts().await));
+    let call_count = |counts: &BTreeMap<String, u64>| counts.values().sum::<u64>();
+    let (before, calls_before) = (cpu_times_ms(fleet), call_count(&fleet.platform.counts().await));
     let bytes_before = fleet.daemons[0].metric("datagram_bytes").await;
     tokio::time::sleep(Duration::from_secs(SECONDS)).await;
-    let (after, calls_after) = (used(fleet), calls(&fleet.platform.counts().await));
+    let (after, calls_after) = (cpu_times_ms(fleet), call_count(&fleet.platform.counts().await));
     let bytes = fleet.daemons[0].metric("datagram_bytes").await - bytes_before;
     let mut shares: Vec<f64> = after
         .iter()
--- a/tests/tests/soak.rs
+++ b/tests/tests/soak.rs
@@ -31,7 +31,7 @@
 }
 
 #[actix_rt::test]
-async fn retries_stay_within_the_retry_budget_while_vms_stop_and_start() {
+async fn repeats_stay_within_the_retry_budget_while_vms_stop_and_start() {
     run(Plan::Rejects, &REJECT_SEEDS, REJECT_LENGTH_S).await;
 }
 
--- a/tests/tests/whole.rs
+++ b/tests/tests/whole.rs
@@ -77,7 +77,7 @@
     assert_eq!(whole.report().filling.len(), 400_000);
     let cut = Fault { close_after_bytes: Some(200_000), ..Fault::default() };
     relay.set(Faults { back: cut, ..Faults::default() });
-    let mut cut_seen = false;
+    let mut is_cut_seen = false;
     for _ in 0..5 {
         let answer = get(&fleet, "/games").send().await;
         // An answer over the pooled connection may be complete; a cut one must not pass as complete.
@@ -86,10 +86,10 @@
                 assert_eq!(answer.report().filling.len(), 400_000);
             }
             Some(answer) => assert_eq!(answer.outcome, "unknown"),
-            None => cut_seen = true,
+            None => is_cut_seen = true,
         }
     }
-    assert!(cut_seen);
+    assert!(is_cut_seen);
 }
 
 #[actix_rt::test]
