--- a/tests/src/ends.rs
+++ b/tests/src/ends.rs
@@ -1,7 +1,7 @@
-//! A fleet whose backend servers end under one request that comes again and again at any VM, beside ordinary ones.
+//! A scenario in which one request crashes every backend server that receives it. Callers repeat it at all VMs in turn,
+//! among ordinary requests.
 //!
-//! What backend servers saw is held against when VMs were in touch: running and undisturbed for a while, with a store
-//! that answered all that time.
+//! The check counts only sends from undisturbed VMs: neither the VM nor the store had a fault for a while.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,54 +13,54 @@
 use rand::{Rng, SeedableRng};
 use tokio::task::JoinHandle;
 
-use crate::harm::Harm;
+use crate::fault_injector::FaultInjector;
 use crate::site::{Call, SAFE, Site, backend, send};
 
-/// How soon after the third end, and after what befell it, a VM in touch must know the request.
-const KNOWN: Duration = Duration::from_millis(3_000);
+/// How soon after the third crash, and after its last fault, a VM must stop sending the request.
+const LEARN_LIMIT: Duration = Duration::from_millis(3_000);
 
-/// How many sends of it may be left after that.
+/// The most sends of the request that are tolerated after that.
 pub const SENDS_LEFT: usize = 3;
 
-/// After how long an ended backend server is back under another id.
-const BACK: Duration = Duration::from_millis(400);
+/// The time after which a crashed backend server is back under another id.
+const RESTART_DELAY: Duration = Duration::from_millis(400);
 
-/// How often the request comes.
-const AGAIN: Duration = Duration::from_millis(60);
+/// The interval at which the request is repeated.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(60);
 
-/// What the path of the request holds that ends backend servers.
-const MARKER: &str = "ends-them";
+/// The part of the path that marks the request that crashes backend servers.
+const CRASH_MARKER: &str = "ends-them";
 
-/// A fleet and the request.
+/// A fleet that receives the request.
 pub struct EndsStory {
     /// The fleet.
     site: Site,
-    /// Backend servers that have ended.
-    gone: Vec<Origin>,
-    /// What befell VMs and the store.
-    harm: Harm,
-    /// How many starts of backend servers there were.
-    starts: usize,
-    /// Which VM each coming of the request went to, by its id.
-    asked: HashMap<String, usize>,
-    /// Ordinary requests; each tells whether it was served.
-    others: Vec<JoinHandle<bool>>,
-    /// The most backend servers that were down at once.
+    /// Backend servers that have crashed and were replaced.
+    crashed: Vec<Origin>,
+    /// Injects faults into VMs and the store.
+    fault_injector: FaultInjector,
+    /// The number of restarts of backend servers.
+    restarts: usize,
+    /// The index of the VM that each send of the request went to, by request id.
+    vm_by_request_id: HashMap<String, usize>,
+    /// Tasks of the ordinary requests; each returns whether its request was served.
+    ordinary_requests: Vec<JoinHandle<bool>>,
+    /// The most backend servers that were down at the same time.
     down: usize,
 }
 
-/// What came of it.
+/// What the check of the scenario measured.
 #[derive(Debug)]
 pub struct Outcome {
-    /// How often the request reached backend servers.
+    /// How often the request reached a backend server.
     pub sends: usize,
-    /// How often from VMs in touch, too late after the third end.
+    /// How often it was sent by an undisturbed VM more than [`LEARN_LIMIT`] after the third crash.
     pub late: usize,
-    /// How many backend servers ended.
+    /// The number of crashes of backend servers.
     pub ended: usize,
-    /// The most that were down at once.
+    /// The most backend servers that were down at the same time.
     pub down: usize,
-    /// The share of ordinary requests that were served.
+    /// The share of ordinary requests answered with status 200.
     pub served: f64,
 }
 
@@ -71,109 +71,116 @@
         site.origins.iter().for_each(prepare);
         EndsStory {
             site,
-            gone: Vec::new(),
-            harm: Harm::none(vms),
-            starts: 0,
-            asked: HashMap::new(),
-            others: Vec::new(),
+            crashed: Vec::new(),
+            fault_injector: FaultInjector::new(vms),
+            restarts: 0,
+            vm_by_request_id: HashMap::new(),
+            ordinary_requests: Vec::new(),
             down: 0,
         }
     }
 
-    /// Has the request come again for a while below a path, at one VM after the other, beside ordinary ones.
+    /// Repeats the request below a path prefix for a duration, at all VMs in turn, with as many ordinary requests.
     pub async fn play(&mut self, path: &str, length: Duration) {
         let until = Instant::now() + length;
         while Instant::now() < until {
-            self.ask(path);
-            tokio::time::sleep(AGAIN).await;
-            self.harm.go_on(&mut self.site);
+            self.send_requests(path);
+            tokio::time::sleep(REQUEST_INTERVAL).await;
+            self.fault_injector.end_due_faults(&mut self.site);
             let down = self.site.origins.iter().filter(|origin| origin.ended_at().is_some());
             self.down = self.down.max(down.count());
-            self.revive().await;
+            self.replace_crashed().await;
         }
     }
 
-    /// Lets a seed decide what befalls VMs and the store while the request comes, several things at once.
+    /// Repeats the request while VMs and the store have random, overlapping faults, drawn from a seed.
     pub async fn soak(&mut self, seed: u64, path: &str, length: Duration) {
         let mut rng = StdRng::seed_from_u64(seed);
         let until = Instant::now() + length;
         while Instant::now() < until {
-            self.harm.act(&mut self.site, &mut rng).await;
+            self.fault_injector.inject_random(&mut self.site, &mut rng).await;
             let pause = Duration::from_millis(rng.random_range(100..1_500));
             self.play(path, pause).await;
         }
-        self.harm.bring_store_back(&self.site).await;
+        self.fault_injector.end_store_outage(&self.site).await;
     }
 
-    /// What was done, in order.
+    /// Returns the log of the injected faults, in order.
     pub fn story(&self) -> &[String] {
-        &self.harm.story
+        &self.fault_injector.events
     }
 
-    /// Kills all VMs at once and starts them again.
+    /// Kills all VMs, then restarts them.
     pub fn kill_all(&mut self) {
-        self.harm.kill_all(&mut self.site);
+        self.fault_injector.kill_all(&mut self.site);
     }
 
-    /// Holds what backend servers saw against when VMs were in touch.
+    /// Evaluates the requests that backend servers received against the faults of the VMs and the store.
     pub async fn judge(mut self) -> Outcome {
-        let origins: Vec<&Origin> = self.gone.iter().chain(&self.site.origins).collect();
-        let mut ends: Vec<Instant> =
+        let origins: Vec<&Origin> = self.crashed.iter().chain(&self.site.origins).collect();
+        let mut crashes: Vec<Instant> =
             origins.iter().filter_map(|origin| origin.ended_at()).collect();
-        ends.sort();
+        crashes.sort();
         let seen = origins.iter().flat_map(|origin| origin.seen());
         let sends: Vec<(Instant, usize)> = seen
-            .filter(|seen| seen.ran && seen.line.contains(MARKER))
-            .map(|seen| (seen.at, self.asked[seen.field(headers::REQUEST_ID).unwrap_or_default()]))
+            .filter(|seen| seen.ran && seen.line.contains(CRASH_MARKER))
+            .map(|seen| {
+                (
+                    seen.at,
+                    self.vm_by_request_id[seen.field(headers::REQUEST_ID).unwrap_or_default()],
+                )
+            })
             .collect();
-        let known = ends.get(2).map(|third| *third + KNOWN);
-        let is_late = |(at, vm): &&(Instant, usize)| {
-            known.is_some_and(|known| *at > known) && self.harm.was_in_touch(*vm, *at, KNOWN)
+        let learned_by = crashes.get(2).map(|third| *third + LEARN_LIMIT);
+        let is_late_send = |(at, vm): &&(Instant, usize)| {
+            learned_by.is_some_and(|learned_by| *at > learned_by)
+                && self.fault_injector.was_undisturbed(*vm, *at, LEARN_LIMIT)
         };
-        let late = sends.iter().filter(is_late).count();
-        let (sends, ended, count) = (sends.len(), ends.len(), self.others.len());
+        let late = sends.iter().filter(is_late_send).count();
+        let (sends, ended, count) = (sends.len(), crashes.len(), self.ordinary_requests.len());
         let mut served = 0;
-        for other in std::mem::take(&mut self.others) {
-            served += usize::from(other.await.unwrap_or(false));
+        for ordinary in std::mem::take(&mut self.ordinary_requests) {
+            served += usize::from(ordinary.await.unwrap_or(false));
         }
         Outcome { sends, late, ended, down: self.down, served: served as f64 / count as f64 }
     }
 
-    /// Has the request and an ordinary one come.
-    fn ask(&mut self, path: &str) {
-        let number = self.asked.len();
+    /// Sends the crashing request and an ordinary one to the next VM.
+    fn send_requests(&mut self, path: &str) {
+        let number = self.vm_by_request_id.len();
         let vm = number % self.site.vms.len();
         let to = self.site.vms[vm].callers();
-        let again = Call::new(&format!("{path}{MARKER}"));
-        self.asked.insert(again.id.clone(), vm);
-        // What it is answered is not looked at.
-        actix_rt::spawn(async move { send(to, &again.bytes()).await });
-        let other = Call::new(&format!("{SAFE}other-{number}"));
-        self.others.push(actix_rt::spawn(async move {
-            let answer = send(to, &other.bytes()).await;
+        let crashing = Call::new(&format!("{path}{CRASH_MARKER}"));
+        self.vm_by_request_id.insert(crashing.id.clone(), vm);
+        // The answer to the crashing request doesn't matter.
+        actix_rt::spawn(async move { send(to, &crashing.bytes()).await });
+        let ordinary = Call::new(&format!("{SAFE}other-{number}"));
+        self.ordinary_requests.push(actix_rt::spawn(async move {
+            let answer = send(to, &ordinary.bytes()).await;
             answer.is_ok_and(|answer| answer.status == 200)
         }));
     }
 
-    /// Brings back backend servers that ended a while ago.
-    async fn revive(&mut self) {
-        let is_due = |origin: &Origin| origin.ended_at().is_some_and(|at| at.elapsed() >= BACK);
+    /// Replaces backend servers that crashed at least [`RESTART_DELAY`] ago, unless the store has an outage.
+    async fn replace_crashed(&mut self) {
+        let is_due =
+            |origin: &Origin| origin.ended_at().is_some_and(|at| at.elapsed() >= RESTART_DELAY);
         while let Some(index) = self.site.origins.iter().position(is_due) {
-            if self.harm.is_store_away() {
+            if self.fault_injector.has_store_outage() {
                 return;
             }
             let ended = self.site.origins.remove(index);
             self.site.unlist_backend(&ended.instance()).await;
-            let back = self.bind_again(ended.address).await;
-            self.gone.push(ended);
+            let back = self.restart_origin(ended.address).await;
+            self.crashed.push(ended);
             self.site.origins.push(back);
         }
     }
 
-    /// Starts a backend server where one has ended.
-    async fn bind_again(&mut self, address: SocketAddr) -> Origin {
-        self.starts += 1;
-        let instance = format!("i-again-{}", self.starts);
+    /// Starts a backend server at the address of a crashed one, under a new id.
+    async fn restart_origin(&mut self, address: SocketAddr) -> Origin {
+        self.restarts += 1;
+        let instance = format!("i-again-{}", self.restarts);
         let origin = Origin::bind(address, &instance).await.expect("its port is free");
         prepare(&origin);
         self.site.list_backend(&backend(&instance, address)).await;
@@ -181,8 +188,8 @@
     }
 }
 
-/// Has a backend server end under the request.
+/// Sets a backend server's reply and makes it crash when it receives the request.
 fn prepare(origin: &Origin) {
     origin.set(Reply::After(20));
-    origin.end_under(MARKER);
+    origin.end_under(CRASH_MARKER);
 }
--- a/tests/src/fleet.rs
+++ b/tests/src/fleet.rs
@@ -13,14 +13,14 @@
 use crate::process::{Process, bin};
 use crate::until;
 
-/// The operators' key of all daemons under test.
+/// The operator key of all daemons under test.
 pub const OPERATOR_KEY: &str = "operators-test-key";
 
-/// The fleet's key of all daemons under test.
+/// The peer key of all daemons under test.
 const FLEET_KEY: &str = "fleet-test-key-for-peers";
 
-/// How long one call of a test may take.
-const CALL_MS: u64 = 20_000;
+/// Timeout of one HTTP call made by a test.
+const CALL_TIMEOUT_MS: u64 = 20_000;
 
 /// A fleet under test with its platform.
 pub struct Fleet {
@@ -28,67 +28,67 @@
     pub platform: Platform,
     /// The daemons.
     pub daemons: Vec<Daemon>,
-    /// Where settings files are written.
+    /// The temporary directory for settings files.
     folder: TempDir,
 }
 
-/// A platform under test.
+/// A stand-in platform process.
 pub struct Platform {
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// The process.
     pub process: Process,
 }
 
-/// A backend server under test.
+/// A stand-in backend server process.
 pub struct Backend {
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// The process.
     pub process: Process,
 }
 
-/// A daemon under test.
+/// A daemon process under test.
 pub struct Daemon {
-    /// Where callers connect.
+    /// The listener for callers.
     pub callers: SocketAddr,
-    /// Where other VMs connect.
+    /// The listener for other VMs.
     pub peers: SocketAddr,
-    /// Where operators connect.
+    /// The listener for operators.
     pub operators: SocketAddr,
     /// The process.
     pub process: Process,
 }
 
-/// How a daemon under test is set up.
+/// Settings of a daemon under test.
 #[derive(Clone, Debug)]
 pub struct DaemonOptions {
-    /// The hall.
+    /// The data hall of the VM.
     pub hall: String,
-    /// Where the platform is.
+    /// The platform's address.
     pub platform: SocketAddr,
-    /// Where it listens for callers.
+    /// The address to listen on for callers.
     pub callers_listen: SocketAddr,
-    /// Where it listens for other VMs.
+    /// The address to listen on for other VMs.
     pub peers_listen: SocketAddr,
-    /// The address that other VMs are told, such as a faulty relay's.
+    /// The address advertised to other VMs if it isn't the listener's, such as that of a faulty relay.
     pub peers_advertise: Option<SocketAddr>,
-    /// The address that callers and other VMs are told for requests.
+    /// The address advertised for requests if it isn't the listener's.
     pub callers_advertise: Option<SocketAddr>,
-    /// Peers to try first.
+    /// Seed peers.
     pub seeds: Vec<SocketAddr>,
-    /// How long a ticket holds.
+    /// How long a ticket is valid.
     pub ticket_ttl_ms: u64,
-    /// How long an answer to where to connect holds.
+    /// How long callers may use an answer that names the addresses to connect to.
     pub answer_holds_ms: u64,
-    /// The time between two pings; the other times of the peers follow from it.
+    /// The interval between pings; the suspicion and exchange times are derived from it.
     pub ping_period_ms: u64,
-    /// Further lines of the settings file.
+    /// Lines appended to the settings file.
     pub more: String,
 }
 
 impl DaemonOptions {
-    /// Options for a hall, with short times.
+    /// Creates options for a VM of a hall, with short times.
     pub fn new(hall: &str, platform: SocketAddr) -> DaemonOptions {
         DaemonOptions {
             hall: hall.to_owned(),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Writes the settings file.
+    /// Renders the settings file.
     fn to_toml(&self, vm: &str) -> String {
         let advertise = |address: Option<SocketAddr>| {
             address.map(|address| format!("advertise = \"{address}\"\n")).unwrap_or_default()
@@ -137,14 +137,14 @@
 }
 
 impl Platform {
-    /// Starts a platform.
+    /// Starts a stand-in platform.
     pub fn start() -> Platform {
         let process = Process::start("standin", &["platform"], false);
-        let address = process.wait_for_line("").parse().expect("it prints its address");
+        let address = process.wait_for_line("").parse().expect("the program prints its address");
         Platform { address, process }
     }
 
-    /// Sets the list of VMs: the fleet's, all live, and one that leaves with its backend servers.
+    /// Sets the list of VMs: the given peers, all live, and one leaving VM with the given backend servers.
     pub async fn set_vms(&self, peers: &[SocketAddr], leaving: &[SocketAddr]) {
         let live = |peer: &SocketAddr| Vm {
             peer_address: Some(*peer),
@@ -157,37 +157,37 @@
         put(self.address, "/standin/vms", &vms).await;
     }
 
-    /// Sets the faults.
+    /// Sets the faults of the platform.
     pub async fn set_faults(&self, faults: &Faults) {
         put(self.address, "/standin/faults", faults).await;
     }
 
-    /// Takes an object away, whatever faults are in force.
+    /// Removes an object, even while faults reject all calls.
     pub async fn lapse(&self, kind: &str, name: &str) {
         post(self.address, &format!("/standin/lapse/{kind}/{name}")).await;
     }
 
-    /// Has the store forget its history.
+    /// Makes the store forget its change history, so that watches can't resume.
     pub async fn forget(&self) {
         post(self.address, "/standin/forget").await;
     }
 
-    /// Remembers the objects for [`restore`](Self::restore).
+    /// Saves the objects for [`restore`](Self::restore).
     pub async fn save(&self) {
         post(self.address, "/standin/save").await;
     }
 
-    /// Goes back to the saved objects.
+    /// Restores the saved objects.
     pub async fn restore(&self) {
         post(self.address, "/standin/restore").await;
     }
 
-    /// The counts of calls.
+    /// Returns the number of calls by kind.
     pub async fn counts(&self) -> std::collections::BTreeMap<String, u64> {
         get(self.address, "/standin/counts").await
     }
 
-    /// The table's document of a service, as the platform holds it.
+    /// Returns a service's table document as the platform stores it.
     pub async fn doc(&self, service: &str) -> Option<ServiceDoc> {
         let client = client();
         let path = leverstream_platform::objects::path("table", Some(service));
@@ -199,59 +199,59 @@
 }
 
 impl Backend {
-    /// Starts a backend server with some slots.
+    /// Starts a stand-in backend server with a number of slots.
     pub fn start(name: &str, slots: usize) -> Backend {
         let slots = slots.to_string();
         let args = ["backend", "--name", name, "--slots", &slots];
         let process = Process::start("standin", &args, false);
-        let address = process.wait_for_line("").parse().expect("it prints its address");
+        let address = process.wait_for_line("").parse().expect("the program prints its address");
         Backend { address, process }
     }
 
-    /// Sets the behaviour.
+    /// Sets how it behaves.
     pub async fn set_mode(&self, mode: &Mode) {
         put(self.address, "/standin/mode", mode).await;
     }
 
-    /// What it has done.
+    /// Returns its request counts.
     pub async fn counts(&self) -> Counts {
         get(self.address, "/standin/counts").await
     }
 
-    /// How often the work of a key has begun to run.
+    /// Returns how often a request with this idempotency key has started to run.
     pub async fn runs_of(&self, key: &str) -> u64 {
         self.counts().await.by_key.get(key).copied().unwrap_or(0)
     }
 }
 
 impl Daemon {
-    /// The table's document of a service, as this daemon holds it.
+    /// Returns a service's table document as this daemon holds it.
     pub async fn doc(&self, service: &str) -> Option<ServiceDoc> {
         operator_get(self.operators, &format!("/v1/table/{service}")).await
     }
 
-    /// The state of the fleet, as this daemon sees it.
+    /// Returns the fleet status as this daemon sees it.
     pub async fn status(&self) -> StatusReport {
-        operator_get(self.operators, "/v1/status").await.expect("the daemon reports")
+        operator_get(self.operators, "/v1/status").await.expect("the daemon reports its status")
     }
 
-    /// The health of a service, as this daemon sees it.
+    /// Returns the health of a service as this daemon sees it.
     pub async fn health(&self, service: &str) -> Option<HealthReport> {
         operator_get(self.operators, &format!("/v1/health/{service}")).await
     }
 
-    /// The value of a metric.
+    /// Returns the value of a metric; the name has no `leverstream_` prefix.
     pub async fn metric(&self, name: &str) -> f64 {
         let url = format!("http://{}/metrics", self.operators);
         let mut response = client().get(url).send().await.expect("metrics are served");
-        let body = response.body().limit(1 << 20).await.expect("metrics are read");
+        let body = response.body().limit(1 << 20).await.expect("the metrics can be read");
         let text = String::from_utf8_lossy(&body).into_owned();
         let line = text.lines().find(|line| line.starts_with(&format!("leverstream_{name} ")));
         let value = line.and_then(|line| line.split(' ').next_back()).and_then(|v| v.parse().ok());
         value.unwrap_or_else(|| panic!("no metric {name} in {text}"))
     }
 
-    /// Makes an edit and returns the status and the answer.
+    /// Submits an edit of the table and returns the status and body of the answer.
     pub async fn edit(&self, id: &str, who: &str, changes: &[Change]) -> (u16, Value) {
         let edit = json!({ "id": id, "who": who, "changes": changes });
         let url = format!("http://{}/v1/edits", self.operators);
@@ -261,28 +261,28 @@
         (response.status().as_u16(), body)
     }
 
-    /// Makes an edit that must be accepted.
+    /// Submits an edit that must be accepted and returns the new version.
     pub async fn must_edit(&self, changes: &[Change]) -> u64 {
         let since = std::time::SystemTime::UNIX_EPOCH.elapsed().unwrap_or_default();
         let id = format!("test-{}", since.as_nanos());
         let (status, body) = self.edit(&id, "test", changes).await;
         assert_eq!(status, 200, "{body}");
-        body["version"].as_u64().expect("a version")
+        body["version"].as_u64().expect("the answer names a version")
     }
 
-    /// A caller that asks this daemon.
+    /// Creates a caller that asks this daemon where to connect.
     pub fn caller(&self, service: &str) -> Caller {
         Caller::open(vec![self.callers], service, None)
     }
 }
 
 impl Fleet {
-    /// Starts a platform and a daemon in each of the named halls, and waits until all know all.
+    /// Starts a platform and one daemon per named hall, and waits until each daemon sees all others alive.
     pub async fn start(halls: &[&str]) -> Fleet {
         Fleet::start_with(halls, |_| {}).await
     }
 
-    /// Starts a fleet whose daemons' options are changed before they start.
+    /// Like [`start`](Self::start), with a function that changes each daemon's options first.
     pub async fn start_with(halls: &[&str], set: impl Fn(&mut DaemonOptions)) -> Fleet {
         let mut fleet = Fleet::empty();
         for hall in halls {
@@ -297,18 +297,18 @@
 
     /// Starts a platform without daemons.
     pub fn empty() -> Fleet {
-        let folder = TempDir::new().expect("a folder for settings");
+        let folder = TempDir::new().expect("a temporary directory can be created");
         Fleet { platform: Platform::start(), daemons: Vec::new(), folder }
     }
 
-    /// Adds a daemon without waiting for the others to know it.
+    /// Starts a daemon, adds it to the fleet and returns its index, without waiting for the others to see it.
     pub fn add(&mut self, options: &DaemonOptions) -> usize {
         let daemon = self.launch(options);
         self.daemons.push(daemon);
         self.daemons.len() - 1
     }
 
-    /// Starts a daemon that is not kept with the others.
+    /// Starts a daemon without adding it to [`daemons`](Self::daemons).
     pub fn launch(&self, options: &DaemonOptions) -> Daemon {
         let vm = format!("vm-{}", self.daemons.len());
         let unique = std::time::SystemTime::UNIX_EPOCH.elapsed().unwrap_or_default().as_nanos();
@@ -317,38 +317,38 @@
         let process = Process::start("leverstreamd", &["run", &file.display().to_string()], true);
         let address = |what: &str| {
             let line = process.wait_for_line(&format!("listens for {what} on "));
-            line.parse().expect("it logs its address")
+            line.parse().expect("the daemon logs its address")
         };
         let (callers, peers, operators) =
             (address("callers"), address("peers"), address("operators"));
         Daemon { callers, peers, operators, process }
     }
 
-    /// Puts all daemons in the platform's list.
+    /// Writes all daemons to the platform's list of VMs.
     pub async fn list_all(&self) {
         self.list_all_leaving(&[]).await;
     }
 
-    /// Puts all daemons in the platform's list, and backend servers on a VM that leaves.
+    /// Writes all daemons to the platform's list of VMs, and a leaving VM with the given backend servers.
     pub async fn list_all_leaving(&self, leaving: &[SocketAddr]) {
         let peers: Vec<SocketAddr> = self.daemons.iter().map(|daemon| daemon.peers).collect();
         self.platform.set_vms(&peers, leaving).await;
     }
 
-    /// Waits until every daemon knows all others alive.
+    /// Waits until every daemon sees all daemons of the fleet alive.
     pub async fn settle(&self) {
-        let wanted = self.daemons.len();
+        let expected = self.daemons.len();
         for daemon in &self.daemons {
-            until("all members are known", || async {
+            until("all members are seen alive", || async {
                 let status = daemon.status().await;
                 let alive = status.members.iter().filter(|member| member.state == "alive");
-                (alive.count() == wanted).then_some(())
+                (alive.count() == expected).then_some(())
             })
             .await;
         }
     }
 
-    /// Adds a service with backend servers and waits until every daemon has it in force.
+    /// Adds a service with backend servers and waits until the edit is in force at every daemon.
     pub async fn add_service(&self, service: &str, row: Value, backends: &[(&str, SocketAddr)]) {
         let mut changes = vec![change(service, row)];
         for (name, address) in backends {
@@ -359,7 +359,7 @@
         self.wait_in_force(service, version).await;
     }
 
-    /// Waits until every daemon has a version in force.
+    /// Waits until a version, or a later one, is in force at every daemon.
     pub async fn wait_in_force(&self, service: &str, version: u64) {
         for daemon in &self.daemons {
             until("the version is in force", || async {
@@ -378,41 +378,44 @@
         let run = move || {
             std::process::Command::new(bin("leverctl")).args(all).output().expect("leverctl runs")
         };
-        let output = tokio::task::spawn_blocking(run).await.expect("leverctl ends");
+        let output = tokio::task::spawn_blocking(run).await.expect("leverctl exits");
         let mut text = String::from_utf8_lossy(&output.stdout).into_owned();
         text.push_str(&String::from_utf8_lossy(&output.stderr));
         (output.status.code().unwrap_or(-1), text)
     }
 
-    /// The folder for files of a test.
+    /// Returns the fleet's temporary directory, which a test may write to.
     pub fn folder(&self) -> &std::path::Path {
         self.folder.path()
     }
 }
 
-/// A change of a cell or row.
+/// Creates an unconditional change of a cell or row.
 pub fn change(cell: &str, to: Value) -> Change {
-    Change { cell: cell.parse::<Cell>().expect("a cell"), was: None, to }
+    Change { cell: cell.parse::<Cell>().expect("the cell's name is valid"), was: None, to }
 }
 
-/// An HTTP client with patience.
+/// Creates an HTTP client with the timeout of a test call.
 fn client() -> awc::Client {
-    awc::Client::builder().timeout(Duration::from_millis(CALL_MS)).disable_redirects().finish()
+    awc::Client::builder()
+        .timeout(Duration::from_millis(CALL_TIMEOUT_MS))
+        .disable_redirects()
+        .finish()
 }
 
-/// The header that shows the operators' key.
+/// Returns the authorization header with the operator key.
 fn bearer() -> (&'static str, String) {
     ("authorization", format!("Bearer {OPERATOR_KEY}"))
 }
 
-/// Reads JSON from a stand-in.
+/// Gets JSON from a stand-in.
 async fn get<T: DeserializeOwned>(address: SocketAddr, path: &str) -> T {
     let mut response =
-        client().get(format!("http://{address}{path}")).send().await.expect("it answers");
-    response.json().await.expect("it answers with JSON")
+        client().get(format!("http://{address}{path}")).send().await.expect("the stand-in answers");
+    response.json().await.expect("the stand-in answers with JSON")
 }
 
-/// Reads JSON from a daemon, if it answers well.
+/// Gets JSON from a daemon's operator listener; returns `None` if there is no valid answer.
 async fn operator_get<T: DeserializeOwned>(address: SocketAddr, path: &str) -> Option<T> {
     let request = client().get(format!("http://{address}{path}")).insert_header(bearer());
     let mut response = request.send().await.ok()?;
@@ -420,16 +423,19 @@
     serde_json::from_slice(&body).ok()
 }
 
-/// Writes JSON to a stand-in.
+/// Puts JSON to a stand-in.
 async fn put<T: serde::Serialize>(address: SocketAddr, path: &str, value: &T) {
     let request = client().put(format!("http://{address}{path}"));
-    let response = request.send_json(value).await.expect("it answers");
+    let response = request.send_json(value).await.expect("the stand-in answers");
     assert!(response.status().is_success());
 }
 
-/// Posts to a stand-in.
+/// Sends an empty POST request to a stand-in.
 async fn post(address: SocketAddr, path: &str) {
-    let response =
-        client().post(format!("http://{address}{path}")).send().await.expect("it answers");
+    let response = client()
+        .post(format!("http://{address}{path}"))
+        .send()
+        .await
+        .expect("the stand-in answers");
     assert!(response.status().is_success());
 }
--- a/tests/src/flow.rs
+++ b/tests/src/flow.rs
@@ -1,4 +1,4 @@
-//! Callers that send a steady flow of requests to all VMs, and what backend servers saw of it.
+//! Sends requests to all VMs at a steady rate and evaluates which of them reached the backend servers.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -9,36 +9,36 @@
 
 use crate::site::{Call, ONCE, SAFE, Site, send};
 
-/// The time between two requests of the flow.
-const GAP: Duration = Duration::from_millis(10);
+/// The interval between two requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long after it was turned away a VM may still send what was under way.
-const UNDER_WAY: Duration = Duration::from_millis(500);
+/// How long after a rejection a VM may still send requests that were in flight.
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
-/// A flow of requests, one VM after the other, every second one of a kind that may run once only.
+/// A steady flow of requests to all VMs in turn; repeatable and non-repeatable requests alternate by round.
 #[derive(Default)]
 pub struct Flow {
-    /// The VM that each request went to, by its id.
+    /// The index of the VM that each request was sent to, by request id.
     vms: HashMap<String, usize>,
-    /// The answers.
+    /// The results of the requests.
     answers: Vec<JoinHandle<Answered>>,
 }
 
-/// How a request of a flow was answered.
+/// The result of a request of a flow.
 #[derive(Clone, Copy, Debug)]
 pub struct Answered {
-    /// The status; none if there was no whole answer.
+    /// The HTTP status; `None` without a complete answer.
     pub status: Option<u16>,
-    /// When the caller may come back, if it was told.
+    /// The value of the retry-after field, in seconds.
     pub retry_after_s: Option<f64>,
-    /// When it was asked.
+    /// When the request was sent.
     pub asked_at: Instant,
-    /// How long it took.
+    /// The time until the answer or the failure.
     pub took: Duration,
 }
 
 impl Flow {
-    /// Sends requests for a while.
+    /// Sends requests for a duration, without waiting for their answers.
     pub async fn run(&mut self, site: &Site, length: Duration) {
         let until = Instant::now() + length;
         while Instant::now() < until {
@@ -48,21 +48,21 @@
             let call = Call::new(&format!("{path}flow-{number}"));
             let to = site.vms[vm].callers();
             self.vms.insert(call.id.clone(), vm);
-            self.answers.push(actix_rt::spawn(async move { ask(to, &call).await }));
-            tokio::time::sleep(GAP).await;
+            self.answers.push(actix_rt::spawn(async move { send_call(to, &call).await }));
+            tokio::time::sleep(REQUEST_INTERVAL).await;
         }
     }
 
-    /// Waits for all answers.
+    /// Waits for the results of all requests sent since the last call.
     pub async fn answers(&mut self) -> Vec<Answered> {
         let mut answers = Vec::new();
         for answer in std::mem::take(&mut self.answers) {
-            answers.push(answer.await.expect("a request is answered or given up"));
+            answers.push(answer.await.expect("the task of a request doesn't panic"));
         }
         answers
     }
 
-    /// What a backend server saw of the flow from a moment on, by VM, in order.
+    /// Returns the requests of the flow that a backend server received from a moment on, in order, each with its VM.
     pub fn arrivals(&self, origin: &Origin, from: Instant) -> Vec<(usize, Seen)> {
         let seen = origin.seen().into_iter().filter(|seen| seen.at >= from);
         let of_flow = seen.filter_map(|seen| {
@@ -73,103 +73,106 @@
     }
 }
 
-/// The share of requests that were served.
+/// Returns the share of requests answered with status 200.
 pub fn served(answers: &[Answered]) -> f64 {
     let served = answers.iter().filter(|answer| answer.status == Some(200)).count();
     served as f64 / answers.len() as f64
 }
 
-/// How long after the first word to a VM that its backend server leaves the last request from it arrived, over all VMs.
+/// Returns the longest time, over all VMs, from a backend server's first leaving notice to a VM until the VM's last request to it.
 pub fn longest_after_word(arrivals: &[(usize, Seen)]) -> Duration {
-    let mut words: HashMap<usize, Instant> = HashMap::new();
+    let mut first_notices: HashMap<usize, Instant> = HashMap::new();
     let mut longest = Duration::ZERO;
     for (vm, seen) in arrivals {
-        if let Some(word) = words.get(vm) {
-            longest = longest.max(seen.at - *word);
-        } else if says(seen, headers::LEAVING).is_some() {
-            words.insert(*vm, seen.at);
+        if let Some(first_notice) = first_notices.get(vm) {
+            longest = longest.max(seen.at - *first_notice);
+        } else if notice_value(seen, headers::LEAVING).is_some() {
+            first_notices.insert(*vm, seen.at);
         }
     }
     longest
 }
 
-/// How many requests a VM sent on, at the most, between half a second after it was told that nothing was wanted and the end
-/// of that time; `is_excused` tells whether something befell it between two moments.
+/// Returns the most requests that one VM sent during a hold-off time named in a rejection, from [`IN_FLIGHT_TIME`] after the
+/// rejection on. `is_excused` returns whether a fault affected a VM between two moments.
 pub fn most_unwanted(
     arrivals: &[(usize, Seen)],
     is_excused: impl Fn(usize, Instant, Instant) -> bool,
 ) -> usize {
-    let unwanted = |(number, (vm, told)): (usize, &(usize, Seen))| {
-        let Some(seconds) = says(told, headers::RETRY_AFTER).filter(|_| !told.ran) else {
+    let sent_during_hold_off = |(number, (vm, rejection)): (usize, &(usize, Seen))| {
+        let Some(seconds) =
+            notice_value(rejection, headers::RETRY_AFTER).filter(|_| !rejection.ran)
+        else {
             return 0;
         };
-        let (from, to) = (told.at + UNDER_WAY, told.at + Duration::from_secs_f64(seconds));
+        let (from, to) =
+            (rejection.at + IN_FLIGHT_TIME, rejection.at + Duration::from_secs_f64(seconds));
         let later = arrivals[number..].iter().filter(|(other, _)| other == vm);
         let inside = later.filter(|(_, seen)| from < seen.at && seen.at < to);
-        inside.filter(|(_, seen)| !is_excused(*vm, told.at, seen.at)).count()
+        inside.filter(|(_, seen)| !is_excused(*vm, rejection.at, seen.at)).count()
     };
-    arrivals.iter().enumerate().map(unwanted).max().unwrap_or(0)
+    arrivals.iter().enumerate().map(sent_during_hold_off).max().unwrap_or(0)
 }
 
-/// Over how long requests to a backend server that names a limit are counted.
+/// The window over which requests to a backend server with a limit are counted.
 const LIMIT_WINDOW: Duration = Duration::from_secs(4);
 
-/// How many times its limit a backend server may get in such a time, and how many requests besides.
+/// The tolerated multiple of the limit in a window, and the number of requests tolerated in addition.
 const LIMIT_ALLOWANCE: (f64, f64) = (1.5, 5.0);
 
-/// How long after a backend server has first named a limit that is held against the VMs.
-const LIMIT_KNOWN_AFTER: Duration = Duration::from_secs(3);
+/// How long after a backend server's first limit notice the limit is enforced by the check.
+const LIMIT_LEARN_TIME: Duration = Duration::from_secs(3);
 
-/// What a backend server that names a limit got.
+/// How much of its limit a backend server received.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Limited {
-    /// The most that it got in a window, as a part of what is allowed for the limits that it named meanwhile.
+    /// The most requests in a window, as a share of those allowed by the limits named in the window.
     pub worst: f64,
-    /// How much of its limits it got, from when they count.
+    /// Requests received as a share of those that its limits allow, from [`LIMIT_LEARN_TIME`] on.
     pub spent: f64,
 }
 
-/// What a backend server got while its answers named a limit, over all VMs, told or not; `is_excused` tells whether something
-/// befell a VM around a moment.
+/// Measures the requests that a backend server received from all VMs, informed of the limit or not, while its answers named a
+/// limit. `is_excused` returns whether a fault affected a VM around a moment.
 ///
-/// The limit of each moment is the one of the last arrival before it; where it changed within a window the largest counts.
+/// The limit at a moment is that of the last arrival before it; if it changed within a window, the largest applies.
 pub fn limited(arrivals: &[(usize, Seen)], is_excused: impl Fn(usize, Instant) -> bool) -> Limited {
-    let limit = |seen: &Seen| says(seen, headers::LIMIT);
+    let limit = |seen: &Seen| notice_value(seen, headers::LIMIT);
     let Some(first) = arrivals.iter().position(|(_, seen)| limit(seen).is_some()) else {
         return Limited::default();
     };
-    let counts_from = arrivals[first].1.at + LIMIT_KNOWN_AFTER;
+    let counts_from = arrivals[first].1.at + LIMIT_LEARN_TIME;
     let mut worst: f64 = 0.0;
-    let mut allowed_in_all = 0.0;
+    let mut total_allowed = 0.0;
     for (number, (_, seen)) in arrivals.iter().enumerate() {
         let Some(per_s) = limit(seen).filter(|_| seen.at >= counts_from) else { continue };
         let until = arrivals.get(number + 1).map_or(seen.at, |(_, next)| next.at);
-        allowed_in_all += per_s * (until - seen.at).as_secs_f64();
+        total_allowed += per_s * (until - seen.at).as_secs_f64();
         let from = counts_from.max(seen.at.checked_sub(LIMIT_WINDOW).unwrap_or(counts_from));
-        let within = arrivals[..=number].iter().filter(|(_, other)| other.at > from);
-        let within: Vec<&(usize, Seen)> = within.collect();
-        // Without a limit for a part of the window there is nothing to hold it against.
-        let limits: Option<Vec<f64>> = within.iter().map(|(_, other)| limit(other)).collect();
+        let in_window = arrivals[..=number].iter().filter(|(_, other)| other.at > from);
+        let in_window: Vec<&(usize, Seen)> = in_window.collect();
+        // The bound is undefined if the server named no limit for a part of the window.
+        let limits: Option<Vec<f64>> = in_window.iter().map(|(_, other)| limit(other)).collect();
         let Some(limits) = limits else { continue };
-        let most_per_s = limits.into_iter().fold(per_s, f64::max);
-        let counted = within.iter().filter(|(vm, other)| !is_excused(*vm, other.at)).count();
-        let (times, besides) = LIMIT_ALLOWANCE;
-        let allowed = times * most_per_s * LIMIT_WINDOW.as_secs_f64() + besides;
+        let max_per_s = limits.into_iter().fold(per_s, f64::max);
+        let counted = in_window.iter().filter(|(vm, other)| !is_excused(*vm, other.at)).count();
+        let (factor, slack) = LIMIT_ALLOWANCE;
+        let allowed = factor * max_per_s * LIMIT_WINDOW.as_secs_f64() + slack;
         worst = worst.max(counted as f64 / allowed);
     }
     let counted = arrivals.iter().filter(|(_, seen)| seen.at >= counts_from);
-    let named = counted.filter(|(_, seen)| limit(seen).is_some()).count();
-    Limited { worst, spent: named as f64 / f64::max(allowed_in_all, 1.0) }
+    let with_limit = counted.filter(|(_, seen)| limit(seen).is_some()).count();
+    Limited { worst, spent: with_limit as f64 / f64::max(total_allowed, 1.0) }
 }
 
-/// The number that a backend server says of itself in a field of its answer.
-fn says(seen: &Seen, field: &str) -> Option<f64> {
+/// Returns the number that a backend server's answer had in a notice field.
+fn notice_value(seen: &Seen, field: &str) -> Option<f64> {
     let said = seen.said.iter().find(|(name, _)| *name == field);
     said.and_then(|(_, value)| value.parse().ok())
 }
 
-/// Asks once.
-async fn ask(to: std::net::SocketAddr, call: &Call) -> Answered {
+/// Sends a request once.
+async fn send_call(to: std::net::SocketAddr, call: &Call) -> Answered {
     let asked_at = Instant::now();
     let answer = send(to, &call.bytes()).await.ok();
     let retry_after_s = answer
--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -1,12 +1,12 @@
 //! Starts real processes for tests: daemons, the platform, backend servers.
 //!
-//! Every process is ended by its handle when the handle is dropped. Nothing is decided by sleeping:
-//! [`until`] polls for an event and fails after a generous time.
+//! A process is killed when its handle is dropped. Tests never sleep for a fixed time to wait for an
+//! event: [`until`] polls for it and fails after a generous timeout.
 
 pub mod ends;
+pub mod fault_injector;
 mod fleet;
 pub mod flow;
-pub mod harm;
 pub mod notices;
 mod process;
 mod request;
@@ -20,14 +20,14 @@
 use std::future::Future;
 use std::time::{Duration, Instant};
 
-/// How long an event may take before a test gives up; far more than it takes.
+/// Timeout for any awaited event, far longer than an event takes on a busy machine.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
-/// Polls until a check gives a value.
+/// Polls until a check returns a value.
 ///
 /// # Panics
 ///
-/// When it gives none for [`PATIENCE`].
+/// Panics when the check returns no value within [`PATIENCE`].
 pub async fn until<T, F: Future<Output = Option<T>>>(
     what: &str,
     mut check: impl FnMut() -> F,
@@ -37,7 +37,7 @@
         if let Some(value) = check().await {
             return value;
         }
-        assert!(started.elapsed() < PATIENCE, "waited in vain for: {what}");
+        assert!(started.elapsed() < PATIENCE, "timed out waiting for: {what}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/tests/src/notices.rs
+++ b/tests/src/notices.rs
@@ -1,7 +1,8 @@
-//! A fleet whose backend servers say of themselves that they leave, want nothing for a while, or take so much only, whatever the
-//! store tells.
+//! A scenario in which backend servers announce in their answers that they leave, hold off requests for a time or have a rate
+//! limit, whatever the store lists.
 //!
-//! What they saw is held against when they said it to which VM: a VM that was killed, stopped or stood still since is excused.
+//! The check compares the requests they received with the notices they sent to each VM. A VM that was killed, stopped or paused
+//! since a notice doesn't have to follow it.
 
 use std::time::{Duration, Instant};
 
@@ -10,65 +11,66 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
+use crate::fault_injector::FaultInjector;
 use crate::flow::{Flow, limited, longest_after_word, most_unwanted, served};
-use crate::harm::Harm;
 use crate::site::{Site, backend};
 
-/// How long a request is worked on, in milliseconds.
+/// How long a backend server works on a request.
 const WORK_MS: u64 = 40;
 
-/// How long after its word one that leaves may still get requests; its answer is on its way for as long as it works.
-const LEAVES_WITHIN: Duration = Duration::from_millis(2_000 + WORK_MS);
+/// How long after a leaving notice its backend server may still receive requests: 2 s, and [`WORK_MS`] until the answer
+/// with the notice is sent.
+const LEAVING_LIMIT: Duration = Duration::from_millis(2_000 + WORK_MS);
 
-/// How long after something befell it a VM counts again where limits are kept.
-const IN_TOUCH_AFTER: Duration = Duration::from_secs(3);
+/// How long after a fault a VM's requests don't count towards a limit.
+const RECOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// How many requests may reach a backend server from one VM while it wants nothing.
+/// The most requests that may reach a backend server from one VM during a hold-off time.
 pub const UNWANTED_LEFT: usize = 2;
 
-/// A fleet and its backend servers.
+/// A fleet whose backend servers send notices.
 pub struct NoticesStory {
     /// The fleet.
     site: Site,
-    /// Callers.
+    /// The requests of callers.
     flow: Flow,
-    /// What befell VMs and the store.
-    harm: Harm,
-    /// What each backend server does.
+    /// Injects faults into VMs and the store.
+    fault_injector: FaultInjector,
+    /// The state of each backend server.
     states: Vec<State>,
-    /// Backend servers that have ended, by when they first said that they leave.
-    gone: Vec<Origin>,
-    /// How many starts of backend servers there were.
-    starts: usize,
-    /// When it began.
-    began: Instant,
+    /// Backend servers that left and were replaced.
+    replaced: Vec<Origin>,
+    /// The number of replacements of backend servers.
+    replacement_count: usize,
+    /// When the scenario started.
+    started: Instant,
 }
 
-/// What a backend server does.
+/// What a backend server announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// It works.
-    Works,
-    /// It leaves since then.
-    Leaves(Instant),
-    /// It turns all away until then.
+    /// It accepts requests without a notice.
+    Working,
+    /// It announces since this moment that it leaves.
+    Leaving(Instant),
+    /// It rejects all requests until this moment.
     Full(Instant),
-    /// It names a limit until then.
+    /// It announces a rate limit until this moment.
     Limited(Instant),
 }
 
-/// What came of it.
+/// What the check of the scenario measured.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Requests that reached a backend server too late after it had told the VM that it leaves.
+    /// Pairs of a backend server and a VM where a request arrived more than [`LEAVING_LIMIT`] after the leaving notice to the VM.
     pub late: usize,
-    /// The most requests from one VM that reached one while it wanted nothing.
+    /// The most requests from one VM that reached a backend server during a hold-off time.
     pub most_unwanted: usize,
-    /// The most that one that named a limit got within four seconds, as a part of what is allowed.
+    /// The most requests to a backend server with a limit in one window, as a share of those allowed.
     pub most_limited: f64,
-    /// How many words were told.
+    /// The number of answers with a notice.
     pub words: usize,
-    /// The share of requests that were served.
+    /// The share of requests answered with status 200.
     pub served: f64,
 }
 
@@ -80,38 +82,38 @@
         NoticesStory {
             site,
             flow: Flow::default(),
-            harm: Harm::none(vms),
-            states: vec![State::Works; origins],
-            gone: Vec::new(),
-            starts: 0,
-            began: Instant::now(),
+            fault_injector: FaultInjector::new(vms),
+            states: vec![State::Working; origins],
+            replaced: Vec::new(),
+            replacement_count: 0,
+            started: Instant::now(),
         }
     }
 
-    /// Lets a seed decide what befalls backend servers, VMs and the store, several things at once.
+    /// Runs random notices and overlapping faults of VMs and the store, drawn from a seed.
     pub async fn soak(&mut self, seed: u64, length: Duration) {
         let mut rng = StdRng::seed_from_u64(seed);
-        while self.began.elapsed() < length {
+        while self.started.elapsed() < length {
             if rng.random_bool(0.5) {
-                self.harm.act(&mut self.site, &mut rng).await;
+                self.fault_injector.inject_random(&mut self.site, &mut rng).await;
             }
-            let at = rng.random_range(0..self.states.len());
-            self.speak(at, &mut rng).await;
+            let index = rng.random_range(0..self.states.len());
+            self.send_random_notice(index, &mut rng).await;
             for _ in 0..rng.random_range(1..6) {
                 self.flow.run(&self.site, Duration::from_millis(100)).await;
-                self.harm.go_on(&mut self.site);
-                self.recover();
+                self.fault_injector.end_due_faults(&mut self.site);
+                self.end_expired_notices();
             }
         }
-        self.harm.bring_store_back(&self.site).await;
+        self.fault_injector.end_store_outage(&self.site).await;
     }
 
-    /// What was done, in order.
+    /// Returns the log of notices and faults, in order.
     pub fn story(&self) -> &[String] {
-        &self.harm.story
+        &self.fault_injector.events
     }
 
-    /// Holds what backend servers saw against what they said.
+    /// Waits for all answers and compares the requests that backend servers received with their notices.
     pub async fn judge(mut self) -> Outcome {
         let answers = self.flow.answers().await;
         let mut outcome = Outcome {
@@ -121,96 +123,105 @@
             words: 0,
             served: served(&answers),
         };
-        for origin in self.site.origins.iter().chain(&self.gone) {
-            let arrivals = self.flow.arrivals(origin, self.began);
+        for origin in self.site.origins.iter().chain(&self.replaced) {
+            let arrivals = self.flow.arrivals(origin, self.started);
             outcome.words += arrivals.iter().filter(|(_, seen)| !seen.said.is_empty()).count();
-            let excused = |vm, from, to| self.harm.befell_vm(vm, from, to);
+            let excused = |vm, from, to| self.fault_injector.had_vm_fault(vm, from, to);
             outcome.most_unwanted = outcome.most_unwanted.max(most_unwanted(&arrivals, excused));
-            // One that started, stood still or was cut off a while ago is excused.
+            // A VM with a fault shortly before may not know the limit yet.
             let excused = |vm, at: Instant| {
-                self.harm.befell_vm(vm, at.checked_sub(IN_TOUCH_AFTER).unwrap_or(at), at)
+                self.fault_injector.had_vm_fault(
+                    vm,
+                    at.checked_sub(RECOVERY_TIME).unwrap_or(at),
+                    at,
+                )
             };
             outcome.most_limited = outcome.most_limited.max(limited(&arrivals, excused).worst);
-            // Each life of a VM is told anew.
+            // A restarted or paused VM has to receive the notice again.
             for vm in 0..self.site.vms.len() {
                 let of_vm: Vec<_> =
                     arrivals.iter().filter(|(other, _)| *other == vm).cloned().collect();
-                let lives = of_vm.chunk_by(|(_, before), (_, after)| {
-                    !self.harm.befell_vm(vm, before.at, after.at)
+                let incarnations = of_vm.chunk_by(|(_, before), (_, after)| {
+                    !self.fault_injector.had_vm_fault(vm, before.at, after.at)
                 });
-                let longest = lives.map(longest_after_word).max().unwrap_or_default();
-                outcome.late += usize::from(longest > LEAVES_WITHIN);
+                let longest = incarnations.map(longest_after_word).max().unwrap_or_default();
+                outcome.late += usize::from(longest > LEAVING_LIMIT);
             }
         }
         outcome
     }
 
-    /// Has a backend server say something of itself: the store is told, or not, or the entry is written anew as if it stayed.
-    async fn speak(&mut self, at: usize, rng: &mut StdRng) {
-        let origin = self.site.origin(at);
+    /// Makes a backend server send a random notice. For a leaving one the entry in the store says so, stays as it is, or is
+    /// written again as if the server stayed.
+    async fn send_random_notice(&mut self, index: usize, rng: &mut StdRng) {
+        let origin = self.site.origin(index);
         let instance = origin.instance();
-        match self.states[at] {
-            State::Works if rng.random_bool(0.5) => {
+        match self.states[index] {
+            State::Working if rng.random_bool(0.5) => {
                 origin.say(&[(headers::LEAVING, "1")]);
-                self.states[at] = State::Leaves(Instant::now());
-                self.harm.tell(&format!("{instance} says that it leaves"));
+                self.states[index] = State::Leaving(Instant::now());
+                self.fault_injector.log_event(&format!("{instance} announces that it leaves"));
                 let address = origin.address;
-                if !self.harm.is_store_away() && rng.random_bool(0.5) {
+                if !self.fault_injector.has_store_outage() && rng.random_bool(0.5) {
                     let mut entry = backend(&instance, address);
                     entry.is_leaving = rng.random_bool(0.5);
                     self.site.list_backend(&entry).await;
                 }
             }
-            State::Works if rng.random_bool(0.5) => {
+            State::Working if rng.random_bool(0.5) => {
                 let for_ms = rng.random_range(4_000..9_000_u64);
                 let per_s = rng.random_range(0.0..5.0_f64);
                 origin.say(&[(headers::LIMIT, &format!("{per_s:.2}"))]);
-                self.states[at] = State::Limited(Instant::now() + Duration::from_millis(for_ms));
-                self.harm.tell(&format!("{instance} takes {per_s:.2} a second for {for_ms} ms"));
+                self.states[index] = State::Limited(Instant::now() + Duration::from_millis(for_ms));
+                self.fault_injector.log_event(&format!(
+                    "{instance} announces a limit of {per_s:.2} requests/s for {for_ms} ms"
+                ));
             }
-            State::Works => {
+            State::Working => {
                 let for_ms = rng.random_range(300..4_000_u64);
                 let seconds = format!("{:.3}", for_ms as f64 / 1_000.0);
                 origin.set(Reply::Full);
                 origin.say(&[(headers::RETRY_AFTER, &seconds)]);
-                self.states[at] = State::Full(Instant::now() + Duration::from_millis(for_ms));
-                self.harm.tell(&format!("{instance} is full for {for_ms} ms"));
+                self.states[index] = State::Full(Instant::now() + Duration::from_millis(for_ms));
+                self.fault_injector
+                    .log_event(&format!("{instance} rejects all requests for {for_ms} ms"));
             }
-            State::Leaves(since) if since.elapsed() > Duration::from_secs(1) => {
-                if !self.harm.is_store_away() {
-                    self.replace(at).await;
+            State::Leaving(since) if since.elapsed() > Duration::from_secs(1) => {
+                if !self.fault_injector.has_store_outage() {
+                    self.replace(index).await;
                 }
             }
             State::Limited(until) if until > Instant::now() + Duration::from_secs(3) => {
                 let per_s = rng.random_range(0.0..5.0_f64);
                 origin.say(&[(headers::LIMIT, &format!("{per_s:.2}"))]);
-                self.harm.tell(&format!("{instance} takes {per_s:.2} a second now"));
+                self.fault_injector
+                    .log_event(&format!("{instance} changes its limit to {per_s:.2} requests/s"));
             }
-            State::Leaves(_) | State::Full(_) | State::Limited(_) => {}
+            State::Leaving(_) | State::Full(_) | State::Limited(_) => {}
         }
     }
 
-    /// Ends a backend server that leaves; another starts.
-    async fn replace(&mut self, at: usize) {
-        self.starts += 1;
-        let instance = self.site.origin(at).instance();
+    /// Replaces a backend server that leaves with a new one.
+    async fn replace(&mut self, index: usize) {
+        self.replacement_count += 1;
+        let instance = self.site.origin(index).instance();
         self.site.unlist_backend(&instance).await;
-        self.site.add_origin(&format!("i-new-{}", self.starts)).await;
-        let gone = self.site.origins.swap_remove(at);
-        self.site.origin(at).set(Reply::After(WORK_MS));
-        self.gone.push(gone);
-        self.states[at] = State::Works;
-        self.harm.tell(&format!("{instance} is replaced"));
+        self.site.add_origin(&format!("i-new-{}", self.replacement_count)).await;
+        let replaced = self.site.origins.swap_remove(index);
+        self.site.origin(index).set(Reply::After(WORK_MS));
+        self.replaced.push(replaced);
+        self.states[index] = State::Working;
+        self.fault_injector.log_event(&format!("{instance} is replaced"));
     }
 
-    /// Has those work again whose time is over.
-    fn recover(&mut self) {
+    /// Ends rejections and limits whose time is over.
+    fn end_expired_notices(&mut self) {
         let now = Instant::now();
-        for (at, state) in self.states.iter_mut().enumerate() {
+        for (index, state) in self.states.iter_mut().enumerate() {
             if matches!(state, State::Full(until) | State::Limited(until) if *until <= now) {
-                self.site.origin(at).set(Reply::After(WORK_MS));
-                self.site.origin(at).say(&[]);
-                *state = State::Works;
+                self.site.origin(index).set(Reply::After(WORK_MS));
+                self.site.origin(index).say(&[]);
+                *state = State::Working;
             }
         }
     }
--- a/tests/src/process.rs
+++ b/tests/src/process.rs
@@ -9,19 +9,19 @@
 
 use crate::PATIENCE;
 
-/// A running process, ended when it is dropped.
+/// A running process, which is killed on drop.
 pub struct Process {
-    /// The process.
+    /// The child process.
     child: Child,
-    /// The lines it has written so far.
+    /// The output lines read so far.
     log: Arc<Mutex<Vec<String>>>,
-    /// Each line as it comes.
+    /// Output lines as they arrive.
     lines: mpsc::Receiver<String>,
 }
 
-/// The path of one of the workspace's programs.
+/// Returns the path of one of the workspace's programs.
 pub fn bin(name: &str) -> PathBuf {
-    let mut path = std::env::current_exe().expect("the test has a path");
+    let mut path = std::env::current_exe().expect("the path of the test executable is known");
     path.pop();
     if path.ends_with("deps") {
         path.pop();
@@ -32,7 +32,7 @@
 }
 
 impl Process {
-    /// Starts a program; its output is read from standard output, or standard error for daemons.
+    /// Starts a program and reads its standard error if `reads_stderr` is set, its standard output otherwise.
     pub fn start(name: &str, args: &[&str], reads_stderr: bool) -> Process {
         let mut command = Command::new(bin(name));
         command.args(args).stdin(Stdio::null());
@@ -49,17 +49,20 @@
         };
         let log = Arc::new(Mutex::new(Vec::new()));
         let (sender, lines) = mpsc::channel();
-        let kept = Arc::clone(&log);
+        let shared_log = Arc::clone(&log);
         std::thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
-                kept.lock().expect("no reader panics").push(line.clone());
+                shared_log
+                    .lock()
+                    .expect("no thread panics while it holds the log")
+                    .push(line.clone());
                 let _ = sender.send(line);
             }
         });
         Process { child, log, lines }
     }
 
-    /// Waits for a line that contains a text and returns what follows the text.
+    /// Waits for a line that contains the text and returns what follows it, without trailing dots.
     pub fn wait_for_line(&self, text: &str) -> String {
         loop {
             let line = self.lines.recv_timeout(PATIENCE);
@@ -70,20 +73,20 @@
         }
     }
 
-    /// The lines written so far.
+    /// Returns the output lines read so far.
     pub fn log(&self) -> Vec<String> {
-        self.log.lock().expect("no reader panics").clone()
+        self.log.lock().expect("no thread panics while it holds the log").clone()
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let _ = kill_process(Pid::from_child(&self.child), signal);
     }
 
-    /// Stops the process with all its threads, and returns once it stands still.
+    /// Sends SIGSTOP and returns once all threads of the process are stopped.
     ///
-    /// A signal is taken by each thread when it next runs, which on a busy machine may be after the
-    /// process has read what was sent to it later.
+    /// Each thread handles the signal when it next runs. On a busy machine that can be after the
+    /// process has read data sent to it later, so sending the signal alone isn't enough.
     pub async fn pause(&self) {
         self.signal(Signal::STOP);
         let options = WaitIdOptions::STOPPED | WaitIdOptions::NOWAIT | WaitIdOptions::NOHANG;
@@ -93,23 +96,23 @@
         }
     }
 
-    /// The process's number.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits for it to exit.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Tells whether the process has ended, and with which code.
+    /// Returns the exit code if the process has exited; the inner value is `None` after a signal.
     pub fn ended(&mut self) -> Option<Option<i32>> {
         self.child.try_wait().ok().flatten().map(|status| status.code())
     }
 
-    /// Waits for the end.
+    /// Waits for the process to exit and returns its exit code.
     pub async fn wait(&mut self) -> Option<i32> {
         let mut code = self.ended();
         while code.is_none() {
--- a/tests/src/request.rs
+++ b/tests/src/request.rs
@@ -7,40 +7,40 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A request of a test, made once and without any retry.
+/// A test request, sent without retries.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Where to.
+    /// The address it is sent to.
     address: SocketAddr,
-    /// The method.
+    /// The HTTP method.
     method: Method,
-    /// The path.
+    /// The path and query.
     path: String,
-    /// The headers.
+    /// Header fields, as names and values.
     headers: Vec<(String, String)>,
     /// The body.
     body: String,
-    /// How long to wait.
+    /// How long to wait for the response head.
     timeout_ms: u64,
 }
 
-/// What came back.
+/// An answer to a test request.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// The error's name, for an answer of leverstream's own.
+    /// The error name of an answer that leverstream made itself; empty otherwise.
     pub error: String,
-    /// What became of the request, for an answer of leverstream's own.
+    /// The request outcome named by an answer that leverstream made itself; empty otherwise.
     pub outcome: String,
-    /// Whether the answer was kept from an earlier arrival.
+    /// Whether this is the stored answer to an earlier arrival of the same request.
     pub is_replayed: bool,
     /// The body.
     pub body: String,
 }
 
 impl Request {
-    /// A request to a service at an address.
+    /// Creates a request to a service, sent to the given address.
     pub fn new(address: SocketAddr, service: &str, method: Method, path: &str) -> Request {
         Request {
             address,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// A request that must run at most once, with a ticket and a key.
+    /// Creates a request with a ticket and an idempotency key, which must run at most once.
     pub fn keyed(entry: &Entry, service: &str, key: &str, body: &str) -> Request {
         let ticket = entry.ticket.as_deref().expect("the entry has a ticket");
         Request::new(entry.address, service, Method::POST, "/orders")
@@ -61,13 +61,13 @@
             .body(body)
     }
 
-    /// Sends it to another address.
+    /// Sets the address it is sent to.
     pub fn at(mut self, address: SocketAddr) -> Request {
         self.address = address;
         self
     }
 
-    /// Adds a header.
+    /// Adds a header field.
     pub fn header(mut self, name: &str, value: &str) -> Request {
         self.headers.push((name.to_owned(), value.to_owned()));
         self
@@ -79,13 +79,13 @@
         self
     }
 
-    /// Sets how long to wait.
+    /// Sets how long to wait for the response head.
     pub fn timeout_ms(mut self, timeout_ms: u64) -> Request {
         self.timeout_ms = timeout_ms;
         self
     }
 
-    /// Sends it once; none when no answer came.
+    /// Sends it once; returns `None` if no complete answer arrives.
     pub async fn send(&self) -> Option<Answer> {
         let client = awc::Client::builder().disable_redirects().finish();
         let mut request = client
@@ -111,22 +111,22 @@
         Some(Answer { status, error, outcome, is_replayed, body })
     }
 
-    /// Sends it once and expects an answer.
+    /// Sends it once and panics if no complete answer arrives.
     pub async fn must_send(&self) -> Answer {
-        self.send().await.expect("an answer comes")
+        self.send().await.expect("an answer arrives")
     }
 }
 
 impl Answer {
-    /// What the backend server said of the request.
+    /// Parses the backend server's report on the request from the body.
     pub fn report(&self) -> Report {
         serde_json::from_str(&self.body).unwrap_or_else(|_| panic!("no report in {self:?}"))
     }
 }
 
-/// Sends bytes over a connection of their own and returns all that comes back until its end.
+/// Sends bytes over a new connection and returns what is received until it closes, for at most 15 s.
 pub async fn send_raw(address: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(address).await.expect("it accepts");
+    let mut stream = TcpStream::connect(address).await.expect("the server accepts the connection");
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let read = stream.read_to_end(&mut answer);
--- a/tests/src/site.rs
+++ b/tests/src/site.rs
@@ -1,4 +1,4 @@
-//! A gateway fleet under test: real daemons, the store as a process, backend servers in the test.
+//! A gateway fleet under test: daemons and the store as processes, backend servers inside the test process.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -18,53 +18,53 @@
 use crate::process::Process;
 use crate::until;
 
-/// The host of all routes.
+/// The host name of all routes.
 pub const HOST: &str = "shop.example";
 
-/// The path below which requests may run more than once.
+/// Path prefix of repeatable requests.
 pub const SAFE: &str = "/safe/";
 
-/// The path below which they may not.
+/// Path prefix of requests that must run at most once.
 pub const ONCE: &str = "/once/";
 
-/// The hall of the first VMs.
+/// The hall of VMs that [`Site::add_vm`] starts.
 pub const HALL: &str = "hall-a";
 
-/// How long a removed key may go on working, in seconds.
+/// How long a removed key may still be accepted, in seconds.
 pub const REVOKE_S: f64 = 2.5;
 
-/// The next VM of this test process, for its loopback address.
+/// Number of the next VM in this test process, part of its loopback address.
 static NEXT_VM: AtomicU16 = AtomicU16::new(1);
 
-/// The next request of this test process.
+/// Number of the next request in this test process.
 static NEXT_CALL: AtomicU16 = AtomicU16::new(1);
 
 /// A gateway fleet with its store and backend servers.
 pub struct Site {
-    /// The store.
+    /// The process of the store.
     pub platform: Platform,
-    /// A client of the store, as operators and backend servers have one.
+    /// A store client for the writes of operators and backend servers.
     store: Store,
     /// The backend servers.
     pub origins: Vec<Origin>,
     /// The daemons.
     pub vms: Vec<Vm>,
-    /// The configuration last written.
+    /// The last configuration written by version.
     pub catalog: Catalog,
 }
 
-/// One daemon.
+/// A gateway daemon and its settings.
 pub struct Vm {
-    /// Its process.
+    /// The daemon's process.
     pub process: Process,
-    /// Its loopback address, which no other has.
+    /// Its own loopback address.
     ip: String,
-    /// Where its settings lie.
+    /// Its settings file.
     settings: tempfile::NamedTempFile,
 }
 
 impl Site {
-    /// Starts a store, some backend servers and some VMs of one hall, and waits until all are ready.
+    /// Starts a store, backend servers and VMs of one hall, and waits until all VMs are ready.
     pub async fn start(vms: usize, origins: usize) -> Site {
         let platform = Platform::start();
         let store = Store::open(platform.address);
@@ -88,13 +88,13 @@
         }
     }
 
-    /// Writes a configuration with a version.
+    /// Writes the current configuration under a version.
     pub async fn put_catalog(&mut self, version: u64) {
         self.catalog.version = version;
         self.put_config(standin::config(&self.catalog)).await;
     }
 
-    /// Writes a configuration with a version and workspaces.
+    /// Writes the current configuration with workspaces under a version and waits until it is in force at all VMs.
     pub async fn put_workspaces(&mut self, version: u64, workspaces: &[KeyedWorkspace]) {
         self.catalog.version = version;
         let config = standin::config(&self.catalog);
@@ -110,13 +110,13 @@
         }
     }
 
-    /// Writes a configuration as it is given.
+    /// Writes a configuration object as given.
     pub async fn put_config(&self, spec: Value) {
         let (kind, name) = standin::CONFIG;
         self.put(kind, name, spec).await;
     }
 
-    /// Starts a backend server and lists it.
+    /// Starts a backend server and writes its entry to the store.
     pub async fn add_origin(&mut self, instance: &str) {
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
         let origin = Origin::bind(address, instance).await.expect("a port is free");
@@ -124,96 +124,97 @@
         self.origins.push(origin);
     }
 
-    /// Lists a backend server, or changes its entry.
+    /// Writes a backend server's entry to the store.
     pub async fn list_backend(&self, entry: &Backend) {
         self.put(standin::BACKENDS, &entry.instance, standin::backend(entry)).await;
     }
 
-    /// Takes a backend server off the list.
+    /// Removes a backend server's entry from the store.
     pub async fn unlist_backend(&self, instance: &str) {
         self.unput(standin::BACKENDS, instance).await;
     }
 
-    /// Removes an object.
+    /// Deletes an object from the store.
     pub async fn unput(&self, kind: &str, name: &str) {
         let path = leverstream_platform::objects::path(kind, Some(name));
-        let request = bare("DELETE", &path);
+        let request = host_only_request("DELETE", &path);
         let answer = send(self.platform.address, &request).await.expect("the store answers");
         assert_eq!(answer.status, 200);
     }
 
-    /// Has the store turn all calls away, and takes entries off its list meanwhile.
+    /// Makes the store reject all calls, and removes entries of backend servers meanwhile.
     pub async fn unlist_while_away(&self, instances: &[&str]) {
-        let away = Faults { away: true, deaf_watches: true, ..Faults::default() };
-        self.platform.set_faults(&away).await;
+        let outage = Faults { away: true, deaf_watches: true, ..Faults::default() };
+        self.platform.set_faults(&outage).await;
         for instance in instances {
             self.platform.lapse(standin::BACKENDS, instance).await;
         }
     }
 
-    /// Starts one more VM.
+    /// Starts another VM, with all earlier ones as its seeds.
     pub fn add_vm(&mut self) {
         let seeds: Vec<String> = self.vms.iter().map(|vm| vm.ip.clone()).collect();
         self.vms.push(Vm::start(self.platform.address, HALL, &seeds));
     }
 
-    /// Makes an object or replaces it, whoever wrote it last.
+    /// Creates an object or replaces it, whatever its revision.
     pub async fn put(&self, kind: &str, name: &str, spec: Value) {
         let written = match self.store.read(kind, name).await.expect("the store answers") {
             Some(_) => self.store.replace(kind, name, spec, None).await,
             None => self.store.create(kind, name, spec).await,
         };
-        written.expect("the store takes it");
+        written.expect("the store accepts the write");
     }
 
-    /// The backend server with an instance's name.
+    /// Returns the backend server at an index.
     pub fn origin(&self, number: usize) -> &Origin {
         &self.origins[number]
     }
 
-    /// Sets how all backend servers answer.
+    /// Sets the reply of all backend servers.
     pub fn set_all(&self, reply: Reply) {
         self.origins.iter().for_each(|origin| origin.set(reply));
     }
 
-    /// How often a path ran at all backend servers together.
+    /// Returns how often requests for a path have run, over all backend servers.
     pub fn runs(&self, path: &str) -> usize {
         self.origins.iter().map(|origin| origin.runs(path)).sum()
     }
 }
 
 impl Vm {
-    /// Starts a daemon that knows others by their addresses.
+    /// Starts a daemon in a hall, with the addresses of its seed peers.
     pub fn start(store: SocketAddr, hall: &str, seeds: &[String]) -> Vm {
         let ip = free_ip();
-        let settings = tempfile::NamedTempFile::new().expect("a file can be made");
+        let settings = tempfile::NamedTempFile::new().expect("a temporary file can be created");
         let text = settings_text(&ip, store, hall, seeds);
         std::fs::write(settings.path(), text).expect("the settings are written");
         let process = Vm::spawn(&settings);
         Vm { process, ip, settings }
     }
 
-    /// Starts the daemon on its settings.
+    /// Starts the daemon with its settings file.
     fn spawn(settings: &tempfile::NamedTempFile) -> Process {
-        let file = settings.path().to_str().expect("the path is text").to_owned();
+        let file = settings.path().to_str().expect("the path is valid UTF-8").to_owned();
         Process::start("leverstreamd", &["gateway", &file], false)
     }
 
-    /// Kills the daemon and starts it anew at its address.
+    /// Kills the daemon and starts it again at the same address.
     pub fn restart(&mut self) {
         self.process.kill();
-        self.process = self.spawn_again();
+        self.process = self.respawn();
     }
 
-    /// Starts a second daemon on the same settings, and so at the same addresses.
+    /// Starts a second daemon with the same settings, and so at the same addresses.
     pub fn second(&self) -> Process {
-        self.spawn_again()
+        self.respawn()
     }
 
-    /// Starts a daemon where one has run before; its settings say so, as the platform does.
-    fn spawn_again(&self) -> Process {
-        let text = std::fs::read_to_string(self.settings.path()).expect("they were written");
-        std::fs::write(self.settings.path(), text.replace(FIRST_START, "")).expect("they are");
+    /// Starts the daemon again, without [`FIRST_START`] in its settings, as the platform does.
+    fn respawn(&self) -> Process {
+        let text = std::fs::read_to_string(self.settings.path()).expect("the settings can be read");
+        std::fs::write(self.settings.path(), text.replace(FIRST_START, ""))
+            .expect("the settings are written");
         Vm::spawn(&self.settings)
     }
 
@@ -222,61 +223,63 @@
         self.process.signal(signal);
     }
 
-    /// Its loopback address.
+    /// Returns its loopback address.
     pub fn ip(&self) -> &str {
         &self.ip
     }
 
-    /// Where callers ask which addresses to use.
+    /// Returns the listener where callers ask which addresses to connect to.
     pub fn directory(&self) -> SocketAddr {
-        self.at(8003)
+        self.listener(8003)
     }
 
-    /// Where callers connect.
+    /// Returns the listener for callers.
     pub fn callers(&self) -> SocketAddr {
-        self.at(8001)
+        self.listener(8001)
     }
 
-    /// Tells whether the VM says that it is ready.
+    /// Returns whether the readiness check succeeds.
     pub async fn is_ready(&self) -> bool {
-        send(self.at(8002), &bare("GET", READY_PATH)).await.is_ok_and(|answer| answer.status == 200)
+        send(self.listener(8002), &host_only_request("GET", READY_PATH))
+            .await
+            .is_ok_and(|answer| answer.status == 200)
     }
 
-    /// The addresses that the VM tells callers.
+    /// Returns the addresses that the VM's directory gives callers of a hall.
     pub async fn resolve(&self, hall: &str) -> Vec<String> {
         let addresses = resolve(self.directory(), hall).await;
         addresses.iter().map(ToString::to_string).collect()
     }
 
-    /// One of the VM's metrics.
+    /// Returns the value of a metric, 0 if it is missing.
     pub async fn metric(&self, name: &str) -> f64 {
-        let answer = send(self.at(8005), &bare("GET", "/metrics")).await;
+        let answer = send(self.listener(8005), &host_only_request("GET", "/metrics")).await;
         let text = String::from_utf8(answer.expect("metrics are served").body.to_vec());
-        let text = text.expect("metrics are text");
+        let text = text.expect("metrics are valid UTF-8");
         let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
         line.and_then(|value| value.parse().ok()).unwrap_or(0.0)
     }
 
-    /// Tells whether a line of the log holds a text.
+    /// Returns whether a line of the log contains a text.
     pub fn has_logged(&self, text: &str) -> bool {
         self.process.log().iter().any(|line| line.contains(text))
     }
 
-    /// One of the VM's listeners.
-    fn at(&self, port: u16) -> SocketAddr {
-        format!("{}:{port}", self.ip).parse().expect("an address")
+    /// Returns the address of one of the VM's listeners.
+    fn listener(&self, port: u16) -> SocketAddr {
+        format!("{}:{port}", self.ip).parse().expect("the address is valid")
     }
 }
 
-/// A request of a test.
+/// A test request to a gateway.
 pub struct Call {
-    /// The method.
+    /// The HTTP method.
     pub method: &'static str,
-    /// The path.
+    /// The path and query.
     pub path: String,
-    /// The caller's id.
+    /// The request id, unique in this test process.
     pub id: String,
-    /// How long the caller waits.
+    /// How long the caller waits, sent as the request's time limit.
     pub patience_ms: u64,
     /// Further header fields.
     pub fields: Vec<(&'static str, String)>,
@@ -285,14 +288,14 @@
 }
 
 impl Call {
-    /// A request below a path.
+    /// Creates a GET request for a path.
     pub fn new(path: &str) -> Call {
-        let id = format!("id-{}", rand_id());
+        let id = format!("id-{}", next_call_number());
         let (fields, body) = (Vec::new(), Vec::new());
         Call { method: "GET", path: path.to_owned(), id, patience_ms: 3_000, fields, body }
     }
 
-    /// The request's bytes.
+    /// Returns the request as sent on the connection.
     pub fn bytes(&self) -> Vec<u8> {
         let mut head = Head::open(self.method, &self.path);
         head.field("host", HOST.as_bytes());
@@ -307,29 +310,31 @@
         head.finish(&self.body)
     }
 
-    /// Sends the request on a connection of its own.
+    /// Sends the request to a VM on a new connection.
     pub async fn send(&self, vm: &Vm) -> Result<Answer, WireError> {
         send(vm.callers(), &self.bytes()).await
     }
 }
 
-/// Asks a directory where to connect; nothing if it does not say.
+/// Asks a directory where to connect; returns no addresses if there is no valid answer.
 pub async fn resolve(directory: SocketAddr, hall: &str) -> Vec<SocketAddr> {
     let target = format!("{RESOLVE_PATH}?name={HOST}&region=r&zone={hall}");
-    let Ok(answer) = send(directory, &bare("GET", &target)).await else { return Vec::new() };
+    let Ok(answer) = send(directory, &host_only_request("GET", &target)).await else {
+        return Vec::new();
+    };
     let body: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     let listed = body["addresses"].as_array().cloned().unwrap_or_default();
     listed.iter().filter_map(|address| address.as_str()?.parse().ok()).collect()
 }
 
-/// A request with nothing but its host.
-fn bare(method: &str, target: &str) -> Vec<u8> {
+/// Returns a request whose only header field is the host.
+fn host_only_request(method: &str, target: &str) -> Vec<u8> {
     let mut head = Head::open(method, target);
     head.field("host", HOST.as_bytes());
     head.finish(b"")
 }
 
-/// Sends bytes on a connection of their own and reads the answer.
+/// Sends a request on a new connection and reads the answer.
 pub async fn send(address: SocketAddr, request: &[u8]) -> Result<Answer, WireError> {
     let mut conn = Conn::open(address).await.map_err(|_| WireError::Connect)?;
     let progress = Progress::default();
@@ -337,7 +342,7 @@
     tokio::time::timeout(Duration::from_secs(20), exchange).await.unwrap_or(Err(WireError::Silent))
 }
 
-/// A configuration with a safe and an unsafe route to the service `shop`.
+/// Creates a configuration with a repeatable and a non-repeatable route to the service `shop`.
 pub fn catalog(version: u64) -> Catalog {
     let service = || ServiceSpec { health_path: "/health".into(), connections: 100 };
     let services = ["shop", "other"].map(|name| (name.to_owned(), service()));
@@ -346,10 +351,10 @@
     let limits =
         Limits { head_bytes: 16 << 10, body_bytes: 1 << 20, head_ms: 3_000, idle_ms: 15_000 };
     Catalog::build(version, routes.to_vec(), HashMap::from(services), limits)
-        .expect("the catalog is sound")
+        .expect("the catalog is valid")
 }
 
-/// A route below a prefix.
+/// Creates a route for a path prefix.
 pub fn route(prefix: &str, is_repeatable: bool, service: &str) -> Route {
     Route {
         name: format!("r{}", prefix.replace('/', "-")),
@@ -364,7 +369,7 @@
     }
 }
 
-/// The entry of a backend server of the service `shop`.
+/// Creates the entry of a backend server of the service `shop`.
 pub fn backend(instance: &str, address: SocketAddr) -> Backend {
     Backend {
         instance: instance.to_owned(),
@@ -378,22 +383,22 @@
     }
 }
 
-/// A loopback address that no other VM of this machine's tests has.
+/// Returns a loopback address that no other VM of a test on this machine should have.
 fn free_ip() -> String {
     let number = NEXT_VM.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id();
     format!("127.{}.{}.{}", 16 + process / 250 % 200, process % 250 + 1, number % 250 + 1)
 }
 
-/// A number that no other request of this process has.
-fn rand_id() -> u16 {
+/// Returns a number that no other request of this process has.
+fn next_call_number() -> u16 {
     NEXT_CALL.fetch_add(1, Ordering::Relaxed)
 }
 
-/// What the settings of a VM say the first time.
+/// The settings line of a VM's first start.
 const FIRST_START: &str = "is_first_start = true";
 
-/// The settings of a VM.
+/// Renders the settings file of a VM.
 fn settings_text(ip: &str, store: SocketAddr, hall: &str, seeds: &[String]) -> String {
     let seeds: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}:8004\"")).collect();
     let ports: BTreeMap<&str, u16> = BTreeMap::from([
--- a/tests/src/soak.rs
+++ b/tests/src/soak.rs
@@ -1,10 +1,10 @@
-//! A randomized soak: a real fleet under load, with faults from outside that overlap.
+//! A randomized soak test: a real fleet under load, with overlapping faults injected from outside.
 //!
-//! A seed decides what happens and when. While it runs and after it, the promises to callers are
-//! checked from what callers and backend servers saw.
+//! A seed decides which faults happen and when. The guarantees to callers are checked during and after the run, from
+//! what callers and backend servers received.
 
 mod callers;
-mod judge;
+mod repeat_bound;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -28,34 +28,34 @@
 
 pub use callers::Got;
 use callers::{Calls, call};
-use judge::excess;
+use repeat_bound::find_excess_repeats;
 
-/// The VMs of a soak.
+/// The number of VMs.
 const VMS: usize = 4;
 
-/// The backend servers of a soak.
+/// The number of backend servers.
 const ORIGINS: usize = 4;
 
-/// The callers of a soak.
+/// The number of callers.
 const CALLERS: usize = 10;
 
-/// How long a planned stop may take, with room for a busy machine.
+/// How long a graceful stop may take, with a margin for a busy machine.
 const STOP_LIMIT: Duration = Duration::from_secs(8);
 
-/// What a soak has found.
+/// The result of a soak.
 #[derive(Debug, Default)]
 pub struct Findings {
-    /// Promises that were broken, each with what shows it.
+    /// Violated guarantees, each with its evidence.
     pub broken: Vec<String>,
-    /// Requests answered with success.
+    /// The number of requests answered with status 200.
     pub served: usize,
-    /// All requests.
+    /// The number of all requests.
     pub asked: usize,
-    /// What was done to the fleet, in order.
+    /// Log of the injected faults, in order.
     pub story: Vec<String>,
 }
 
-/// A fleet under soak.
+/// A fleet under a soak test.
 struct Soak {
     /// The store, the backend servers and the VMs.
     site: Site,
@@ -63,40 +63,40 @@
     store_relays: Vec<Relay>,
     /// The relay to each backend server.
     origin_relays: Vec<Relay>,
-    /// The instance that each backend server has now.
+    /// The current instance id of each backend server.
     instances: Vec<String>,
     /// The directories of the VMs, for callers.
     directories: Rc<Vec<SocketAddr>>,
-    /// What decides.
+    /// The source of all random decisions of the soak.
     rng: StdRng,
-    /// What was done.
+    /// Log of the injected faults, in order.
     story: Vec<String>,
-    /// When it began.
-    began: Instant,
-    /// How often backend servers have started again under their ids.
-    starts: u64,
-    /// Promises broken while it ran.
+    /// When the soak started.
+    started: Instant,
+    /// How often a backend server has started again under its id.
+    same_id_starts: u64,
+    /// Guarantees violated while it ran.
     broken: Vec<String>,
 }
 
-/// What a soak does to the fleet.
+/// Which faults a soak injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plan {
-    /// Anything.
+    /// All faults.
     Anything,
-    /// VMs are killed, stopped and paused while backend servers reject work.
+    /// VMs are killed, stopped and paused while backend servers reject requests.
     Rejects,
-    /// Anything, while backend servers start again under their ids and others write entries that cannot be used.
+    /// All faults, while backend servers start again under their ids and other writers add invalid entries.
     Reborn,
 }
 
-/// Runs a soak of a seed for so long, and tells what it found.
+/// Runs a soak of a seed for a duration and returns its result.
 pub async fn soak(seed: u64, plan: Plan, length: Duration) -> Findings {
     let mut soak = Soak::start(seed).await;
     let calls = Rc::new(Calls {
-        goes_on: Cell::new(true),
-        got: RefCell::default(),
-        wrong: RefCell::default(),
+        is_running: Cell::new(true),
+        results: RefCell::default(),
+        wrong_answers: RefCell::default(),
     });
     let callers: Vec<_> = (0..CALLERS)
         .map(|number| {
@@ -104,30 +104,30 @@
             actix_rt::spawn(call(Rc::clone(&calls), Rc::clone(&soak.directories), rng))
         })
         .collect();
-    while soak.began.elapsed() < length {
+    while soak.started.elapsed() < length {
         match plan {
-            Plan::Anything => soak.act().await,
-            Plan::Rejects => soak.act_on_vms().await,
+            Plan::Anything => soak.inject_random().await,
+            Plan::Rejects => soak.inject_random_vm_fault().await,
             Plan::Reborn => {
-                let at = soak.rng.random_range(0..ORIGINS);
-                soak.start_again(at).await;
-                soak.write_foreign_entry().await;
-                soak.act().await;
+                let index = soak.rng.random_range(0..ORIGINS);
+                soak.restart_under_same_id(index).await;
+                soak.write_invalid_entry().await;
+                soak.inject_random().await;
             }
         }
         let pause_ms = soak.rng.random_range(50..400);
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     }
-    soak.calm_down().await;
-    calls.goes_on.set(false);
+    soak.end_faults().await;
+    calls.is_running.set(false);
     for caller in callers {
         let _ = caller.await;
     }
-    soak.judge(&calls)
+    soak.evaluate(&calls)
 }
 
 impl Soak {
-    /// Starts the fleet: every way to the store and to backend servers leads through a relay.
+    /// Starts the fleet, with a relay on every path to the store and to a backend server.
     async fn start(seed: u64) -> Soak {
         let mut site = Site::start(0, 0).await;
         let (mut origin_relays, mut instances) = (Vec::new(), Vec::new());
@@ -160,33 +160,33 @@
             directories,
             rng: StdRng::seed_from_u64(seed),
             story: Vec::new(),
-            began: Instant::now(),
-            starts: 0,
+            started: Instant::now(),
+            same_id_starts: 0,
             broken: Vec::new(),
         }
     }
 
-    /// Does one thing to the fleet.
-    async fn act(&mut self) {
-        let at = self.rng.random_range(0..ORIGINS);
+    /// Injects one random fault into the fleet.
+    async fn inject_random(&mut self) {
+        let index = self.rng.random_range(0..ORIGINS);
         let vm = self.rng.random_range(0..VMS);
         match self.rng.random_range(0..12) {
-            0 | 1 => self.set_reply(at),
-            2 => self.set_origin_path(at),
+            0 | 1 => self.set_reply(index),
+            2 => self.set_origin_path(index),
             3 => self.set_store_path(vm),
             4 => self.set_store().await,
             5 => self.kill(vm),
             6 => self.pause(vm).await,
             7 => self.stop(vm).await,
-            8 => self.hang_up(vm),
+            8 => self.reload_settings(vm),
             9 => self.change_catalog().await,
-            10 => self.pass_address_on(at).await,
-            _ => self.say_leaving(at).await,
+            10 => self.replace_at_address(index).await,
+            _ => self.announce_leaving(index).await,
         }
     }
 
-    /// Does one thing to the VMs, or has backend servers reject work or no longer do so.
-    async fn act_on_vms(&mut self) {
+    /// Injects one random fault into the VMs, or changes which backend servers reject requests.
+    async fn inject_random_vm_fault(&mut self) {
         let vm = self.rng.random_range(0..VMS);
         match self.rng.random_range(0..8) {
             0..=2 => self.kill(vm),
@@ -195,19 +195,19 @@
             _ => {
                 let rejects = self.rng.random_range(1..=ORIGINS);
                 self.site.set_all(Reply::After(20));
-                (0..rejects).for_each(|at| self.site.origin(at).set(Reply::Full));
-                self.tell(&format!("{rejects} backend servers reject work"));
+                (0..rejects).for_each(|index| self.site.origin(index).set(Reply::Full));
+                self.log_event(&format!("{rejects} backend servers reject requests"));
             }
         }
     }
 
-    /// Notes what is done.
-    fn tell(&mut self, what: &str) {
-        self.story.push(format!("{:>6} ms: {what}", self.began.elapsed().as_millis()));
+    /// Appends a line to the log of faults.
+    fn log_event(&mut self, what: &str) {
+        self.story.push(format!("{:>6} ms: {what}", self.started.elapsed().as_millis()));
     }
 
-    /// Changes how a backend server answers.
-    fn set_reply(&mut self, at: usize) {
+    /// Sets a random reply of a backend server.
+    fn set_reply(&mut self, index: usize) {
         let replies = [
             Reply::After(20),
             Reply::After(20),
@@ -224,25 +224,25 @@
             Reply::UnframedReset,
         ];
         let reply = *replies.choose(&mut self.rng).expect("there are replies");
-        self.site.origin(at).set(reply);
-        self.tell(&format!("backend server {at} answers with {reply:?}"));
+        self.site.origin(index).set(reply);
+        self.log_event(&format!("backend server {index} answers with {reply:?}"));
     }
 
-    /// Changes the way to a backend server.
-    fn set_origin_path(&mut self, at: usize) {
-        let faults = path_faults(&mut self.rng);
-        self.origin_relays[at].set(faults);
-        self.tell(&format!("the way to backend server {at}: {faults:?}"));
+    /// Sets random faults of the path to a backend server.
+    fn set_origin_path(&mut self, index: usize) {
+        let faults = random_path_faults(&mut self.rng);
+        self.origin_relays[index].set(faults);
+        self.log_event(&format!("path to backend server {index}: {faults:?}"));
     }
 
-    /// Changes the way from a VM to the store.
+    /// Sets random faults of the path from a VM to the store.
     fn set_store_path(&mut self, vm: usize) {
-        let faults = path_faults(&mut self.rng);
+        let faults = random_path_faults(&mut self.rng);
         self.store_relays[vm].set(faults);
-        self.tell(&format!("the way from VM {vm} to the store: {faults:?}"));
+        self.log_event(&format!("path from VM {vm} to the store: {faults:?}"));
     }
 
-    /// Changes how the store answers.
+    /// Sets random faults of the store.
     async fn set_store(&mut self) {
         let none = StoreFaults::default;
         let faults = match self.rng.random_range(0..6) {
@@ -256,81 +256,84 @@
         if self.rng.random_bool(0.3) {
             self.site.platform.forget().await;
         }
-        self.tell(&format!("the store: {faults:?}"));
+        self.log_event(&format!("the store: {faults:?}"));
     }
 
-    /// Kills a VM and starts it again.
+    /// Kills a VM and restarts it.
     fn kill(&mut self, vm: usize) {
         self.site.vms[vm].restart();
-        self.tell(&format!("VM {vm} is killed and starts again"));
+        self.log_event(&format!("VM {vm} is killed and restarted"));
     }
 
-    /// Stops a VM's clock for a while.
+    /// Pauses a VM's process and waits until it resumes.
     async fn pause(&mut self, vm: usize) {
         let pause_ms = self.rng.random_range(200..2_000);
-        self.tell(&format!("VM {vm} stands still for {pause_ms} ms"));
+        self.log_event(&format!("VM {vm} is paused for {pause_ms} ms"));
         self.site.vms[vm].signal(Signal::STOP);
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
         self.site.vms[vm].signal(Signal::CONT);
     }
 
-    /// Stops a VM as planned and starts it again.
+    /// Stops a VM gracefully, with one or two signals, and restarts it.
     async fn stop(&mut self, vm: usize) {
-        self.tell(&format!("VM {vm} stops as planned"));
-        let signals = self.rng.random_range(1..3);
-        for _ in 0..signals {
+        self.log_event(&format!("VM {vm} is stopped gracefully"));
+        let signal_count = self.rng.random_range(1..3);
+        for _ in 0..signal_count {
             self.site.vms[vm].signal(Signal::TERM);
         }
         let ended = tokio::time::timeout(STOP_LIMIT, self.site.vms[vm].process.wait()).await;
         if ended != Ok(Some(0)) {
-            self.broken.push(format!("VM {vm} did not end in time and well: {ended:?}"));
+            self.broken.push(format!("VM {vm} did not exit with code 0 in time: {ended:?}"));
         }
         self.site.vms[vm].restart();
-        self.tell(&format!("VM {vm} starts again"));
+        self.log_event(&format!("VM {vm} is restarted"));
     }
 
-    /// Has a VM read its settings again, several times at once.
-    fn hang_up(&mut self, vm: usize) {
+    /// Makes a VM reload its settings three times in a row.
+    fn reload_settings(&mut self, vm: usize) {
         for _ in 0..3 {
             self.site.vms[vm].signal(Signal::HUP);
         }
-        self.tell(&format!("VM {vm} is told three times to read its settings"));
+        self.log_event(&format!("VM {vm} reloads its settings three times"));
     }
 
-    /// Puts another configuration in force.
+    /// Writes a configuration with a later version.
     async fn change_catalog(&mut self) {
         let version = self.site.catalog.version + self.rng.random_range(1..4);
-        self.with_store_up().await;
+        self.end_store_faults().await;
         self.site.put_catalog(version).await;
-        self.tell(&format!("configuration {version}"));
+        self.log_event(&format!("configuration version {version} is written"));
     }
 
-    /// Ends a backend server whose address passes on at once.
-    async fn pass_address_on(&mut self, at: usize) {
-        let before = self.instances[at].clone();
-        let next = format!("i-{at}-{}", self.story.len() + 1);
-        self.site.origin(at).rename(&next);
-        self.with_store_up().await;
-        self.site.list_backend(&backend(&next, self.origin_relays[at].address)).await;
+    /// Replaces a backend server with a new instance at the same address. The old entry isn't always removed.
+    async fn replace_at_address(&mut self, index: usize) {
+        let old_instance = self.instances[index].clone();
+        let new_instance = format!("i-{index}-{}", self.story.len() + 1);
+        self.site.origin(index).rename(&new_instance);
+        self.end_store_faults().await;
+        self.site.list_backend(&backend(&new_instance, self.origin_relays[index].address)).await;
         if self.rng.random_bool(0.7) {
-            self.site.unlist_backend(&before).await;
+            self.site.unlist_backend(&old_instance).await;
         }
-        self.instances[at].clone_from(&next);
-        self.tell(&format!("the address of {before} passes to {next}"));
+        self.instances[index].clone_from(&new_instance);
+        self.log_event(&format!("{new_instance} takes over the address of {old_instance}"));
     }
 
-    /// Has a backend server start again under its id.
-    async fn start_again(&mut self, at: usize) {
-        let instance = self.instances[at].clone();
-        self.starts += 1;
-        let entry = backend(&instance, self.origin_relays[at].address);
-        self.with_store_up().await;
-        self.site.list_backend(&Backend { born_ms: self.starts, ..entry }).await;
-        self.tell(&format!("{instance} starts again under its id, for time {}", self.starts));
+    /// Writes the entry of a backend server that has started again under its id.
+    async fn restart_under_same_id(&mut self, index: usize) {
+        let instance = self.instances[index].clone();
+        self.same_id_starts += 1;
+        let entry = backend(&instance, self.origin_relays[index].address);
+        self.end_store_faults().await;
+        self.site.list_backend(&Backend { born_ms: self.same_id_starts, ..entry }).await;
+        self.log_event(&format!(
+            "{instance} starts again under its id, number {}",
+            self.same_id_starts
+        ));
     }
 
-    /// Has another writer put an entry among those of backend servers.
-    async fn write_foreign_entry(&mut self) {
+    /// Writes an invalid entry among those of backend servers, as a foreign writer might.
+    async fn write_invalid_entry(&mut self) {
         let entries = [
             json!({}),
             json!({ "service": 5, "address": "nowhere", "slots": -1 }),
@@ -338,33 +341,33 @@
             json!("bytes"),
         ];
         let entry = entries.choose(&mut self.rng).expect("there are entries").clone();
-        self.with_store_up().await;
-        self.tell(&format!("an entry that others wrote: {entry}"));
+        self.end_store_faults().await;
+        self.log_event(&format!("a foreign writer adds the entry {entry}"));
         self.site.put(standin::BACKENDS, "i-foreign", entry).await;
     }
 
-    /// Has a backend server say that it leaves; another comes at its address soon.
-    async fn say_leaving(&mut self, at: usize) {
-        let instance = self.instances[at].clone();
-        let entry = backend(&instance, self.origin_relays[at].address);
-        self.with_store_up().await;
+    /// Makes a backend server's entry say that it leaves, then replaces it at its address.
+    async fn announce_leaving(&mut self, index: usize) {
+        let instance = self.instances[index].clone();
+        let entry = backend(&instance, self.origin_relays[index].address);
+        self.end_store_faults().await;
         self.site.list_backend(&Backend { is_leaving: true, ..entry }).await;
-        self.tell(&format!("{instance} says that it leaves"));
-        self.pass_address_on(at).await;
+        self.log_event(&format!("{instance} announces that it leaves"));
+        self.replace_at_address(index).await;
     }
 
-    /// Brings the store back, as operators and backend servers can only write while it is there.
-    async fn with_store_up(&mut self) {
+    /// Ends all faults of the store, so that operators and backend servers can write to it.
+    async fn end_store_faults(&mut self) {
         self.site.platform.set_faults(&StoreFaults::default()).await;
     }
 
-    /// Takes all faults away and waits until the fleet serves as before.
-    async fn calm_down(&mut self) {
+    /// Ends all faults and waits until every VM serves requests again.
+    async fn end_faults(&mut self) {
         self.site.platform.set_faults(&StoreFaults::default()).await;
         self.origin_relays.iter().for_each(|relay| relay.set(Faults::default()));
         self.store_relays.iter().for_each(|relay| relay.set(Faults::default()));
         self.site.set_all(Reply::After(20));
-        self.tell("all faults end");
+        self.log_event("all faults are ended");
         self.site.until_ready().await;
         for vm in &self.site.vms {
             until("every VM serves again", || async {
@@ -375,34 +378,34 @@
         }
     }
 
-    /// Holds what callers got against what backend servers saw.
-    fn judge(self, calls: &Calls) -> Findings {
+    /// Checks the results of callers against the requests that backend servers ran.
+    fn evaluate(self, calls: &Calls) -> Findings {
         let mut runs: HashMap<String, usize> = HashMap::new();
         for seen in self.site.origins.iter().flat_map(Origin::seen).filter(|seen| seen.ran) {
             let id = seen.field(headers::REQUEST_ID).unwrap_or_default().to_owned();
             *runs.entry(id).or_default() += 1;
         }
         let mut broken = self.broken;
-        broken.extend(calls.wrong.borrow().iter().cloned());
-        let got = calls.got.borrow();
-        for got in got.iter().filter(|got| got.is_once) {
-            let ran = runs.get(&got.id).copied().unwrap_or(0);
+        broken.extend(calls.wrong_answers.borrow().iter().cloned());
+        let results = calls.results.borrow();
+        for result in results.iter().filter(|result| result.is_non_repeatable) {
+            let ran = runs.get(&result.id).copied().unwrap_or(0);
             if ran > 1 {
-                broken.push(format!("{got:?} ran {ran} times"));
+                broken.push(format!("{result:?} ran {ran} times"));
             }
-            if matches!(got.status, Some(408 | 421 | 429 | 503)) && ran > 0 {
-                broken.push(format!("{got:?} was said not to have run, and ran"));
+            if matches!(result.status, Some(408 | 421 | 429 | 503)) && ran > 0 {
+                broken.push(format!("{result:?} was answered as not run, but ran"));
             }
         }
         let arrivals: Vec<Seen> = self.site.origins.iter().flat_map(Origin::seen).collect();
-        broken.extend(excess(&got, &arrivals));
-        let served = got.iter().filter(|got| got.status == Some(200)).count();
-        Findings { broken, served, asked: got.len(), story: self.story }
+        broken.extend(find_excess_repeats(&results, &arrivals));
+        let served = results.iter().filter(|result| result.status == Some(200)).count();
+        Findings { broken, served, asked: results.len(), story: self.story }
     }
 }
 
-/// Faults of a way: none, cut, cut one way, slow, broken off.
-fn path_faults(rng: &mut StdRng) -> Faults {
+/// Draws faults of a path: none, cut in one or both directions, slow, or closed after some bytes.
+fn random_path_faults(rng: &mut StdRng) -> Faults {
     let none = Fault::default();
     let cut = Fault { cut: true, ..none };
     let slow = Fault { delay_ms: 150, ..none };
--- a/tests/src/soak/callers.rs
+++ b/tests/src/soak/callers.rs
@@ -1,4 +1,4 @@
-//! The callers of a soak: each makes requests one after the other and checks what it gets.
+//! The callers of a soak. Each sends requests one after the other and checks the answers.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -13,73 +13,75 @@
 
 use crate::site::{Call, HALL, ONCE, SAFE};
 
-/// How long a caller keeps an answer to where to connect.
-const ANSWER_HOLDS: Duration = Duration::from_millis(1_500);
+/// How long a caller uses the addresses that a directory gave it.
+const ADDRESSES_VALID: Duration = Duration::from_millis(1_500);
 
-/// What a caller got for one request.
+/// The result of one request of a caller.
 #[derive(Clone, Debug)]
 pub struct Got {
-    /// The request's id.
+    /// The request id.
     pub id: String,
     /// When it was sent.
-    pub sent: Instant,
-    /// Whether it may run once only.
-    pub is_once: bool,
-    /// The status, if an answer came.
+    pub sent_at: Instant,
+    /// Whether it must run at most once.
+    pub is_non_repeatable: bool,
+    /// The status, if a complete answer arrived.
     pub status: Option<u16>,
 }
 
-/// What callers share.
+/// State shared by all callers.
 pub(super) struct Calls {
-    /// Whether callers go on.
-    pub goes_on: Cell<bool>,
-    /// What they got.
-    pub got: RefCell<Vec<Got>>,
-    /// Answers that were wrong.
-    pub wrong: RefCell<Vec<String>>,
+    /// Whether callers go on sending requests.
+    pub is_running: Cell<bool>,
+    /// The results of all requests.
+    pub results: RefCell<Vec<Got>>,
+    /// Descriptions of wrong answers.
+    pub wrong_answers: RefCell<Vec<String>>,
 }
 
-/// Makes requests one after the other until it is told to end.
+/// Sends requests one after the other until `is_running` is cleared.
 pub(super) async fn call(calls: Rc<Calls>, directories: Rc<Vec<SocketAddr>>, mut rng: StdRng) {
     let mut addresses: Vec<SocketAddr> = Vec::new();
-    let mut asked = Instant::now();
+    let mut resolved_at = Instant::now();
     let mut conn: Option<(SocketAddr, Conn)> = None;
-    while calls.goes_on.get() {
-        if addresses.is_empty() || asked.elapsed() > ANSWER_HOLDS {
+    while calls.is_running.get() {
+        if addresses.is_empty() || resolved_at.elapsed() > ADDRESSES_VALID {
             let directory = *directories.choose(&mut rng).expect("there are VMs");
-            let fresh = crate::site::resolve(directory, HALL).await;
-            if !fresh.is_empty() {
-                addresses = fresh;
+            let resolved = crate::site::resolve(directory, HALL).await;
+            if !resolved.is_empty() {
+                addresses = resolved;
             }
-            asked = Instant::now();
+            resolved_at = Instant::now();
             conn = conn.filter(|(address, _)| addresses.contains(address));
         }
         if let Some(address) = addresses.choose(&mut rng).copied() {
-            let is_once = rng.random_bool(0.6);
-            conn = one_call(&calls, conn, address, is_once).await;
+            let is_non_repeatable = rng.random_bool(0.6);
+            conn = send_request(&calls, conn, address, is_non_repeatable).await;
         }
         tokio::time::sleep(Duration::from_millis(rng.random_range(5..40))).await;
     }
 }
 
-/// Makes one request; gives the connection back if it may be used again.
-async fn one_call(
+/// Sends one request; returns the connection if it can be reused.
+async fn send_request(
     calls: &Calls,
     conn: Option<(SocketAddr, Conn)>,
     address: SocketAddr,
-    is_once: bool,
+    is_non_repeatable: bool,
 ) -> Option<(SocketAddr, Conn)> {
-    let kept = conn.filter(|(_, conn)| conn.is_clean());
-    let (address, mut conn) = match kept {
-        Some(kept) => kept,
+    let reusable = conn.filter(|(_, conn)| conn.is_clean());
+    let (address, mut conn) = match reusable {
+        Some(reusable) => reusable,
         None => {
-            let opening = tokio::time::timeout(Duration::from_secs(1), Conn::open(address)).await;
-            (address, opening.ok()?.ok()?)
+            let connecting =
+                tokio::time::timeout(Duration::from_secs(1), Conn::open(address)).await;
+            (address, connecting.ok()?.ok()?)
         }
     };
-    let call = Call { patience_ms: 1_500, ..Call::new(if is_once { ONCE } else { SAFE }) };
+    let call =
+        Call { patience_ms: 1_500, ..Call::new(if is_non_repeatable { ONCE } else { SAFE }) };
     let bytes = call.bytes();
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     let progress = Progress::default();
     let exchange = conn.exchange(&bytes, false, &progress, |_| true);
     let answer = tokio::time::timeout(Duration::from_millis(2_500), exchange).await;
@@ -88,19 +90,19 @@
         check(calls, &call, answer);
     }
     let status = answer.as_ref().map(|answer| answer.status);
-    calls.got.borrow_mut().push(Got { id: call.id, sent, is_once, status });
-    let may_stay = answer.is_some_and(|answer| !answer.closes()) && conn.is_reusable();
-    may_stay.then_some((address, conn))
+    calls.results.borrow_mut().push(Got { id: call.id, sent_at, is_non_repeatable, status });
+    let is_reusable = answer.is_some_and(|answer| !answer.closes()) && conn.is_reusable();
+    is_reusable.then_some((address, conn))
 }
 
-/// Checks that an answer is the request's own and whole.
+/// Checks that an answer belongs to the request and is complete, and records it otherwise.
 fn check(calls: &Calls, call: &Call, answer: &Answer) {
     let stamp = answer.text(headers::STAMP);
     let id = answer.text(headers::REQUEST_ID);
     let is_own = id.is_none_or(|id| id == call.id);
-    let whole = format!("{} {}", stamp.unwrap_or_default(), call.id);
-    let is_whole = &*answer.body == whole.as_bytes() || &*answer.body == b"unframed";
+    let expected_body = format!("{} {}", stamp.unwrap_or_default(), call.id);
+    let is_whole = &*answer.body == expected_body.as_bytes() || &*answer.body == b"unframed";
     if !is_own || (answer.status == 200 && (stamp.is_none() || !is_whole)) {
-        calls.wrong.borrow_mut().push(format!("{} got {answer:?}", call.id));
+        calls.wrong_answers.borrow_mut().push(format!("{} got {answer:?}", call.id));
     }
 }
