--- a/tests/src/site.rs
+++ b/tests/src/site.rs
@@ -137,7 +137,7 @@
     /// Deletes an object from the store.
     pub async fn unput(&self, kind: &str, name: &str) {
         let path = leverstream_platform::objects::path(kind, Some(name));
-        let request = host_only_request("DELETE", &path);
+        let request = request_to("DELETE", &path);
         let answer = send(self.platform.address, &request).await.expect("the store answers");
         assert_eq!(answer.status, 200);
     }
@@ -240,7 +240,7 @@
 
     /// Returns whether the readiness check succeeds.
     pub async fn is_ready(&self) -> bool {
-        send(self.listener(8002), &host_only_request("GET", READY_PATH))
+        send(self.listener(8002), &request_to("GET", READY_PATH))
             .await
             .is_ok_and(|answer| answer.status == 200)
     }
@@ -253,7 +253,7 @@
 
     /// Returns the value of a metric, 0 if it is missing.
     pub async fn metric(&self, name: &str) -> f64 {
-        let answer = send(self.listener(8005), &host_only_request("GET", "/metrics")).await;
+        let answer = send(self.listener(8005), &request_to("GET", "/metrics")).await;
         let text = String::from_utf8(answer.expect("metrics are served").body.to_vec());
         let text = text.expect("metrics are valid UTF-8");
         let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
@@ -319,16 +319,14 @@
 /// Asks a directory where to connect; returns no addresses if there is no valid answer.
 pub async fn resolve(directory: SocketAddr, hall: &str) -> Vec<SocketAddr> {
     let target = format!("{RESOLVE_PATH}?name={HOST}&region=r&zone={hall}");
-    let Ok(answer) = send(directory, &host_only_request("GET", &target)).await else {
-        return Vec::new();
-    };
+    let Ok(answer) = send(directory, &request_to("GET", &target)).await else { return Vec::new() };
     let body: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     let listed = body["addresses"].as_array().cloned().unwrap_or_default();
     listed.iter().filter_map(|address| address.as_str()?.parse().ok()).collect()
 }
 
 /// Returns a request whose only header field is the host.
-fn host_only_request(method: &str, target: &str) -> Vec<u8> {
+fn request_to(method: &str, target: &str) -> Vec<u8> {
     let mut head = Head::open(method, target);
     head.field("host", HOST.as_bytes());
     head.finish(b"")
