--- a/tests/src/ends.rs
+++ b/tests/src/ends.rs
@@ -20,7 +20,7 @@
 const LEARN_LIMIT: Duration = Duration::from_millis(3_000);
 
 /// The most sends of the request that are tolerated after that.
-pub const SENDS_LEFT: usize = 3;
+pub const MAX_LATE_SENDS: usize = 3;
 
 /// The time after which a crashed backend server is back under another id.
 const RESTART_DELAY: Duration = Duration::from_millis(400);
@@ -32,7 +32,7 @@
 const CRASH_MARKER: &str = "ends-them";
 
 /// A fleet that receives the request.
-pub struct EndsStory {
+pub struct CrashScenario {
     /// The fleet.
     site: Site,
     /// Backend servers that have crashed and were replaced.
@@ -46,7 +46,7 @@
     /// Tasks of the ordinary requests; each returns whether its request was served.
     ordinary_requests: Vec<JoinHandle<bool>>,
     /// The most backend servers that were down at the same time.
-    down: usize,
+    max_down: usize,
 }
 
 /// What the check of the scenario measured.
@@ -55,58 +55,58 @@
     /// How often the request reached a backend server.
     pub sends: usize,
     /// How often it was sent by an undisturbed VM more than [`LEARN_LIMIT`] after the third crash.
-    pub late: usize,
+    pub late_sends: usize,
     /// The number of crashes of backend servers.
-    pub ended: usize,
+    pub crash_count: usize,
     /// The most backend servers that were down at the same time.
-    pub down: usize,
+    pub max_down: usize,
     /// The share of ordinary requests answered with status 200.
     pub served: f64,
 }
 
-impl EndsStory {
+impl CrashScenario {
     /// Starts a fleet.
-    pub async fn start(vms: usize, origins: usize) -> EndsStory {
+    pub async fn start(vms: usize, origins: usize) -> CrashScenario {
         let site = Site::start(vms, origins).await;
         site.origins.iter().for_each(prepare);
-        EndsStory {
+        CrashScenario {
             site,
             crashed: Vec::new(),
             fault_injector: FaultInjector::new(vms),
             restarts: 0,
             vm_by_request_id: HashMap::new(),
             ordinary_requests: Vec::new(),
-            down: 0,
+            max_down: 0,
         }
     }
 
     /// Repeats the request below a path prefix for a duration, at all VMs in turn, with as many ordinary requests.
-    pub async fn play(&mut self, path: &str, length: Duration) {
+    pub async fn run(&mut self, path: &str, length: Duration) {
         let until = Instant::now() + length;
         while Instant::now() < until {
             self.send_requests(path);
             tokio::time::sleep(REQUEST_INTERVAL).await;
             self.fault_injector.end_due_faults(&mut self.site);
             let down = self.site.origins.iter().filter(|origin| origin.ended_at().is_some());
-            self.down = self.down.max(down.count());
+            self.max_down = self.max_down.max(down.count());
             self.replace_crashed().await;
         }
     }
 
     /// Repeats the request while VMs and the store have random, overlapping faults, drawn from a seed.
-    pub async fn soak(&mut self, seed: u64, path: &str, length: Duration) {
+    pub async fn run_with_faults(&mut self, seed: u64, path: &str, length: Duration) {
         let mut rng = StdRng::seed_from_u64(seed);
         let until = Instant::now() + length;
         while Instant::now() < until {
             self.fault_injector.inject_random(&mut self.site, &mut rng).await;
             let pause = Duration::from_millis(rng.random_range(100..1_500));
-            self.play(path, pause).await;
+            self.run(path, pause).await;
         }
         self.fault_injector.end_store_outage(&self.site).await;
     }
 
     /// Returns the log of the injected faults, in order.
-    pub fn story(&self) -> &[String] {
+    pub fn events(&self) -> &[String] {
         &self.fault_injector.events
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Evaluates the requests that backend servers received against the faults of the VMs and the store.
-    pub async fn judge(mut self) -> Outcome {
+    pub async fn evaluate(mut self) -> Outcome {
         let origins: Vec<&Origin> = self.crashed.iter().chain(&self.site.origins).collect();
         let mut crashes: Vec<Instant> =
             origins.iter().filter_map(|origin| origin.ended_at()).collect();
@@ -136,13 +136,20 @@
             learned_by.is_some_and(|learned_by| *at > learned_by)
                 && self.fault_injector.was_undisturbed(*vm, *at, LEARN_LIMIT)
         };
-        let late = sends.iter().filter(is_late_send).count();
-        let (sends, ended, count) = (sends.len(), crashes.len(), self.ordinary_requests.len());
+        let late_sends = sends.iter().filter(is_late_send).count();
+        let (sends, crash_count, count) =
+            (sends.len(), crashes.len(), self.ordinary_requests.len());
         let mut served = 0;
         for ordinary in std::mem::take(&mut self.ordinary_requests) {
             served += usize::from(ordinary.await.unwrap_or(false));
         }
-        Outcome { sends, late, ended, down: self.down, served: served as f64 / count as f64 }
+        Outcome {
+            sends,
+            late_sends,
+            crash_count,
+            max_down: self.max_down,
+            served: served as f64 / count as f64,
+        }
     }
 
     /// Sends the crashing request and an ordinary one to the next VM.
--- a/tests/src/notices.rs
+++ b/tests/src/notices.rs
@@ -26,10 +26,10 @@
 const RECOVERY_TIME: Duration = Duration::from_secs(3);
 
 /// The most requests that may reach a backend server from one VM during a hold-off time.
-pub const UNWANTED_LEFT: usize = 2;
+pub const MAX_DURING_HOLD_OFF: usize = 2;
 
 /// A fleet whose backend servers send notices.
-pub struct NoticesStory {
+pub struct NoticesScenario {
     /// The fleet.
     site: Site,
     /// The requests of callers.
@@ -63,23 +63,23 @@
 #[derive(Debug)]
 pub struct Outcome {
     /// Pairs of a backend server and a VM where a request arrived more than [`LEAVING_LIMIT`] after the leaving notice to the VM.
-    pub late: usize,
+    pub late_after_leaving: usize,
     /// The most requests from one VM that reached a backend server during a hold-off time.
-    pub most_unwanted: usize,
+    pub max_during_hold_off: usize,
     /// The most requests to a backend server with a limit in one window, as a share of those allowed.
-    pub most_limited: f64,
+    pub max_limit_usage: f64,
     /// The number of answers with a notice.
-    pub words: usize,
+    pub notices: usize,
     /// The share of requests answered with status 200.
     pub served: f64,
 }
 
-impl NoticesStory {
+impl NoticesScenario {
     /// Starts a fleet.
-    pub async fn start(vms: usize, origins: usize) -> NoticesStory {
+    pub async fn start(vms: usize, origins: usize) -> NoticesScenario {
         let site = Site::start(vms, origins).await;
         site.set_all(Reply::After(WORK_MS));
-        NoticesStory {
+        NoticesScenario {
             site,
             flow: Flow::default(),
             fault_injector: FaultInjector::new(vms),
@@ -91,7 +91,7 @@
     }
 
     /// Runs random notices and overlapping faults of VMs and the store, drawn from a seed.
-    pub async fn soak(&mut self, seed: u64, length: Duration) {
+    pub async fn run_with_faults(&mut self, seed: u64, length: Duration) {
         let mut rng = StdRng::seed_from_u64(seed);
         while self.started.elapsed() < length {
             if rng.random_bool(0.5) {
@@ -109,25 +109,26 @@
     }
 
     /// Returns the log of notices and faults, in order.
-    pub fn story(&self) -> &[String] {
+    pub fn events(&self) -> &[String] {
         &self.fault_injector.events
     }
 
     /// Waits for all answers and compares the requests that backend servers received with their notices.
-    pub async fn judge(mut self) -> Outcome {
+    pub async fn evaluate(mut self) -> Outcome {
         let answers = self.flow.answers().await;
         let mut outcome = Outcome {
-            late: 0,
-            most_unwanted: 0,
-            most_limited: 0.0,
-            words: 0,
+            late_after_leaving: 0,
+            max_during_hold_off: 0,
+            max_limit_usage: 0.0,
+            notices: 0,
             served: served(&answers),
         };
         for origin in self.site.origins.iter().chain(&self.replaced) {
             let arrivals = self.flow.arrivals(origin, self.started);
-            outcome.words += arrivals.iter().filter(|(_, seen)| !seen.said.is_empty()).count();
+            outcome.notices += arrivals.iter().filter(|(_, seen)| !seen.said.is_empty()).count();
             let excused = |vm, from, to| self.fault_injector.had_vm_fault(vm, from, to);
-            outcome.most_unwanted = outcome.most_unwanted.max(most_unwanted(&arrivals, excused));
+            outcome.max_during_hold_off =
+                outcome.max_during_hold_off.max(most_unwanted(&arrivals, excused));
             // A VM with a fault shortly before may not know the limit yet.
             let excused = |vm, at: Instant| {
                 self.fault_injector.had_vm_fault(
@@ -136,7 +137,8 @@
                     at,
                 )
             };
-            outcome.most_limited = outcome.most_limited.max(limited(&arrivals, excused).worst);
+            outcome.max_limit_usage =
+                outcome.max_limit_usage.max(limited(&arrivals, excused).worst);
             // A restarted or paused VM has to receive the notice again.
             for vm in 0..self.site.vms.len() {
                 let of_vm: Vec<_> =
@@ -145,7 +147,7 @@
                     !self.fault_injector.had_vm_fault(vm, before.at, after.at)
                 });
                 let longest = incarnations.map(longest_after_word).max().unwrap_or_default();
-                outcome.late += usize::from(longest > LEAVING_LIMIT);
+                outcome.late_after_leaving += usize::from(longest > LEAVING_LIMIT);
             }
         }
         outcome
--- a/tests/tests/gateway_ends.rs
+++ b/tests/tests/gateway_ends.rs
@@ -9,37 +9,37 @@
 
 use std::time::Duration;
 
-use leverstream_tests::ends::{EndsStory, SENDS_LEFT};
+use leverstream_tests::ends::{CrashScenario, MAX_LATE_SENDS};
 use leverstream_tests::site::{ONCE, SAFE};
 
 #[actix_rt::test]
 async fn a_request_under_which_three_have_ended_is_hardly_sent_any_more() {
     for path in [SAFE, ONCE] {
-        let mut story = EndsStory::start(3, 8).await;
-        story.play(path, Duration::from_secs(7)).await;
-        let outcome = story.judge().await;
+        let mut story = CrashScenario::start(3, 8).await;
+        story.run(path, Duration::from_secs(7)).await;
+        let outcome = story.evaluate().await;
         println!("{path}: {outcome:?}");
-        assert!(outcome.late <= SENDS_LEFT, "{path}: {outcome:?}");
+        assert!(outcome.late_sends <= MAX_LATE_SENDS, "{path}: {outcome:?}");
     }
 }
 
 #[actix_rt::test]
 async fn it_is_still_known_after_all_vms_were_killed_at_once() {
-    let mut story = EndsStory::start(3, 8).await;
-    story.play(SAFE, Duration::from_secs(4)).await;
+    let mut story = CrashScenario::start(3, 8).await;
+    story.run(SAFE, Duration::from_secs(4)).await;
     story.kill_all();
-    story.play(SAFE, Duration::from_secs(6)).await;
-    let outcome = story.judge().await;
+    story.run(SAFE, Duration::from_secs(6)).await;
+    let outcome = story.evaluate().await;
     println!("{outcome:?}");
-    assert!(outcome.late <= SENDS_LEFT, "{outcome:?}");
+    assert!(outcome.late_sends <= MAX_LATE_SENDS, "{outcome:?}");
 }
 
 #[actix_rt::test]
 async fn the_last_backend_server_of_a_service_is_spared() {
-    let mut story = EndsStory::start(1, 3).await;
-    story.play(SAFE, Duration::from_secs(5)).await;
-    let outcome = story.judge().await;
+    let mut story = CrashScenario::start(1, 3).await;
+    story.run(SAFE, Duration::from_secs(5)).await;
+    let outcome = story.evaluate().await;
     println!("{outcome:?}");
-    assert!(outcome.down <= 2 && outcome.ended <= 3, "{outcome:?}");
+    assert!(outcome.max_down <= 2 && outcome.crash_count <= 3, "{outcome:?}");
     assert!(outcome.served >= 0.9, "{outcome:?}");
 }
--- a/tests/tests/soak.rs
+++ b/tests/tests/soak.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use leverstream_tests::ends::{EndsStory, SENDS_LEFT};
-use leverstream_tests::notices::{NoticesStory, UNWANTED_LEFT};
+use leverstream_tests::ends::{CrashScenario, MAX_LATE_SENDS};
+use leverstream_tests::notices::{MAX_DURING_HOLD_OFF, NoticesScenario};
 use leverstream_tests::site::{ONCE, SAFE};
 use leverstream_tests::soak::{Plan, soak};
 
@@ -52,13 +52,13 @@
     let length = Duration::from_secs(number("SOAK_SECONDS").unwrap_or(LENGTH_S));
     let mut failed = Vec::new();
     for seed in seeds(&END_SEEDS) {
-        let mut story = EndsStory::start(4, 8).await;
+        let mut story = CrashScenario::start(4, 8).await;
         let path = if seed % 2 == 0 { SAFE } else { ONCE };
-        story.soak(seed, path, length).await;
-        let done = story.story().to_vec();
-        let outcome = story.judge().await;
+        story.run_with_faults(seed, path, length).await;
+        let done = story.events().to_vec();
+        let outcome = story.evaluate().await;
         println!("ends, seed {seed}: {outcome:?}");
-        if outcome.late > SENDS_LEFT || std::env::var_os("SOAK_STORY").is_some() {
+        if outcome.late_sends > MAX_LATE_SENDS || std::env::var_os("SOAK_STORY").is_some() {
             println!("seed {seed}:\n{}", done.join("\n"));
             failed.push(seed);
         }
@@ -74,13 +74,14 @@
     let length = Duration::from_secs(number("SOAK_SECONDS").unwrap_or(LENGTH_S));
     let mut failed = Vec::new();
     for seed in seeds(&NOTICE_SEEDS) {
-        let mut story = NoticesStory::start(4, 6).await;
-        story.soak(seed, length).await;
-        let done = story.story().to_vec();
-        let outcome = story.judge().await;
+        let mut story = NoticesScenario::start(4, 6).await;
+        story.run_with_faults(seed, length).await;
+        let done = story.events().to_vec();
+        let outcome = story.evaluate().await;
         println!("notices, seed {seed}: {outcome:?}");
-        let is_broken =
-            outcome.late > 0 || outcome.most_unwanted > UNWANTED_LEFT || outcome.most_limited > 1.0;
+        let is_broken = outcome.late_after_leaving > 0
+            || outcome.max_during_hold_off > MAX_DURING_HOLD_OFF
+            || outcome.max_limit_usage > 1.0;
         if is_broken || std::env::var_os("SOAK_STORY").is_some() {
             println!("seed {seed}:\n{}", done.join("\n"));
             failed.push(seed);
