--- a/tests/src/flow.rs
+++ b/tests/src/flow.rs
@@ -21,18 +21,18 @@
     /// The index of the VM that each request was sent to, by request id.
     vms: HashMap<String, usize>,
     /// The results of the requests.
-    answers: Vec<JoinHandle<Answered>>,
+    answers: Vec<JoinHandle<CallResult>>,
 }
 
 /// The result of a request of a flow.
 #[derive(Clone, Copy, Debug)]
-pub struct Answered {
+pub struct CallResult {
     /// The HTTP status; `None` without a complete answer.
     pub status: Option<u16>,
     /// The value of the retry-after field, in seconds.
     pub retry_after_s: Option<f64>,
     /// When the request was sent.
-    pub asked_at: Instant,
+    pub sent_at: Instant,
     /// The time until the answer or the failure.
     pub took: Duration,
 }
@@ -54,7 +54,7 @@
     }
 
     /// Waits for the results of all requests sent since the last call.
-    pub async fn answers(&mut self) -> Vec<Answered> {
+    pub async fn answers(&mut self) -> Vec<CallResult> {
         let mut answers = Vec::new();
         for answer in std::mem::take(&mut self.answers) {
             answers.push(answer.await.expect("the task of a request doesn't panic"));
@@ -74,13 +74,13 @@
 }
 
 /// Returns the share of requests answered with status 200.
-pub fn served(answers: &[Answered]) -> f64 {
+pub fn served_share(answers: &[CallResult]) -> f64 {
     let served = answers.iter().filter(|answer| answer.status == Some(200)).count();
     served as f64 / answers.len() as f64
 }
 
 /// Returns the longest time, over all VMs, from a backend server's first leaving notice to a VM until the VM's last request to it.
-pub fn longest_after_word(arrivals: &[(usize, Seen)]) -> Duration {
+pub fn longest_after_leaving_notice(arrivals: &[(usize, Seen)]) -> Duration {
     let mut first_notices: HashMap<usize, Instant> = HashMap::new();
     let mut longest = Duration::ZERO;
     for (vm, seen) in arrivals {
@@ -95,7 +95,7 @@
 
 /// Returns the most requests that one VM sent during a hold-off time named in a rejection, from [`IN_FLIGHT_TIME`] after the
 /// rejection on. `is_excused` returns whether a fault affected a VM between two moments.
-pub fn most_unwanted(
+pub fn max_during_hold_off(
     arrivals: &[(usize, Seen)],
     is_excused: impl Fn(usize, Instant, Instant) -> bool,
 ) -> usize {
@@ -125,24 +125,27 @@
 
 /// How much of its limit a backend server received.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Limited {
+pub struct LimitUsage {
     /// The most requests in a window, as a share of those allowed by the limits named in the window.
-    pub worst: f64,
+    pub max_window_share: f64,
     /// Requests received as a share of those that its limits allow, from [`LIMIT_LEARN_TIME`] on.
-    pub spent: f64,
+    pub total_share: f64,
 }
 
 /// Measures the requests that a backend server received from all VMs, informed of the limit or not, while its answers named a
 /// limit. `is_excused` returns whether a fault affected a VM around a moment.
 ///
 /// The limit at a moment is that of the last arrival before it; if it changed within a window, the largest applies.
-pub fn limited(arrivals: &[(usize, Seen)], is_excused: impl Fn(usize, Instant) -> bool) -> Limited {
+pub fn limit_usage(
+    arrivals: &[(usize, Seen)],
+    is_excused: impl Fn(usize, Instant) -> bool,
+) -> LimitUsage {
     let limit = |seen: &Seen| notice_value(seen, headers::LIMIT);
     let Some(first) = arrivals.iter().position(|(_, seen)| limit(seen).is_some()) else {
-        return Limited::default();
+        return LimitUsage::default();
     };
     let counts_from = arrivals[first].1.at + LIMIT_LEARN_TIME;
-    let mut worst: f64 = 0.0;
+    let mut max_window_share: f64 = 0.0;
     let mut total_allowed = 0.0;
     for (number, (_, seen)) in arrivals.iter().enumerate() {
         let Some(per_s) = limit(seen).filter(|_| seen.at >= counts_from) else { continue };
@@ -158,11 +161,11 @@
         let counted = in_window.iter().filter(|(vm, other)| !is_excused(*vm, other.at)).count();
         let (factor, slack) = LIMIT_ALLOWANCE;
         let allowed = factor * max_per_s * LIMIT_WINDOW.as_secs_f64() + slack;
-        worst = worst.max(counted as f64 / allowed);
+        max_window_share = max_window_share.max(counted as f64 / allowed);
     }
     let counted = arrivals.iter().filter(|(_, seen)| seen.at >= counts_from);
     let with_limit = counted.filter(|(_, seen)| limit(seen).is_some()).count();
-    Limited { worst, spent: with_limit as f64 / f64::max(total_allowed, 1.0) }
+    LimitUsage { max_window_share, total_share: with_limit as f64 / f64::max(total_allowed, 1.0) }
 }
 
 /// Returns the number that a backend server's answer had in a notice field.
@@ -172,13 +175,13 @@
 }
 
 /// Sends a request once.
-async fn send_call(to: std::net::SocketAddr, call: &Call) -> Answered {
-    let asked_at = Instant::now();
+async fn send_call(to: std::net::SocketAddr, call: &Call) -> CallResult {
+    let sent_at = Instant::now();
     let answer = send(to, &call.bytes()).await.ok();
     let retry_after_s = answer
         .as_ref()
         .and_then(|answer| answer.text(headers::RETRY_AFTER))
         .and_then(|text| text.parse().ok());
     let status = answer.map(|answer| answer.status);
-    Answered { status, retry_after_s, asked_at, took: asked_at.elapsed() }
+    CallResult { status, retry_after_s, sent_at, took: sent_at.elapsed() }
 }
--- a/tests/src/notices.rs
+++ b/tests/src/notices.rs
@@ -12,7 +12,9 @@
 use rand::{Rng, SeedableRng};
 
 use crate::fault_injector::FaultInjector;
-use crate::flow::{Flow, limited, longest_after_word, most_unwanted, served};
+use crate::flow::{
+    Flow, limit_usage, longest_after_leaving_notice, max_during_hold_off, served_share,
+};
 use crate::site::{Site, backend};
 
 /// How long a backend server works on a request.
@@ -121,14 +123,14 @@
             max_during_hold_off: 0,
             max_limit_usage: 0.0,
             notices: 0,
-            served: served(&answers),
+            served: served_share(&answers),
         };
         for origin in self.site.origins.iter().chain(&self.replaced) {
             let arrivals = self.flow.arrivals(origin, self.started);
             outcome.notices += arrivals.iter().filter(|(_, seen)| !seen.said.is_empty()).count();
             let excused = |vm, from, to| self.fault_injector.had_vm_fault(vm, from, to);
             outcome.max_during_hold_off =
-                outcome.max_during_hold_off.max(most_unwanted(&arrivals, excused));
+                outcome.max_during_hold_off.max(max_during_hold_off(&arrivals, excused));
             // A VM with a fault shortly before may not know the limit yet.
             let excused = |vm, at: Instant| {
                 self.fault_injector.had_vm_fault(
@@ -138,7 +140,7 @@
                 )
             };
             outcome.max_limit_usage =
-                outcome.max_limit_usage.max(limited(&arrivals, excused).worst);
+                outcome.max_limit_usage.max(limit_usage(&arrivals, excused).max_window_share);
             // A restarted or paused VM has to receive the notice again.
             for vm in 0..self.site.vms.len() {
                 let of_vm: Vec<_> =
@@ -146,7 +148,8 @@
                 let incarnations = of_vm.chunk_by(|(_, before), (_, after)| {
                     !self.fault_injector.had_vm_fault(vm, before.at, after.at)
                 });
-                let longest = incarnations.map(longest_after_word).max().unwrap_or_default();
+                let longest =
+                    incarnations.map(longest_after_leaving_notice).max().unwrap_or_default();
                 outcome.late_after_leaving += usize::from(longest > LEAVING_LIMIT);
             }
         }
--- a/tests/tests/gateway_emptied.rs
+++ b/tests/tests/gateway_emptied.rs
@@ -5,7 +5,7 @@
 use leverstream_platform::standin;
 use leverstream_standin::origin::Reply;
 use leverstream_standin::platform::Faults;
-use leverstream_tests::flow::{Flow, served};
+use leverstream_tests::flow::{Flow, served_share};
 use leverstream_tests::site::{Site, backend};
 use serde_json::json;
 
@@ -51,7 +51,7 @@
     site.vms[1].restart();
     site.until_ready().await;
     flow.run(&site, Duration::from_millis(1_500)).await;
-    let share = served(&flow.answers().await);
+    let share = served_share(&flow.answers().await);
     assert_eq!(arrived(&flow, &site, known), 0);
     assert!(share >= 0.97, "{share} served");
     site.unput(standin::EMPTIED, OTHER_HALL).await;
--- a/tests/tests/gateway_limits.rs
+++ b/tests/tests/gateway_limits.rs
@@ -11,7 +11,7 @@
 
 use leverstream_platform::headers;
 use leverstream_standin::origin::Reply;
-use leverstream_tests::flow::{Answered, Flow, limited, served};
+use leverstream_tests::flow::{CallResult, Flow, limit_usage, served_share};
 use leverstream_tests::site::Site;
 use rustix::process::Signal;
 use yare::parameterized;
@@ -25,9 +25,9 @@
     let word = Instant::now();
     site.origin(0).say(&[(headers::LIMIT, "1.4")]);
     flow.run(&site, Duration::from_secs(11)).await;
-    let served = served(&flow.answers().await);
+    let served = served_share(&flow.answers().await);
     let arrivals = flow.arrivals(site.origin(0), word);
-    let limited = limited(&arrivals, |_, _| false);
+    let limited = limit_usage(&arrivals, |_, _| false);
     for (number, vm) in site.vms.iter().enumerate() {
         let known = vm.metric("leverstream_backends{state=\"Limited\"}").await;
         let granted = vm.metric("leverstream_permits_total{service=\"shop\"}").await;
@@ -37,8 +37,8 @@
         assert!((known - 1.0).abs() < f64::EPSILON, "each VM knows the limit: {known}");
     }
     println!("{} arrivals, {limited:?}, {served:.3} served", arrivals.len());
-    assert!(limited.worst <= 1.0, "{limited:?}");
-    assert!(limited.spent >= 0.8, "{limited:?}");
+    assert!(limited.max_window_share <= 1.0, "{limited:?}");
+    assert!(limited.total_share >= 0.8, "{limited:?}");
     assert!(served >= 0.99, "{served} served");
 }
 
@@ -62,8 +62,8 @@
         let limited = vm.metric("leverstream_backends{state=\"Limited\"}").await;
         assert!((limited - 1.0).abs() < f64::EPSILON, "each VM knows of it");
     }
-    let limited = limited(&flow.arrivals(site.origin(0), word), |_, _| false);
-    assert!(limited.worst <= 1.0, "{limited:?}");
+    let limited = limit_usage(&flow.arrivals(site.origin(0), word), |_, _| false);
+    assert!(limited.max_window_share <= 1.0, "{limited:?}");
 }
 
 #[actix_rt::test]
@@ -101,17 +101,21 @@
     flow.run(&site, Duration::from_secs(6)).await;
     let answers = flow.answers().await;
     for (number, origin) in site.origins.iter().enumerate() {
-        let limited = limited(&flow.arrivals(origin, word), |_, _| false);
+        let limited = limit_usage(&flow.arrivals(origin, word), |_, _| false);
         println!("backend server {number}: {limited:?}");
-        assert!(limited.worst <= 1.0, "{limited:?}");
-        assert!(limited.spent >= 0.8, "{limited:?}");
+        assert!(limited.max_window_share <= 1.0, "{limited:?}");
+        assert!(limited.total_share >= 0.8, "{limited:?}");
     }
-    let is_refused = |answer: &&Answered| answer.status == Some(503);
-    let refused: Vec<&Answered> = answers.iter().filter(is_refused).collect();
+    let is_refused = |answer: &&CallResult| answer.status == Some(503);
+    let refused: Vec<&CallResult> = answers.iter().filter(is_refused).collect();
     let mut took: Vec<Duration> = refused.iter().map(|answer| answer.took).collect();
     took.sort_unstable();
     let late = took.iter().filter(|took| **took > Duration::from_millis(100)).count();
-    println!("{:.3} served, {} refused, {late} of them after 0.1 s", served(&answers), took.len());
+    println!(
+        "{:.3} served, {} refused, {late} of them after 0.1 s",
+        served_share(&answers),
+        took.len()
+    );
     assert!(refused.iter().all(|answer| answer.retry_after_s.is_some_and(|after_s| after_s > 0.0)));
     assert!(late * 20 <= refused.len(), "{late} of {} refusals were late", refused.len());
 }
@@ -135,8 +139,8 @@
     site.vms[3].restart();
     flow.run(&site, Duration::from_millis(3_000)).await;
     flow.answers().await;
-    let limited = limited(&flow.arrivals(site.origin(0), word), |_, _| false);
+    let limited = limit_usage(&flow.arrivals(site.origin(0), word), |_, _| false);
     println!("{limited:?}");
-    assert!(limited.worst <= 1.0, "{limited:?}");
-    assert!(limited.spent >= 0.4, "{limited:?}");
+    assert!(limited.max_window_share <= 1.0, "{limited:?}");
+    assert!(limited.total_share >= 0.4, "{limited:?}");
 }
--- a/tests/tests/gateway_notices.rs
+++ b/tests/tests/gateway_notices.rs
@@ -11,7 +11,9 @@
 use leverstream_platform::headers;
 use leverstream_standin::origin::Reply;
 use leverstream_standin::platform::Faults;
-use leverstream_tests::flow::{Answered, Flow, longest_after_word, most_unwanted, served};
+use leverstream_tests::flow::{
+    CallResult, Flow, longest_after_leaving_notice, max_during_hold_off, served_share,
+};
 use leverstream_tests::site::{Call, SAFE, Site, backend};
 use rustix::process::Signal;
 use yare::parameterized;
@@ -45,7 +47,7 @@
     flow.run(&site, Duration::from_secs(4)).await;
     let answers = flow.answers().await;
     let arrivals = flow.arrivals(site.origin(0), word);
-    let longest = longest_after_word(&arrivals);
+    let longest = longest_after_leaving_notice(&arrivals);
     for vm in &site.vms {
         let by_word = vm.metric("leverstream_backends{state=\"LeavingByWord\"}").await;
         assert!((by_word - 1.0).abs() < f64::EPSILON, "each VM shows it: {by_word}");
@@ -53,10 +55,10 @@
     println!(
         "{} arrivals, {longest:?} after the word, {:.3} served",
         arrivals.len(),
-        served(&answers)
+        served_share(&answers)
     );
     assert!(longest <= LEAVES_WITHIN, "{longest:?} after the word");
-    assert!(served(&answers) >= 0.99, "{} served", served(&answers));
+    assert!(served_share(&answers) >= 0.99, "{} served", served_share(&answers));
 }
 
 /// What a backend server answers with when it says that it leaves.
@@ -74,7 +76,7 @@
     site.origin(0).say(&[(headers::LEAVING, "1")]);
     flow.run(&site, Duration::from_millis(3_000)).await;
     flow.answers().await;
-    let longest = longest_after_word(&flow.arrivals(site.origin(0), word));
+    let longest = longest_after_leaving_notice(&flow.arrivals(site.origin(0), word));
     assert!(longest <= LEAVES_WITHIN, "{longest:?} after the word");
 }
 
@@ -98,9 +100,9 @@
     site.vms[2].restart();
     site.until_ready().await;
     flow.run(&site, Duration::from_millis(3_000)).await;
-    let served = served(&flow.answers().await);
+    let served = served_share(&flow.answers().await);
     let arrivals = flow.arrivals(site.origin(0), word);
-    let longest = longest_after_word(&arrivals);
+    let longest = longest_after_leaving_notice(&arrivals);
     println!("{} arrivals, {longest:?} after the word, {served:.3} served", arrivals.len());
     assert!(longest <= LEAVES_WITHIN, "{longest:?} after the word");
 }
@@ -116,14 +118,20 @@
     let at_first = flow.answers().await;
     flow.run(&site, Duration::from_millis(2_500)).await;
     let later = flow.answers().await;
-    let longest =
-        site.origins.iter().map(|origin| longest_after_word(&flow.arrivals(origin, word)));
+    let longest = site
+        .origins
+        .iter()
+        .map(|origin| longest_after_leaving_notice(&flow.arrivals(origin, word)));
     let longest = longest.max().unwrap_or_default();
-    println!("{:.3} served, then {:.3}; last after {longest:?}", served(&at_first), served(&later));
+    println!(
+        "{:.3} served, then {:.3}; last after {longest:?}",
+        served_share(&at_first),
+        served_share(&later)
+    );
     assert!(longest <= LEAVES_WITHIN, "{longest:?} after the word");
-    assert!(served(&at_first) >= 0.99, "{} served", served(&at_first));
-    let is_refused = |answer: &&Answered| answer.status == Some(503);
-    let refused: Vec<&Answered> = later.iter().filter(is_refused).collect();
+    assert!(served_share(&at_first) >= 0.99, "{} served", served_share(&at_first));
+    let is_refused = |answer: &&CallResult| answer.status == Some(503);
+    let refused: Vec<&CallResult> = later.iter().filter(is_refused).collect();
     assert!(refused.len() > 100, "{} refused", refused.len());
     assert!(refused.iter().all(|answer| answer.retry_after_s.is_some_and(|after_s| after_s > 0.0)));
     let slowest = refused.iter().map(|answer| answer.took).max().unwrap_or_default();
@@ -148,9 +156,9 @@
     site.origin(0).set(Reply::Full);
     site.origin(0).say(&[(headers::RETRY_AFTER, "2")]);
     flow.run(&site, WANTS_NOTHING).await;
-    let served = served(&flow.answers().await);
+    let served = served_share(&flow.answers().await);
     let arrivals = flow.arrivals(site.origin(0), from);
-    let most = most_unwanted(&arrivals, |_, _, _| false);
+    let most = max_during_hold_off(&arrivals, |_, _, _| false);
     println!("{} arrivals, {most} of one VM unwanted, {served:.3} served", arrivals.len());
     assert!(most <= UNWANTED, "{most} requests of one VM");
     assert!(served >= 0.99, "{served} served");
@@ -175,19 +183,19 @@
     let most = site
         .origins
         .iter()
-        .map(|origin| most_unwanted(&flow.arrivals(origin, from), |_, _, _| false));
+        .map(|origin| max_during_hold_off(&flow.arrivals(origin, from), |_, _, _| false));
     let most = most.max().unwrap_or(0);
     assert!(most <= UNWANTED, "{most} requests of one VM");
     // By then each VM was told by each of them.
     let settled = from + Duration::from_millis(800);
-    let late: Vec<&Answered> = answers.iter().filter(|answer| answer.asked_at > settled).collect();
+    let late: Vec<&CallResult> = answers.iter().filter(|answer| answer.sent_at > settled).collect();
     let slowest = late.iter().map(|answer| answer.took).max().unwrap_or_default();
     println!("{} refused, the slowest within {slowest:?}, {most} unwanted", late.len());
     assert!(late.iter().all(|answer| answer.status == Some(503)));
     assert!(slowest < Duration::from_millis(300), "a refusal took {slowest:?}");
     for answer in late {
         let back =
-            answer.asked_at + Duration::from_secs_f64(answer.retry_after_s.expect("it says when"));
+            answer.sent_at + Duration::from_secs_f64(answer.retry_after_s.expect("it says when"));
         assert!(back + Duration::from_millis(100) >= from + WANTS_NOTHING, "too early");
         assert!(back <= from + WANTS_NOTHING + Duration::from_secs(3), "too late");
     }
@@ -196,7 +204,7 @@
     tokio::time::sleep(WANTS_NOTHING.saturating_sub(from.elapsed()) + Duration::from_millis(600))
         .await;
     flow.run(&site, Duration::from_millis(500)).await;
-    let served = served(&flow.answers().await);
+    let served = served_share(&flow.answers().await);
     assert!(served >= 0.99, "{served} served");
 }
 
@@ -210,7 +218,7 @@
     site.set_all(Reply::After(20));
     site.origins.iter().for_each(|origin| origin.say(&[]));
     flow.run(&site, Duration::from_millis(500)).await;
-    let served = served(&flow.answers().await);
+    let served = served_share(&flow.answers().await);
     println!("{served:.3} served");
     assert!(served >= 0.7, "{served} served");
 }
