--- a/tests/src/soak.rs
+++ b/tests/src/soak.rs
@@ -26,7 +26,7 @@
 use crate::site::{Call, HALL, ONCE, Site, Vm, backend};
 use crate::until;
 
-pub use callers::Got;
+pub use callers::CallerResult;
 use callers::{Calls, call};
 use repeat_bound::find_excess_repeats;
 
@@ -46,13 +46,13 @@
 #[derive(Debug, Default)]
 pub struct Findings {
     /// Violated guarantees, each with its evidence.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// The number of requests answered with status 200.
     pub served: usize,
     /// The number of all requests.
-    pub asked: usize,
+    pub requests: usize,
     /// Log of the injected faults, in order.
-    pub story: Vec<String>,
+    pub events: Vec<String>,
 }
 
 /// A fleet under a soak test.
@@ -70,28 +70,28 @@
     /// The source of all random decisions of the soak.
     rng: StdRng,
     /// Log of the injected faults, in order.
-    story: Vec<String>,
+    events: Vec<String>,
     /// When the soak started.
     started: Instant,
     /// How often a backend server has started again under its id.
     same_id_starts: u64,
     /// Guarantees violated while it ran.
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
 /// Which faults a soak injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plan {
+pub enum FaultPlan {
     /// All faults.
-    Anything,
+    All,
     /// VMs are killed, stopped and paused while backend servers reject requests.
-    Rejects,
+    VmFaultsAndRejections,
     /// All faults, while backend servers start again under their ids and other writers add invalid entries.
-    Reborn,
+    StartsUnderSameId,
 }
 
 /// Runs a soak of a seed for a duration and returns its result.
-pub async fn soak(seed: u64, plan: Plan, length: Duration) -> Findings {
+pub async fn soak(seed: u64, plan: FaultPlan, length: Duration) -> Findings {
     let mut soak = Soak::start(seed).await;
     let calls = Rc::new(Calls {
         is_running: Cell::new(true),
@@ -106,9 +106,9 @@
         .collect();
     while soak.started.elapsed() < length {
         match plan {
-            Plan::Anything => soak.inject_random().await,
-            Plan::Rejects => soak.inject_random_vm_fault().await,
-            Plan::Reborn => {
+            FaultPlan::All => soak.inject_random().await,
+            FaultPlan::VmFaultsAndRejections => soak.inject_random_vm_fault().await,
+            FaultPlan::StartsUnderSameId => {
                 let index = soak.rng.random_range(0..ORIGINS);
                 soak.restart_under_same_id(index).await;
                 soak.write_invalid_entry().await;
@@ -159,10 +159,10 @@
             instances,
             directories,
             rng: StdRng::seed_from_u64(seed),
-            story: Vec::new(),
+            events: Vec::new(),
             started: Instant::now(),
             same_id_starts: 0,
-            broken: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
@@ -203,7 +203,7 @@
 
     /// Appends a line to the log of faults.
     fn log_event(&mut self, what: &str) {
-        self.story.push(format!("{:>6} ms: {what}", self.started.elapsed().as_millis()));
+        self.events.push(format!("{:>6} ms: {what}", self.started.elapsed().as_millis()));
     }
 
     /// Sets a random reply of a backend server.
@@ -283,7 +283,7 @@
         }
         let ended = tokio::time::timeout(STOP_LIMIT, self.site.vms[vm].process.wait()).await;
         if ended != Ok(Some(0)) {
-            self.broken.push(format!("VM {vm} did not exit with code 0 in time: {ended:?}"));
+            self.violations.push(format!("VM {vm} did not exit with code 0 in time: {ended:?}"));
         }
         self.site.vms[vm].restart();
         self.log_event(&format!("VM {vm} is restarted"));
@@ -308,7 +308,7 @@
     /// Replaces a backend server with a new instance at the same address. The old entry isn't always removed.
     async fn replace_at_address(&mut self, index: usize) {
         let old_instance = self.instances[index].clone();
-        let new_instance = format!("i-{index}-{}", self.story.len() + 1);
+        let new_instance = format!("i-{index}-{}", self.events.len() + 1);
         self.site.origin(index).rename(&new_instance);
         self.end_store_faults().await;
         self.site.list_backend(&backend(&new_instance, self.origin_relays[index].address)).await;
@@ -385,22 +385,22 @@
             let id = seen.field(headers::REQUEST_ID).unwrap_or_default().to_owned();
             *runs.entry(id).or_default() += 1;
         }
-        let mut broken = self.broken;
-        broken.extend(calls.wrong_answers.borrow().iter().cloned());
+        let mut violations = self.violations;
+        violations.extend(calls.wrong_answers.borrow().iter().cloned());
         let results = calls.results.borrow();
         for result in results.iter().filter(|result| result.is_non_repeatable) {
             let ran = runs.get(&result.id).copied().unwrap_or(0);
             if ran > 1 {
-                broken.push(format!("{result:?} ran {ran} times"));
+                violations.push(format!("{result:?} ran {ran} times"));
             }
             if matches!(result.status, Some(408 | 421 | 429 | 503)) && ran > 0 {
-                broken.push(format!("{result:?} was answered as not run, but ran"));
+                violations.push(format!("{result:?} was answered as not run, but ran"));
             }
         }
         let arrivals: Vec<Seen> = self.site.origins.iter().flat_map(Origin::seen).collect();
-        broken.extend(find_excess_repeats(&results, &arrivals));
+        violations.extend(find_excess_repeats(&results, &arrivals));
         let served = results.iter().filter(|result| result.status == Some(200)).count();
-        Findings { broken, served, asked: results.len(), story: self.story }
+        Findings { violations, served, requests: results.len(), events: self.events }
     }
 }
 
--- a/tests/src/soak/callers.rs
+++ b/tests/src/soak/callers.rs
@@ -18,7 +18,7 @@
 
 /// The result of one request of a caller.
 #[derive(Clone, Debug)]
-pub struct Got {
+pub struct CallerResult {
     /// The request id.
     pub id: String,
     /// When it was sent.
@@ -34,7 +34,7 @@
     /// Whether callers go on sending requests.
     pub is_running: Cell<bool>,
     /// The results of all requests.
-    pub results: RefCell<Vec<Got>>,
+    pub results: RefCell<Vec<CallerResult>>,
     /// Descriptions of wrong answers.
     pub wrong_answers: RefCell<Vec<String>>,
 }
@@ -90,7 +90,12 @@
         check(calls, &call, answer);
     }
     let status = answer.as_ref().map(|answer| answer.status);
-    calls.results.borrow_mut().push(Got { id: call.id, sent_at, is_non_repeatable, status });
+    calls.results.borrow_mut().push(CallerResult {
+        id: call.id,
+        sent_at,
+        is_non_repeatable,
+        status,
+    });
     let is_reusable = answer.is_some_and(|answer| !answer.closes()) && conn.is_reusable();
     is_reusable.then_some((address, conn))
 }
--- a/tests/src/soak/repeat_bound.rs
+++ b/tests/src/soak/repeat_bound.rs
@@ -6,7 +6,7 @@
 use leverstream_platform::headers;
 use leverstream_standin::origin::Seen;
 
-use super::Got;
+use super::CallerResult;
 
 /// The repeats that the site's settings allow all VMs together: a share of the requests, and a fixed number besides.
 const REPEATS_PER_REQUEST: f64 = 0.2;
@@ -19,7 +19,7 @@
 /// request after its first is a repeat.
 ///
 /// The bound uses the requests of the window, of the preceding one, or of that half a window earlier, whichever are most.
-pub(super) fn find_excess_repeats(results: &[Got], arrivals: &[Seen]) -> Option<String> {
+pub(super) fn find_excess_repeats(results: &[CallerResult], arrivals: &[Seen]) -> Option<String> {
     let started = results.iter().map(|result| result.sent_at).min()?;
     let at_ms = |at: Instant| at.saturating_duration_since(started).as_millis() as u64;
     let sent_ms: Vec<u64> = results.iter().map(|result| at_ms(result.sent_at)).collect();
--- a/tests/tests/soak.rs
+++ b/tests/tests/soak.rs
@@ -5,7 +5,7 @@
 use leverstream_tests::ends::{CrashScenario, MAX_LATE_SENDS};
 use leverstream_tests::notices::{MAX_DURING_HOLD_OFF, NoticesScenario};
 use leverstream_tests::site::{ONCE, SAFE};
-use leverstream_tests::soak::{Plan, soak};
+use leverstream_tests::soak::{FaultPlan, soak};
 
 /// The seeds that run each time: one that found nothing yet, then those that ever failed.
 ///
@@ -28,17 +28,17 @@
 
 #[actix_rt::test]
 async fn promises_hold_whatever_happens() {
-    run(Plan::Anything, &SEEDS, LENGTH_S).await;
+    run(FaultPlan::All, &SEEDS, LENGTH_S).await;
 }
 
 #[actix_rt::test]
 async fn repeats_stay_within_what_is_allowed_while_vms_come_and_go() {
-    run(Plan::Rejects, &REJECT_SEEDS, REJECT_LENGTH_S).await;
+    run(FaultPlan::VmFaultsAndRejections, &REJECT_SEEDS, REJECT_LENGTH_S).await;
 }
 
 #[actix_rt::test]
 async fn promises_hold_while_backend_servers_start_again_under_their_ids() {
-    run(Plan::Reborn, &REBORN_SEEDS, LENGTH_S).await;
+    run(FaultPlan::StartsUnderSameId, &REBORN_SEEDS, LENGTH_S).await;
 }
 
 /// The seeds that run each time with backend servers that start again under their ids.
@@ -99,16 +99,16 @@
 }
 
 /// Runs a soak of each seed, of those that the environment names instead if it does.
-async fn run(plan: Plan, seeds: &[u64], length_s: u64) {
+async fn run(plan: FaultPlan, seeds: &[u64], length_s: u64) {
     let length = Duration::from_secs(number("SOAK_SECONDS").unwrap_or(length_s));
     let mut failed = Vec::new();
     for seed in self::seeds(seeds) {
         let findings = soak(seed, plan, length).await;
-        println!("{plan:?}, seed {seed}: {} of {} served", findings.served, findings.asked);
-        assert!(findings.asked > 50, "the callers were at work");
-        if !findings.broken.is_empty() {
-            println!("seed {seed}:\n{}", findings.story.join("\n"));
-            println!("seed {seed} breaks:\n{}", findings.broken.join("\n"));
+        println!("{plan:?}, seed {seed}: {} of {} served", findings.served, findings.requests);
+        assert!(findings.requests > 50, "the callers were at work");
+        if !findings.violations.is_empty() {
+            println!("seed {seed}:\n{}", findings.events.join("\n"));
+            println!("seed {seed} breaks:\n{}", findings.violations.join("\n"));
             failed.push(seed);
         }
     }
