--- a/tests/src/fleet.rs
+++ b/tests/src/fleet.rs
@@ -84,7 +84,7 @@
     /// The interval between pings; the suspicion and exchange times are derived from it.
     pub ping_period_ms: u64,
     /// Lines appended to the settings file.
-    pub more: String,
+    pub extra_settings: String,
 }
 
 impl DaemonOptions {
@@ -101,7 +101,7 @@
             ticket_ttl_ms: 120_000,
             answer_holds_ms: 500,
             ping_period_ms: 150,
-            more: String::new(),
+            extra_settings: String::new(),
         }
     }
 
@@ -131,7 +131,7 @@
             self.ping_period_ms,
             4 * self.ping_period_ms,
             self.ping_period_ms / 3,
-            self.more,
+            self.extra_settings,
         )
     }
 }
@@ -290,8 +290,8 @@
             set(&mut options);
             fleet.add(&options);
         }
-        fleet.list_all().await;
-        fleet.settle().await;
+        fleet.list_daemons().await;
+        fleet.wait_until_all_alive().await;
         fleet
     }
 
@@ -303,13 +303,13 @@
 
     /// Starts a daemon, adds it to the fleet and returns its index, without waiting for the others to see it.
     pub fn add(&mut self, options: &DaemonOptions) -> usize {
-        let daemon = self.launch(options);
+        let daemon = self.start_daemon(options);
         self.daemons.push(daemon);
         self.daemons.len() - 1
     }
 
     /// Starts a daemon without adding it to [`daemons`](Self::daemons).
-    pub fn launch(&self, options: &DaemonOptions) -> Daemon {
+    pub fn start_daemon(&self, options: &DaemonOptions) -> Daemon {
         let vm = format!("vm-{}", self.daemons.len());
         let unique = std::time::SystemTime::UNIX_EPOCH.elapsed().unwrap_or_default().as_nanos();
         let file = self.folder.path().join(format!("{vm}-{unique}.toml"));
@@ -325,18 +325,18 @@
     }
 
     /// Writes all daemons to the platform's list of VMs.
-    pub async fn list_all(&self) {
-        self.list_all_leaving(&[]).await;
+    pub async fn list_daemons(&self) {
+        self.list_daemons_with_leaving(&[]).await;
     }
 
     /// Writes all daemons to the platform's list of VMs, and a leaving VM with the given backend servers.
-    pub async fn list_all_leaving(&self, leaving: &[SocketAddr]) {
+    pub async fn list_daemons_with_leaving(&self, leaving: &[SocketAddr]) {
         let peers: Vec<SocketAddr> = self.daemons.iter().map(|daemon| daemon.peers).collect();
         self.platform.set_vms(&peers, leaving).await;
     }
 
     /// Waits until every daemon sees all daemons of the fleet alive.
-    pub async fn settle(&self) {
+    pub async fn wait_until_all_alive(&self) {
         let expected = self.daemons.len();
         for daemon in &self.daemons {
             until("all members are seen alive", || async {
--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -21,13 +21,13 @@
 use std::time::{Duration, Instant};
 
 /// Timeout for any awaited event, far longer than an event takes on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Polls until a check returns a value.
 ///
 /// # Panics
 ///
-/// Panics when the check returns no value within [`PATIENCE`].
+/// Panics when the check returns no value within [`WAIT_TIMEOUT`].
 pub async fn until<T, F: Future<Output = Option<T>>>(
     what: &str,
     mut check: impl FnMut() -> F,
@@ -37,7 +37,7 @@
         if let Some(value) = check().await {
             return value;
         }
-        assert!(started.elapsed() < PATIENCE, "timed out waiting for: {what}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "timed out waiting for: {what}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/tests/src/process.rs
+++ b/tests/src/process.rs
@@ -7,7 +7,7 @@
 
 use rustix::process::{Pid, Signal, WaitId, WaitIdOptions, kill_process, waitid};
 
-use crate::PATIENCE;
+use crate::WAIT_TIMEOUT;
 
 /// A running process, which is killed on drop.
 pub struct Process {
@@ -65,7 +65,7 @@
     /// Waits for a line that contains the text and returns what follows it, without trailing dots.
     pub fn wait_for_line(&self, text: &str) -> String {
         loop {
-            let line = self.lines.recv_timeout(PATIENCE);
+            let line = self.lines.recv_timeout(WAIT_TIMEOUT);
             let line = line.unwrap_or_else(|_| panic!("no line with `{text}` in {:?}", self.log()));
             if let Some((_, rest)) = line.split_once(text) {
                 return rest.trim_end_matches('.').to_owned();
@@ -108,16 +108,16 @@
     }
 
     /// Returns the exit code if the process has exited; the inner value is `None` after a signal.
-    pub fn ended(&mut self) -> Option<Option<i32>> {
+    pub fn try_exit_code(&mut self) -> Option<Option<i32>> {
         self.child.try_wait().ok().flatten().map(|status| status.code())
     }
 
     /// Waits for the process to exit and returns its exit code.
     pub async fn wait(&mut self) -> Option<i32> {
-        let mut code = self.ended();
+        let mut code = self.try_exit_code();
         while code.is_none() {
             tokio::time::sleep(Duration::from_millis(10)).await;
-            code = self.ended();
+            code = self.try_exit_code();
         }
         code.flatten()
     }
--- a/tests/src/request.rs
+++ b/tests/src/request.rs
@@ -62,7 +62,7 @@
     }
 
     /// Sets the address it is sent to.
-    pub fn at(mut self, address: SocketAddr) -> Request {
+    pub fn with_address(mut self, address: SocketAddr) -> Request {
         self.address = address;
         self
     }
--- a/tests/tests/fleet.rs
+++ b/tests/tests/fleet.rs
@@ -117,13 +117,13 @@
         reads.wait_for(50).await;
         let mut options = DaemonOptions::new(hall, fleet.platform.address);
         options.ticket_ttl_ms = TICKET_MS;
-        let new = fleet.launch(&options);
+        let new = fleet.start_daemon(&options);
         let mut old = std::mem::replace(&mut fleet.daemons[index], new);
-        fleet.list_all().await;
+        fleet.list_daemons().await;
         old.process.signal(Signal::TERM);
         let code = old.process.wait().await;
         assert_eq!(code, Some(0));
-        fleet.settle().await;
+        fleet.wait_until_all_alive().await;
         fleet.wait_in_force("shop", 1).await;
     }
     reads.wait_for(50).await;
@@ -147,7 +147,7 @@
     let process = &mut fleet.daemons[0].process;
     process.signal(Signal::TERM);
     process.wait_for_line("leaves the answers");
-    assert_eq!(process.ended(), None);
+    assert_eq!(process.try_exit_code(), None);
     process.signal(Signal::TERM);
     assert_eq!(process.wait().await, Some(0));
     assert!(held.await.expect("the task ends").is_none());
@@ -169,7 +169,7 @@
     fleet.daemons[1].must_edit(&[change("shop/b1.leaving", json!(true))]).await;
     stops_within(&backends[0], &load).await;
     // By the platform's mark.
-    fleet.list_all_leaving(&[backends[3].address]).await;
+    fleet.list_daemons_with_leaving(&[backends[3].address]).await;
     stops_within(&backends[3], &load).await;
     // By its own word, while the platform is away.
     fleet.platform.set_faults(&Faults { away: true, ..Faults::default() }).await;
@@ -210,7 +210,7 @@
     let mut options = DaemonOptions::new("c", fleet.platform.address);
     options.seeds = vec![fleet.daemons[0].peers];
     fleet.add(&options);
-    fleet.settle().await;
+    fleet.wait_until_all_alive().await;
     fleet.wait_in_force("shop", 1).await;
     let request = Request::new(fleet.daemons[2].callers, "shop", Method::GET, "/games/7");
     assert_eq!(request.must_send().await.status, 200);
@@ -249,8 +249,8 @@
         let options = DaemonOptions::new(hall, fleet.platform.address);
         fleet.add(&options);
     }
-    fleet.list_all().await;
-    fleet.settle().await;
+    fleet.list_daemons().await;
+    fleet.wait_until_all_alive().await;
     fleet.wait_in_force("shop", 1).await;
     for daemon in &fleet.daemons {
         let request = Request::new(daemon.callers, "shop", Method::GET, "/games/7");
--- a/tests/tests/once.rs
+++ b/tests/tests/once.rs
@@ -54,7 +54,7 @@
 /// Waits until a daemon says of a request that its home is gone; until then it says that it does not know its outcome.
 async fn until_gone(request: &Request, daemon: &Daemon) {
     until("the home is known to be gone", || async {
-        let answer = request.clone().at(daemon.callers).must_send().await;
+        let answer = request.clone().with_address(daemon.callers).must_send().await;
         assert_eq!(answer.outcome, "unknown", "{answer:?}");
         (answer.error == "home-gone").then_some(())
     })
@@ -69,7 +69,7 @@
     let first = request.must_send().await;
     assert_eq!((first.status, first.report().run), (200, 1));
     for daemon in &scene.fleet.daemons {
-        let again = request.clone().at(daemon.callers).must_send().await;
+        let again = request.clone().with_address(daemon.callers).must_send().await;
         assert!(again.is_replayed, "{again:?}");
         assert_eq!(again.body, first.body);
     }
@@ -84,9 +84,9 @@
     let cut = Fault { cut: true, ..Fault::default() };
     relay.set(Faults { back: cut, ..Faults::default() });
     let request = Request::keyed(&entry, "port", "order-1", "subscriber 7");
-    let lost = request.clone().at(relay.address).timeout_ms(300).send().await;
+    let lost = request.clone().with_address(relay.address).timeout_ms(300).send().await;
     assert!(lost.is_none(), "{lost:?}");
-    let again = request.at(scene.fleet.daemons[1].callers).must_send().await;
+    let again = request.with_address(scene.fleet.daemons[1].callers).must_send().await;
     assert_eq!((again.status, again.report().run), (200, 1));
     assert_eq!(scene.backend.runs_of("order-1").await, 1);
 }
@@ -98,7 +98,7 @@
     scene.backend.set_mode(&Mode { work_ms: 100, ..Mode::default() }).await;
     let request = Request::keyed(&entry, "port", "order-1", "subscriber 7");
     let sends = scene.fleet.daemons.iter().cycle().take(9).map(|daemon| {
-        let request = request.clone().at(daemon.callers);
+        let request = request.clone().with_address(daemon.callers);
         async move { request.must_send().await }
     });
     let answers = futures_util::future::join_all(sends).await;
@@ -123,7 +123,7 @@
     let entry = scene.entry(1, 0).await;
     let request = Request::keyed(&entry, "port", "order-1", "subscriber 7");
     scene.fleet.daemons[0].process.pause().await;
-    let early = request.clone().at(scene.fleet.daemons[1].callers).must_send().await;
+    let early = request.clone().with_address(scene.fleet.daemons[1].callers).must_send().await;
     assert_eq!(early.outcome, "unknown", "{early:?}");
     assert_eq!(scene.backend.runs_of("order-1").await, 0);
     until("the others hold it for dead", || async {
@@ -132,8 +132,8 @@
     })
     .await;
     scene.fleet.daemons[0].process.signal(Signal::CONT);
-    scene.fleet.settle().await;
-    let late = request.at(scene.fleet.daemons[2].callers).must_send().await;
+    scene.fleet.wait_until_all_alive().await;
+    let late = request.with_address(scene.fleet.daemons[2].callers).must_send().await;
     assert_eq!(late.report().run, 1, "{late:?}");
     assert_eq!(scene.backend.runs_of("order-1").await, 1);
 }
@@ -144,7 +144,7 @@
     let entry = scene.entry(1, 0).await;
     scene.backend.set_mode(&Mode { stall_share: 1.0, ..Mode::default() }).await;
     let request = Request::keyed(&entry, "port", "order-1", "subscriber 7");
-    let sent = request.clone().at(scene.fleet.daemons[1].callers);
+    let sent = request.clone().with_address(scene.fleet.daemons[1].callers);
     let waiting = actix_rt::spawn(async move { sent.send().await });
     until("the work has begun", || async {
         (scene.backend.runs_of("order-1").await == 1).then_some(())
@@ -154,7 +154,7 @@
     let answer = waiting.await.expect("the task ends").expect("an answer comes");
     assert_eq!(answer.outcome, "unknown", "{answer:?}");
     for daemon in &scene.fleet.daemons[1..] {
-        let again = request.clone().at(daemon.callers).must_send().await;
+        let again = request.clone().with_address(daemon.callers).must_send().await;
         assert_eq!(again.outcome, "unknown", "{again:?}");
     }
     assert_eq!(scene.backend.runs_of("order-1").await, 1);
@@ -169,8 +169,8 @@
     old.process.kill();
     let mut options = DaemonOptions::new("a", scene.fleet.platform.address);
     options.peers_listen = peers;
-    scene.fleet.daemons[0] = scene.fleet.launch(&options);
-    scene.fleet.settle().await;
+    scene.fleet.daemons[0] = scene.fleet.start_daemon(&options);
+    scene.fleet.wait_until_all_alive().await;
     scene.fleet.wait_in_force("port", 1).await;
     let request = Request::keyed(&entry, "port", "order-1", "subscriber 7");
     assert_ne!(callers, scene.fleet.daemons[0].callers);
@@ -210,9 +210,9 @@
         let relay = Relay::spawn(home).await.expect("the relay starts");
         relay.set(faults);
         let request = Request::keyed(&entry, "port", key, "subscriber 7");
-        let lost = request.clone().at(relay.address).timeout_ms(300).send().await;
+        let lost = request.clone().with_address(relay.address).timeout_ms(300).send().await;
         assert!(lost.is_none(), "{lost:?}");
-        let answer = request.at(scene.fleet.daemons[1].callers).must_send().await;
+        let answer = request.with_address(scene.fleet.daemons[1].callers).must_send().await;
         assert_eq!(answer.report().run, 1, "{key}: {answer:?}");
         assert_eq!(scene.backend.runs_of(key).await, 1);
     }
@@ -234,15 +234,15 @@
     let home = fleet.add(&home);
     relay.aim(fleet.daemons[home].callers);
     fleet.add(&DaemonOptions::new("b", platform));
-    fleet.list_all().await;
-    fleet.settle().await;
+    fleet.list_daemons().await;
+    fleet.wait_until_all_alive().await;
     let backend = Backend::start("b1", 4);
     let scene = Scene { fleet, backend };
     scene.add_service().await;
     let entry = scene.entry_at(1, relay.address).await;
     relay.set(Faults { back: cut(), ..Faults::default() });
     let request = Request::keyed(&entry, "port", "order-1", "subscriber 7");
-    let request = request.at(scene.fleet.daemons[1].callers);
+    let request = request.with_address(scene.fleet.daemons[1].callers);
     let early = request.must_send().await;
     assert_eq!(early.outcome, "unknown", "{early:?}");
     relay.set(Faults::default());
@@ -281,7 +281,7 @@
     let mut options = DaemonOptions::new("a", fleet.platform.address);
     (options.ticket_ttl_ms, options.answer_holds_ms) = (700, 200);
     fleet.add(&options);
-    fleet.list_all().await;
+    fleet.list_daemons().await;
     let scene = Scene { fleet, backend: Backend::start("b1", 4) };
     scene.add_service().await;
     let entry = scene.entry(0, 0).await;
@@ -308,7 +308,7 @@
         let entry = scene.entry(1, home).await;
         let key = format!("order-{home}");
         for daemon in &scene.fleet.daemons {
-            let request = Request::keyed(&entry, "port", &key, "x").at(daemon.callers);
+            let request = Request::keyed(&entry, "port", &key, "x").with_address(daemon.callers);
             assert_eq!(request.must_send().await.report().run, 1);
         }
         assert_eq!(scene.backend.runs_of(&key).await, 1);
@@ -354,9 +354,9 @@
     scene.fleet.daemons[0].process.signal(Signal::CONT);
     let late = waiting.await.expect("the task ends").expect("an answer comes");
     assert_eq!((late.error.as_str(), late.outcome.as_str()), ("ticket-expired", "unknown"));
-    scene.fleet.settle().await;
+    scene.fleet.wait_until_all_alive().await;
     for daemon in &scene.fleet.daemons {
-        let answer = request.clone().at(daemon.callers).must_send().await;
+        let answer = request.clone().with_address(daemon.callers).must_send().await;
         assert_eq!(answer.outcome, "unknown", "{answer:?}");
     }
     assert_eq!(scene.backend.runs_of("order-1").await, 0);
--- a/tests/tests/scale.rs
+++ b/tests/tests/scale.rs
@@ -7,7 +7,7 @@
 use leverstream_bench::load::{cpu_ms, resident_kb};
 use leverstream_caller::{Caller, Work};
 use leverstream_standin::backend::Mode;
-use leverstream_tests::{Backend, DaemonOptions, Fleet, PATIENCE, change, until};
+use leverstream_tests::{Backend, DaemonOptions, Fleet, WAIT_TIMEOUT, change, until};
 use serde_json::json;
 
 /// How many VMs each user has today.
@@ -37,8 +37,8 @@
         let options = options(index, &fleet);
         fleet.add(&options);
     }
-    fleet.list_all().await;
-    fleet.settle().await;
+    fleet.list_daemons().await;
+    fleet.wait_until_all_alive().await;
     let backends: Vec<Backend> =
         (0..4).map(|index| Backend::start(&format!("b{index}"), 8)).collect();
     for backend in &backends {
@@ -111,14 +111,14 @@
             if answer.addresses.iter().all(|entry| entry.address != victim) {
                 break;
             }
-            assert!(killed.elapsed() < PATIENCE, "the dead VM stays in the answers");
+            assert!(killed.elapsed() < WAIT_TIMEOUT, "the dead VM stays in the answers");
         }
         left.push(killed.elapsed());
         let options = options(index.unwrap_or(0), fleet);
         fleet.add(&options);
-        fleet.list_all().await;
+        fleet.list_daemons().await;
     }
-    fleet.settle().await;
+    fleet.wait_until_all_alive().await;
     left.sort_unstable();
     println!(
         "a dead VM left the answers: median {:?}, worst {:?}",
--- a/tests/tests/traces.rs
+++ b/tests/tests/traces.rs
@@ -53,7 +53,7 @@
         .serve(address);
     actix_rt::spawn(server);
     let fleet = Fleet::start_with(&["a"], |options| {
-        options.more = format!("[traces]\notlp = \"http://{address}\"\n");
+        options.extra_settings = format!("[traces]\notlp = \"http://{address}\"\n");
     })
     .await;
     let backend = Backend::start("b1", 4);
--- a/tests/tests/whole.rs
+++ b/tests/tests/whole.rs
@@ -6,7 +6,7 @@
 use leverstream_standin::backend::Mode;
 use leverstream_standin::relay::{Fault, Faults, Relay};
 use leverstream_standin::script::{Lines, Script};
-use leverstream_tests::{Backend, Fleet, PATIENCE, Request, change, send_raw, until};
+use leverstream_tests::{Backend, Fleet, Request, WAIT_TIMEOUT, change, send_raw, until};
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -295,7 +295,7 @@
     assert_eq!(get(&fleet, "/ok").must_send().await.status, 200);
     for stream in &mut slow {
         let mut answer = Vec::new();
-        let ended = tokio::time::timeout(PATIENCE, stream.read_to_end(&mut answer)).await;
+        let ended = tokio::time::timeout(WAIT_TIMEOUT, stream.read_to_end(&mut answer)).await;
         assert!(ended.is_ok(), "the connection is still open");
     }
     assert_eq!(backend.counts().await.started, 1);
