--- a/tests/src/notices.rs
+++ b/tests/src/notices.rs
@@ -80,7 +80,7 @@
     /// Starts a fleet.
     pub async fn start(vms: usize, origins: usize) -> NoticesScenario {
         let site = Site::start(vms, origins).await;
-        site.set_all(Reply::After(WORK_MS));
+        site.set_all_replies(Reply::After(WORK_MS));
         NoticesScenario {
             site,
             flow: Flow::default(),
--- a/tests/src/site.rs
+++ b/tests/src/site.rs
@@ -131,11 +131,11 @@
 
     /// Removes a backend server's entry from the store.
     pub async fn unlist_backend(&self, instance: &str) {
-        self.unput(standin::BACKENDS, instance).await;
+        self.delete(standin::BACKENDS, instance).await;
     }
 
     /// Deletes an object from the store.
-    pub async fn unput(&self, kind: &str, name: &str) {
+    pub async fn delete(&self, kind: &str, name: &str) {
         let path = leverstream_platform::objects::path(kind, Some(name));
         let request = request_to("DELETE", &path);
         let answer = send(self.platform.address, &request).await.expect("the store answers");
@@ -143,7 +143,7 @@
     }
 
     /// Makes the store reject all calls, and removes entries of backend servers meanwhile.
-    pub async fn unlist_while_away(&self, instances: &[&str]) {
+    pub async fn unlist_during_outage(&self, instances: &[&str]) {
         let outage = Faults { away: true, deaf_watches: true, ..Faults::default() };
         self.platform.set_faults(&outage).await;
         for instance in instances {
@@ -172,7 +172,7 @@
     }
 
     /// Sets the reply of all backend servers.
-    pub fn set_all(&self, reply: Reply) {
+    pub fn set_all_replies(&self, reply: Reply) {
         self.origins.iter().for_each(|origin| origin.set(reply));
     }
 
@@ -206,7 +206,7 @@
     }
 
     /// Starts a second daemon with the same settings, and so at the same addresses.
-    pub fn second(&self) -> Process {
+    pub fn start_second(&self) -> Process {
         self.respawn()
     }
 
@@ -280,7 +280,7 @@
     /// The request id, unique in this test process.
     pub id: String,
     /// How long the caller waits, sent as the request's time limit.
-    pub patience_ms: u64,
+    pub caller_timeout_ms: u64,
     /// Further header fields.
     pub fields: Vec<(&'static str, String)>,
     /// The body.
@@ -292,7 +292,7 @@
     pub fn new(path: &str) -> Call {
         let id = format!("id-{}", next_call_number());
         let (fields, body) = (Vec::new(), Vec::new());
-        Call { method: "GET", path: path.to_owned(), id, patience_ms: 3_000, fields, body }
+        Call { method: "GET", path: path.to_owned(), id, caller_timeout_ms: 3_000, fields, body }
     }
 
     /// Returns the request as sent on the connection.
@@ -300,7 +300,7 @@
         let mut head = Head::open(self.method, &self.path);
         head.field("host", HOST.as_bytes());
         head.field(headers::REQUEST_ID, self.id.as_bytes());
-        head.field(headers::TIME_LEFT_MS, self.patience_ms.to_string().as_bytes());
+        head.field(headers::TIME_LEFT_MS, self.caller_timeout_ms.to_string().as_bytes());
         for (name, value) in &self.fields {
             head.field(name, value.as_bytes());
         }
--- a/tests/src/soak.rs
+++ b/tests/src/soak.rs
@@ -194,7 +194,7 @@
             4 => self.stop(vm).await,
             _ => {
                 let rejects = self.rng.random_range(1..=ORIGINS);
-                self.site.set_all(Reply::After(20));
+                self.site.set_all_replies(Reply::After(20));
                 (0..rejects).for_each(|index| self.site.origin(index).set(Reply::Full));
                 self.log_event(&format!("{rejects} backend servers reject requests"));
             }
@@ -366,7 +366,7 @@
         self.site.platform.set_faults(&StoreFaults::default()).await;
         self.origin_relays.iter().for_each(|relay| relay.set(Faults::default()));
         self.store_relays.iter().for_each(|relay| relay.set(Faults::default()));
-        self.site.set_all(Reply::After(20));
+        self.site.set_all_replies(Reply::After(20));
         self.log_event("all faults are ended");
         self.site.until_ready().await;
         for vm in &self.site.vms {
--- a/tests/src/soak/callers.rs
+++ b/tests/src/soak/callers.rs
@@ -79,7 +79,7 @@
         }
     };
     let call =
-        Call { patience_ms: 1_500, ..Call::new(if is_non_repeatable { ONCE } else { SAFE }) };
+        Call { caller_timeout_ms: 1_500, ..Call::new(if is_non_repeatable { ONCE } else { SAFE }) };
     let bytes = call.bytes();
     let sent_at = Instant::now();
     let progress = Progress::default();
--- a/tests/tests/gateway.rs
+++ b/tests/tests/gateway.rs
@@ -117,7 +117,7 @@
         Reply::Silence,
     ];
     for (number, reply) in broken.into_iter().enumerate() {
-        site.set_all(reply);
+        site.set_all_replies(reply);
         let path = format!("{ONCE}{number}");
         let answer = Call::new(&path).send(&site.vms[0]).await.expect("an answer comes");
         assert!(matches!(answer.status, 500 | 502 | 504), "{reply:?}: {}", answer.status);
@@ -147,7 +147,7 @@
 async fn late_and_surplus_answers_reach_nobody() {
     let site = Site::start(1, 1).await;
     for reply in [Reply::LateOneFirst, Reply::Surplus] {
-        site.set_all(reply);
+        site.set_all_replies(reply);
         for _ in 0..10 {
             let call = Call::new(SAFE);
             let answer = call.send(&site.vms[0]).await.expect("an answer comes");
@@ -162,10 +162,10 @@
 #[actix_rt::test]
 async fn an_answer_without_a_length_is_whole_at_its_end_only() {
     let site = Site::start(1, 1).await;
-    site.set_all(Reply::Unframed);
+    site.set_all_replies(Reply::Unframed);
     let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
     assert_eq!((answer.status, &*answer.body), (200, &b"unframed"[..]));
-    site.set_all(Reply::UnframedReset);
+    site.set_all_replies(Reply::UnframedReset);
     let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
     assert_eq!(answer.status, 502);
 }
@@ -173,7 +173,7 @@
 #[actix_rt::test]
 async fn the_routes_time_ends_a_request() {
     let site = Site::start(1, 1).await;
-    site.set_all(Reply::Silence);
+    site.set_all_replies(Reply::Silence);
     let started = Instant::now();
     let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
     let took = started.elapsed();
@@ -184,14 +184,14 @@
 #[actix_rt::test]
 async fn one_that_finds_no_slot_in_time_has_not_run_and_hears_when_to_come_back() {
     let site = Site::start(1, 1).await;
-    site.set_all(Reply::After(3_000));
+    site.set_all_replies(Reply::After(3_000));
     let vm = &site.vms[0];
     let busy: Vec<_> = (0..3).map(|_| Call::new("/safe/busy")).collect();
     let sends = futures_util::future::join_all(busy.iter().map(|call| call.send(vm)));
     let late = async {
         until("the slots are taken", || async { (site.runs("/safe/busy") == 3).then_some(()) })
             .await;
-        Call { patience_ms: 400, ..Call::new("/once/late") }.send(vm).await
+        Call { caller_timeout_ms: 400, ..Call::new("/once/late") }.send(vm).await
     };
     let (_, late) = futures_util::future::join(sends, late).await;
     let late = late.expect("an answer comes");
@@ -204,7 +204,7 @@
 async fn a_caller_who_leaves_takes_the_work_along() {
     let site = Site::start(1, 1).await;
     let vm = &site.vms[0];
-    site.set_all(Reply::After(800));
+    site.set_all_replies(Reply::After(800));
     for (path, resets) in [("/safe/fin", false), ("/safe/reset", true)] {
         let mut stream = TcpStream::connect(vm.callers()).await.expect("the VM listens");
         stream.write_all(&Call::new(path).bytes()).await.expect("it is sent");
@@ -223,7 +223,7 @@
 async fn a_caller_who_leaves_while_waiting_is_never_sent_on() {
     let site = Site::start(1, 1).await;
     let vm = &site.vms[0];
-    site.set_all(Reply::After(700));
+    site.set_all_replies(Reply::After(700));
     let mut busy = Vec::new();
     for _ in 0..3 {
         let mut stream = TcpStream::connect(vm.callers()).await.expect("the VM listens");
@@ -292,7 +292,7 @@
 #[actix_rt::test]
 async fn repeats_stay_within_the_allowance() {
     let site = Site::start(1, 3).await;
-    site.set_all(Reply::Failure);
+    site.set_all_replies(Reply::Failure);
     for _ in 0..120 {
         let _ = Call::new(SAFE).send(&site.vms[0]).await;
     }
@@ -360,8 +360,8 @@
     }
     site.vms[0].signal(Signal::TERM);
     tokio::time::sleep(Duration::from_millis(3_200)).await;
-    site.set_all(Reply::After(3_500));
-    let call = Call { patience_ms: 5_000, ..Call::new(&format!("{SAFE}late")) };
+    site.set_all_replies(Reply::After(3_500));
+    let call = Call { caller_timeout_ms: 5_000, ..Call::new(&format!("{SAFE}late")) };
     let answer = call.send(&site.vms[0]).await.expect("it is answered, not cut");
     assert_eq!(answer.status, 503, "it can be served elsewhere");
     assert_eq!(site.runs("late"), 0);
--- a/tests/tests/gateway_emptied.rs
+++ b/tests/tests/gateway_emptied.rs
@@ -18,7 +18,7 @@
 /// A fleet before four backend servers, of which the first two stand in the other hall.
 async fn start() -> Site {
     let site = Site::start(3, 4).await;
-    site.set_all(Reply::After(40));
+    site.set_all_replies(Reply::After(40));
     for number in 0..2 {
         let mut entry = backend(&format!("i-{number}"), site.origin(number).address);
         entry.hall = OTHER_HALL.to_owned();
@@ -54,7 +54,7 @@
     let share = served_share(&flow.answers().await);
     assert_eq!(arrived(&flow, &site, known), 0);
     assert!(share >= 0.97, "{share} served");
-    site.unput(standin::EMPTIED, OTHER_HALL).await;
+    site.delete(standin::EMPTIED, OTHER_HALL).await;
     let back = Instant::now();
     flow.run(&site, Duration::from_millis(2_500)).await;
     flow.answers().await;
--- a/tests/tests/gateway_limits.rs
+++ b/tests/tests/gateway_limits.rs
@@ -19,7 +19,7 @@
 #[actix_rt::test]
 async fn a_backend_server_gets_no_more_than_the_limit_that_it_names() {
     let site = Site::start(3, 5).await;
-    site.set_all(Reply::After(80));
+    site.set_all_replies(Reply::After(80));
     let mut flow = Flow::default();
     flow.run(&site, Duration::from_millis(1_000)).await;
     let word = Instant::now();
@@ -51,7 +51,7 @@
 #[test_macro(actix_rt::test)]
 async fn the_limit_counts_in_any_answer(reply: Reply) {
     let site = Site::start(2, 5).await;
-    site.set_all(Reply::After(80));
+    site.set_all_replies(Reply::After(80));
     let word = Instant::now();
     site.origin(0).set(reply);
     site.origin(0).say(&[(headers::LIMIT, "0.5")]);
@@ -69,7 +69,7 @@
 #[actix_rt::test]
 async fn a_limit_that_is_lifted_is_forgotten_by_all_vms_within_a_second() {
     let site = Site::start(3, 5).await;
-    site.set_all(Reply::After(80));
+    site.set_all_replies(Reply::After(80));
     site.origin(0).say(&[(headers::LIMIT, "2")]);
     let mut flow = Flow::default();
     flow.run(&site, Duration::from_secs(4)).await;
@@ -92,7 +92,7 @@
 #[actix_rt::test]
 async fn where_all_name_limits_these_are_used_and_the_rest_is_refused_at_once() {
     let site = Site::start(3, 3).await;
-    site.set_all(Reply::After(40));
+    site.set_all_replies(Reply::After(40));
     site.origins.iter().for_each(|origin| origin.say(&[(headers::LIMIT, "3")]));
     let word = Instant::now();
     let mut flow = Flow::default();
@@ -123,7 +123,7 @@
 #[actix_rt::test]
 async fn whatever_befalls_vms_they_keep_to_the_limit() {
     let mut site = Site::start(4, 5).await;
-    site.set_all(Reply::After(80));
+    site.set_all_replies(Reply::After(80));
     site.origin(0).say(&[(headers::LIMIT, "1.4")]);
     let word = Instant::now();
     let mut flow = Flow::default();
--- a/tests/tests/gateway_notices.rs
+++ b/tests/tests/gateway_notices.rs
@@ -32,7 +32,7 @@
 /// A fleet with work under way, whose store has just gone away.
 async fn start(vms: usize, origins: usize) -> (Site, Flow) {
     let site = Site::start(vms, origins).await;
-    site.set_all(Reply::After(80));
+    site.set_all_replies(Reply::After(80));
     let mut flow = Flow::default();
     flow.run(&site, Duration::from_millis(1_000)).await;
     site.platform.set_faults(&away()).await;
@@ -110,7 +110,7 @@
 #[actix_rt::test]
 async fn a_service_of_which_all_leave_is_served_on_for_a_while_then_refused_at_once() {
     let (site, mut flow) = start(3, 3).await;
-    site.set_all(Reply::After(20));
+    site.set_all_replies(Reply::After(20));
     flow.answers().await;
     let word = Instant::now();
     site.origins.iter().for_each(|origin| origin.say(&[(headers::LEAVING, "1")]));
@@ -163,7 +163,7 @@
     assert!(most <= UNWANTED, "{most} requests of one VM");
     assert!(served >= 0.99, "{served} served");
     site.origin(0).say(&[]);
-    site.set_all(Reply::After(80));
+    site.set_all_replies(Reply::After(80));
     let back = Instant::now();
     flow.run(&site, Duration::from_millis(2_500)).await;
     flow.answers().await;
@@ -175,7 +175,7 @@
     const WANTS_NOTHING: Duration = Duration::from_secs(3);
     let (site, mut flow) = start(3, 4).await;
     flow.answers().await;
-    site.set_all(Reply::Full);
+    site.set_all_replies(Reply::Full);
     site.origins.iter().for_each(|origin| origin.say(&[(headers::RETRY_AFTER, "3")]));
     let from = Instant::now();
     flow.run(&site, WANTS_NOTHING - Duration::from_secs(1)).await;
@@ -199,7 +199,7 @@
         assert!(back + Duration::from_millis(100) >= from + WANTS_NOTHING, "too early");
         assert!(back <= from + WANTS_NOTHING + Duration::from_secs(3), "too late");
     }
-    site.set_all(Reply::After(20));
+    site.set_all_replies(Reply::After(20));
     site.origins.iter().for_each(|origin| origin.say(&[]));
     tokio::time::sleep(WANTS_NOTHING.saturating_sub(from.elapsed()) + Duration::from_millis(600))
         .await;
@@ -212,10 +212,10 @@
 async fn a_request_that_can_wait_for_the_end_of_the_time_is_served() {
     let (site, mut flow) = start(3, 4).await;
     flow.answers().await;
-    site.set_all(Reply::Full);
+    site.set_all_replies(Reply::Full);
     site.origins.iter().for_each(|origin| origin.say(&[(headers::RETRY_AFTER, "0.3")]));
     flow.run(&site, Duration::from_millis(250)).await;
-    site.set_all(Reply::After(20));
+    site.set_all_replies(Reply::After(20));
     site.origins.iter().for_each(|origin| origin.say(&[]));
     flow.run(&site, Duration::from_millis(500)).await;
     let served = served_share(&flow.answers().await);
--- a/tests/tests/gateway_return.rs
+++ b/tests/tests/gateway_return.rs
@@ -111,7 +111,7 @@
 async fn a_second_process_at_a_frozen_vms_addresses_ends_and_says_why() {
     let site = Site::start(2, 1).await;
     site.vms[1].process.pause().await;
-    let mut second = site.vms[1].second();
+    let mut second = site.vms[1].start_second();
     assert_ne!(second.wait().await, Some(0));
     // The line is read by a thread of the test's own, maybe after the end was seen.
     second.wait_for_line("listen.");
--- a/tests/tests/gateway_store.rs
+++ b/tests/tests/gateway_store.rs
@@ -83,7 +83,7 @@
 async fn entries_that_lapsed_in_an_outage_have_two_seconds_to_come_back() {
     let site = Site::start(1, 2).await;
     let vm = &site.vms[0];
-    site.unlist_while_away(&["i-0", "i-1"]).await;
+    site.unlist_during_outage(&["i-0", "i-1"]).await;
     until("the store is lost", || async { vm.has_logged("store lost").then_some(()) }).await;
     site.platform.set_faults(&Faults::default()).await;
     let returned = Instant::now();
@@ -164,7 +164,7 @@
     .await;
     let at = site.vms.iter().position(|vm| vm.callers().to_string() == listed);
     let at = at.expect("it is one of the two");
-    site.set_all(leverstream_standin::origin::Reply::After(600));
+    site.set_all_replies(leverstream_standin::origin::Reply::After(600));
     let (call, vm, other) = (Call::new(ONCE), &site.vms[at], &site.vms[1 - at]);
     let during = async {
         until("it runs", || async { (site.runs(ONCE) == 1).then_some(()) }).await;
