--- a/tests/src/ends.rs
+++ b/tests/src/ends.rs
@@ -14,7 +14,7 @@
 use tokio::task::JoinHandle;
 
 use crate::fault_injector::FaultInjector;
-use crate::site::{Call, SAFE, Site, backend, send};
+use crate::site::{Call, REPEATABLE, Site, backend, send};
 
 /// How soon after the third crash, and after its last fault, a VM must stop sending the request.
 const LEARN_LIMIT: Duration = Duration::from_millis(3_000);
@@ -161,7 +161,7 @@
         self.vm_by_request_id.insert(crashing.id.clone(), vm);
         // The answer to the crashing request doesn't matter.
         actix_rt::spawn(async move { send(to, &crashing.bytes()).await });
-        let ordinary = Call::new(&format!("{SAFE}other-{number}"));
+        let ordinary = Call::new(&format!("{REPEATABLE}other-{number}"));
         self.ordinary_requests.push(actix_rt::spawn(async move {
             let answer = send(to, &ordinary.bytes()).await;
             answer.is_ok_and(|answer| answer.status == 200)
--- a/tests/src/flow.rs
+++ b/tests/src/flow.rs
@@ -7,7 +7,7 @@
 use leverstream_platform::headers;
 use leverstream_standin::origin::{Origin, Seen};
 
-use crate::site::{Call, ONCE, SAFE, Site, send};
+use crate::site::{Call, NON_REPEATABLE, REPEATABLE, Site, send};
 
 /// The interval between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
@@ -44,7 +44,11 @@
         while Instant::now() < until {
             let number = self.vms.len();
             let vm = number % site.vms.len();
-            let path = if (number / site.vms.len()).is_multiple_of(2) { SAFE } else { ONCE };
+            let path = if (number / site.vms.len()).is_multiple_of(2) {
+                REPEATABLE
+            } else {
+                NON_REPEATABLE
+            };
             let call = Call::new(&format!("{path}flow-{number}"));
             let to = site.vms[vm].callers();
             self.vms.insert(call.id.clone(), vm);
--- a/tests/src/site.rs
+++ b/tests/src/site.rs
@@ -22,10 +22,10 @@
 pub const HOST: &str = "shop.example";
 
 /// Path prefix of repeatable requests.
-pub const SAFE: &str = "/safe/";
+pub const REPEATABLE: &str = "/safe/";
 
 /// Path prefix of requests that must run at most once.
-pub const ONCE: &str = "/once/";
+pub const NON_REPEATABLE: &str = "/once/";
 
 /// The hall of VMs that [`Site::add_vm`] starts.
 pub const HALL: &str = "hall-a";
@@ -344,7 +344,7 @@
 pub fn catalog(version: u64) -> Catalog {
     let service = || ServiceSpec { health_path: "/health".into(), connections: 100 };
     let services = ["shop", "other"].map(|name| (name.to_owned(), service()));
-    let routes = [(SAFE, true), (ONCE, false)]
+    let routes = [(REPEATABLE, true), (NON_REPEATABLE, false)]
         .map(|(prefix, is_repeatable)| (HOST.to_owned(), route(prefix, is_repeatable, "shop")));
     let limits =
         Limits { head_bytes: 16 << 10, body_bytes: 1 << 20, head_ms: 3_000, idle_ms: 15_000 };
--- a/tests/src/soak.rs
+++ b/tests/src/soak.rs
@@ -23,7 +23,7 @@
 use rustix::process::Signal;
 use serde_json::json;
 
-use crate::site::{Call, HALL, ONCE, Site, Vm, backend};
+use crate::site::{Call, HALL, NON_REPEATABLE, Site, Vm, backend};
 use crate::until;
 
 pub use callers::CallerResult;
@@ -371,7 +371,7 @@
         self.site.until_ready().await;
         for vm in &self.site.vms {
             until("every VM serves again", || async {
-                let answer = Call::new(ONCE).send(vm).await.ok()?;
+                let answer = Call::new(NON_REPEATABLE).send(vm).await.ok()?;
                 (answer.status == 200).then_some(())
             })
             .await;
--- a/tests/src/soak/callers.rs
+++ b/tests/src/soak/callers.rs
@@ -11,7 +11,7 @@
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 
-use crate::site::{Call, HALL, ONCE, SAFE};
+use crate::site::{Call, HALL, NON_REPEATABLE, REPEATABLE};
 
 /// How long a caller uses the addresses that a directory gave it.
 const ADDRESSES_VALID: Duration = Duration::from_millis(1_500);
@@ -78,8 +78,10 @@
             (address, connecting.ok()?.ok()?)
         }
     };
-    let call =
-        Call { caller_timeout_ms: 1_500, ..Call::new(if is_non_repeatable { ONCE } else { SAFE }) };
+    let call = Call {
+        caller_timeout_ms: 1_500,
+        ..Call::new(if is_non_repeatable { NON_REPEATABLE } else { REPEATABLE })
+    };
     let bytes = call.bytes();
     let sent_at = Instant::now();
     let progress = Progress::default();
--- a/tests/tests/gateway.rs
+++ b/tests/tests/gateway.rs
@@ -5,7 +5,9 @@
 use leverstream_catalog::{Backend, Catalog, Route, Target};
 use leverstream_platform::{headers, standin};
 use leverstream_standin::origin::Reply;
-use leverstream_tests::site::{Call, HOST, ONCE, SAFE, Site, backend, catalog, route, send};
+use leverstream_tests::site::{
+    Call, HOST, NON_REPEATABLE, REPEATABLE, Site, backend, catalog, route, send,
+};
 use leverstream_tests::until;
 use leverstream_wire::{Conn, Head, Progress};
 use rustix::process::Signal;
@@ -25,7 +27,7 @@
             ("x-private", "1".into()),
             (headers::EXPECTED_INSTANCE, "forged".into()),
         ],
-        ..Call::new(&format!("{ONCE}a%20b?q=1"))
+        ..Call::new(&format!("{NON_REPEATABLE}a%20b?q=1"))
     };
     let answer = call.send(vm).await.expect("an answer comes");
     assert_eq!(answer.status, 200);
@@ -33,7 +35,7 @@
     assert_eq!(answer.text(headers::REQUEST_ID), Some(call.id.as_str()));
     assert_eq!(answer.body, format!("i-0 {}", call.id));
     let seen = site.origin(0).seen().remove(0);
-    assert_eq!(seen.line, format!("PUT {ONCE}a%20b?q=1 HTTP/1.1"));
+    assert_eq!(seen.line, format!("PUT {NON_REPEATABLE}a%20b?q=1 HTTP/1.1"));
     assert_eq!(seen.body, b"the body");
     assert_eq!(seen.field("host"), Some(HOST));
     assert_eq!(seen.field("accept-language"), Some("nl"));
@@ -84,14 +86,14 @@
     let site = Site::start(1, 2).await;
     site.origin(0).set(Reply::Full);
     for _ in 0..6 {
-        let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
+        let answer = Call::new(NON_REPEATABLE).send(&site.vms[0]).await.expect("an answer comes");
         assert_eq!(answer.status, 200);
     }
     site.origin(1).set(Reply::Full);
-    let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
+    let answer = Call::new(NON_REPEATABLE).send(&site.vms[0]).await.expect("an answer comes");
     assert_eq!(answer.status, 503);
     assert!(answer.text("retry-after").is_some());
-    assert_eq!(site.origin(0).runs(ONCE), 0);
+    assert_eq!(site.origin(0).runs(NON_REPEATABLE), 0);
 }
 
 #[actix_rt::test]
@@ -99,7 +101,7 @@
     let site = Site::start(1, 2).await;
     site.origin(0).rename("i-new");
     for _ in 0..8 {
-        let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
+        let answer = Call::new(NON_REPEATABLE).send(&site.vms[0]).await.expect("an answer comes");
         assert_eq!(answer.text(headers::STAMP), Some("i-1"));
     }
     assert!(site.origin(0).seen().len() <= 1);
@@ -118,7 +120,7 @@
     ];
     for (number, reply) in broken.into_iter().enumerate() {
         site.set_all_replies(reply);
-        let path = format!("{ONCE}{number}");
+        let path = format!("{NON_REPEATABLE}{number}");
         let answer = Call::new(&path).send(&site.vms[0]).await.expect("an answer comes");
         assert!(matches!(answer.status, 500 | 502 | 504), "{reply:?}: {}", answer.status);
         assert_eq!(site.runs(&path), 1, "{reply:?}");
@@ -135,7 +137,7 @@
     {
         site.origin(0).set(reply);
         for round in 0..3 {
-            let path = format!("{SAFE}{number}-{round}");
+            let path = format!("{REPEATABLE}{number}-{round}");
             let answer = Call::new(&path).send(&site.vms[0]).await.expect("an answer comes");
             assert_eq!(answer.status, 200, "{reply:?}");
         }
@@ -149,7 +151,7 @@
     for reply in [Reply::LateOneFirst, Reply::Surplus] {
         site.set_all_replies(reply);
         for _ in 0..10 {
-            let call = Call::new(SAFE);
+            let call = Call::new(REPEATABLE);
             let answer = call.send(&site.vms[0]).await.expect("an answer comes");
             assert_eq!(
                 (answer.status, &*answer.body),
@@ -163,10 +165,10 @@
 async fn an_answer_without_a_length_is_whole_at_its_end_only() {
     let site = Site::start(1, 1).await;
     site.set_all_replies(Reply::Unframed);
-    let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
+    let answer = Call::new(NON_REPEATABLE).send(&site.vms[0]).await.expect("an answer comes");
     assert_eq!((answer.status, &*answer.body), (200, &b"unframed"[..]));
     site.set_all_replies(Reply::UnframedReset);
-    let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
+    let answer = Call::new(NON_REPEATABLE).send(&site.vms[0]).await.expect("an answer comes");
     assert_eq!(answer.status, 502);
 }
 
@@ -175,7 +177,7 @@
     let site = Site::start(1, 1).await;
     site.set_all_replies(Reply::Silence);
     let started = Instant::now();
-    let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
+    let answer = Call::new(NON_REPEATABLE).send(&site.vms[0]).await.expect("an answer comes");
     let took = started.elapsed();
     assert_eq!(answer.status, 504);
     assert!((Duration::from_millis(900)..Duration::from_millis(1_500)).contains(&took), "{took:?}");
@@ -265,7 +267,8 @@
 #[actix_rt::test]
 async fn a_body_over_the_limit_is_refused() {
     let site = Site::start(1, 1).await;
-    let call = Call { method: "POST", body: vec![b'x'; (1 << 20) + 1], ..Call::new(ONCE) };
+    let call =
+        Call { method: "POST", body: vec![b'x'; (1 << 20) + 1], ..Call::new(NON_REPEATABLE) };
     let answer = call.send(&site.vms[0]).await.expect("an answer comes");
     assert_eq!(answer.status, 413);
     assert!(site.origin(0).seen().is_empty());
@@ -276,7 +279,7 @@
     let site = Site::start(1, 1).await;
     let mut conn = Conn::open(site.vms[0].callers()).await.expect("the VM listens");
     for _ in 0..20 {
-        let call = Call::new(SAFE);
+        let call = Call::new(REPEATABLE);
         let progress = Progress::default();
         let answer = conn.exchange(&call.bytes(), false, &progress, |_| true).await;
         assert_eq!(
@@ -294,7 +297,7 @@
     let site = Site::start(1, 3).await;
     site.set_all_replies(Reply::Failure);
     for _ in 0..120 {
-        let _ = Call::new(SAFE).send(&site.vms[0]).await;
+        let _ = Call::new(REPEATABLE).send(&site.vms[0]).await;
     }
     let arrivals: usize = site.origins.iter().map(|origin| origin.seen().len()).sum();
     // A fifth of the requests and the slack; the VM is new, so it has a part of that only.
@@ -307,7 +310,10 @@
     let site = Site::start(1, 1).await;
     let Catalog { services, limits, .. } = catalog(2);
     let half = |service: &str| Target { service: service.to_owned(), weight: 1.0 };
-    let split = Route { targets: vec![half("shop"), half("other")], ..route(ONCE, false, "shop") };
+    let split = Route {
+        targets: vec![half("shop"), half("other")],
+        ..route(NON_REPEATABLE, false, "shop")
+    };
     let routes = vec![(HOST.to_owned(), split)];
     let split = Catalog::build(2, routes, services, limits).expect("it is sound");
     site.put_config(standin::config(&split)).await;
@@ -315,7 +321,7 @@
     until("it is in force", || async { vm.has_logged("\"version\":2").then_some(()) }).await;
     let mut served = 0;
     for _ in 0..COUNT {
-        let answer = Call::new(ONCE).send(vm).await.expect("an answer comes");
+        let answer = Call::new(NON_REPEATABLE).send(vm).await.expect("an answer comes");
         // No backend server of the other service is listed.
         let is_refused = answer.status == 503 && answer.text("retry-after").is_some();
         assert!(answer.status == 200 || is_refused, "{}", answer.status);
@@ -323,7 +329,7 @@
     }
     // Six standard deviations to either side of one half.
     assert!(served.abs_diff(COUNT / 2) <= 42, "{served} of {COUNT}");
-    assert_eq!(site.runs(ONCE), served);
+    assert_eq!(site.runs(NON_REPEATABLE), served);
 }
 
 #[actix_rt::test]
@@ -335,7 +341,7 @@
     until("the VM knows", || async { vm.has_logged("\"is_leaving\":true").then_some(()) }).await;
     let before = site.origin(0).seen().len();
     for _ in 0..10 {
-        let answer = Call::new(ONCE).send(vm).await.expect("an answer comes");
+        let answer = Call::new(NON_REPEATABLE).send(vm).await.expect("an answer comes");
         assert_eq!(answer.text(headers::STAMP), Some("i-1"));
     }
     assert_eq!(site.origin(0).seen().len(), before);
@@ -346,7 +352,7 @@
 #[actix_rt::test]
 async fn late_in_a_planned_stop_only_what_fits_for_sure_is_let_in() {
     let mut site = Site::start(1, 2).await;
-    let slow = Route { timeout_ms: 5_000, ..route(SAFE, true, "shop") };
+    let slow = Route { timeout_ms: 5_000, ..route(REPEATABLE, true, "shop") };
     let Catalog { services, limits, .. } = site.catalog.clone();
     site.catalog = Catalog::build(2, vec![(HOST.to_owned(), slow)], services, limits)
         .expect("the catalog is sound");
@@ -356,12 +362,15 @@
     })
     .await;
     for _ in 0..20 {
-        assert_eq!(Call::new(SAFE).send(&site.vms[0]).await.map(|answer| answer.status), Ok(200));
+        assert_eq!(
+            Call::new(REPEATABLE).send(&site.vms[0]).await.map(|answer| answer.status),
+            Ok(200)
+        );
     }
     site.vms[0].signal(Signal::TERM);
     tokio::time::sleep(Duration::from_millis(3_200)).await;
     site.set_all_replies(Reply::After(3_500));
-    let call = Call { caller_timeout_ms: 5_000, ..Call::new(&format!("{SAFE}late")) };
+    let call = Call { caller_timeout_ms: 5_000, ..Call::new(&format!("{REPEATABLE}late")) };
     let answer = call.send(&site.vms[0]).await.expect("it is answered, not cut");
     assert_eq!(answer.status, 503, "it can be served elsewhere");
     assert_eq!(site.runs("late"), 0);
--- a/tests/tests/gateway_bytes.rs
+++ b/tests/tests/gateway_bytes.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use leverstream_tests::site::{Call, ONCE, SAFE, Site};
+use leverstream_tests::site::{Call, NON_REPEATABLE, REPEATABLE, Site};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -37,7 +37,7 @@
 
 /// A request that was changed in a few places.
 fn changed(rng: &mut StdRng) -> Vec<u8> {
-    let path = if rng.random() { SAFE } else { ONCE };
+    let path = if rng.random() { REPEATABLE } else { NON_REPEATABLE };
     let body = vec![b'b'; rng.random_range(0..300)];
     let method = ["GET", "POST", "HEAD", "OPTIONS"].choose(rng).expect("there are methods");
     let mut bytes = Call { method, body, ..Call::new(path) }.bytes();
@@ -95,7 +95,7 @@
         socket.send_to(&datagram, peers).await.expect("it is sent");
     }
     for number in 0..20 {
-        let call = Call::new(&format!("{ONCE}after-{number}"));
+        let call = Call::new(&format!("{NON_REPEATABLE}after-{number}"));
         let answer = call.send(vm).await.expect("the VM answers");
         assert_eq!(answer.status, 200, "{number}");
     }
--- a/tests/tests/gateway_ends.rs
+++ b/tests/tests/gateway_ends.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 use leverstream_tests::ends::{CrashScenario, MAX_LATE_SENDS};
-use leverstream_tests::site::{ONCE, SAFE};
+use leverstream_tests::site::{NON_REPEATABLE, REPEATABLE};
 
 #[actix_rt::test]
 async fn a_request_under_which_three_have_ended_is_hardly_sent_any_more() {
-    for path in [SAFE, ONCE] {
+    for path in [REPEATABLE, NON_REPEATABLE] {
         let mut story = CrashScenario::start(3, 8).await;
         story.run(path, Duration::from_secs(7)).await;
         let outcome = story.evaluate().await;
@@ -26,9 +26,9 @@
 #[actix_rt::test]
 async fn it_is_still_known_after_all_vms_were_killed_at_once() {
     let mut story = CrashScenario::start(3, 8).await;
-    story.run(SAFE, Duration::from_secs(4)).await;
+    story.run(REPEATABLE, Duration::from_secs(4)).await;
     story.kill_all();
-    story.run(SAFE, Duration::from_secs(6)).await;
+    story.run(REPEATABLE, Duration::from_secs(6)).await;
     let outcome = story.evaluate().await;
     println!("{outcome:?}");
     assert!(outcome.late_sends <= MAX_LATE_SENDS, "{outcome:?}");
@@ -37,7 +37,7 @@
 #[actix_rt::test]
 async fn the_last_backend_server_of_a_service_is_spared() {
     let mut story = CrashScenario::start(1, 3).await;
-    story.run(SAFE, Duration::from_secs(5)).await;
+    story.run(REPEATABLE, Duration::from_secs(5)).await;
     let outcome = story.evaluate().await;
     println!("{outcome:?}");
     assert!(outcome.max_down <= 2 && outcome.crash_count <= 3, "{outcome:?}");
--- a/tests/tests/gateway_keys.rs
+++ b/tests/tests/gateway_keys.rs
@@ -5,7 +5,7 @@
 use leverstream_platform::standin::KeyedWorkspace;
 use leverstream_platform::{headers, standin};
 use leverstream_standin::platform::Faults;
-use leverstream_tests::site::{Call, ONCE, REVOKE_S, SAFE, Site, Vm, route};
+use leverstream_tests::site::{Call, NON_REPEATABLE, REPEATABLE, REVOKE_S, Site, Vm, route};
 use leverstream_tests::until;
 use leverstream_wire::Answer;
 use rustix::process::Signal;
@@ -35,7 +35,7 @@
     let mut site = Site::start(vms, 1).await;
     let open = leverstream_catalog::Route { is_open: true, ..route(OPEN, true, "shop") };
     let host = leverstream_tests::site::HOST.to_owned();
-    let routes = [route(SAFE, true, "shop"), route(ONCE, false, "shop"), open];
+    let routes = [route(REPEATABLE, true, "shop"), route(NON_REPEATABLE, false, "shop"), open];
     let routes = routes.into_iter().map(|route| (host.clone(), route)).collect();
     let (services, limits) = (site.catalog.services.clone(), site.catalog.limits);
     site.catalog = leverstream_catalog::Catalog::build(1, routes, services, limits)
@@ -48,7 +48,7 @@
 async fn a_key_opens_what_is_its_workspaces_and_goes_no_further() {
     let site = site(1).await;
     let vm = &site.vms[0];
-    for path in [SAFE, ONCE] {
+    for path in [REPEATABLE, NON_REPEATABLE] {
         let mut call = call(path, &["bearer key-one"]);
         call.fields.push((headers::WORKSPACE, "forged".to_owned()));
         assert_eq!(call.send(vm).await.expect("an answer comes").status, 200);
@@ -76,11 +76,11 @@
         &["Bearer key-one", "Bearer key-one"],
     ];
     for shown in wrong {
-        let answer = call(ONCE, shown).send(vm).await.expect("an answer comes");
+        let answer = call(NON_REPEATABLE, shown).send(vm).await.expect("an answer comes");
         assert_eq!(answer.status, 401, "{shown:?}");
         assert_eq!(answer.text("www-authenticate"), Some("Bearer"), "{shown:?}");
     }
-    assert_eq!(site.runs(ONCE), 0);
+    assert_eq!(site.runs(NON_REPEATABLE), 0);
     let missing = call("/nowhere/", &[]).send(vm).await.expect("an answer comes");
     assert_eq!(missing.status, 404);
 }
@@ -88,11 +88,11 @@
 #[actix_rt::test]
 async fn a_key_taken_away_ceases_to_work_at_once_and_the_other_goes_on() {
     let mut site = site(2).await;
-    assert_eq!(send(&site.vms[1], SAFE, "key-one").await.status, 200);
+    assert_eq!(send(&site.vms[1], REPEATABLE, "key-one").await.status, 200);
     site.put_workspaces(3, &[workspace("club", &["key-two"])]).await;
     for vm in &site.vms {
-        assert_eq!(send(vm, SAFE, "key-one").await.status, 401);
-        assert_eq!(send(vm, SAFE, "key-two").await.status, 200);
+        assert_eq!(send(vm, REPEATABLE, "key-one").await.status, 401);
+        assert_eq!(send(vm, REPEATABLE, "key-two").await.status, 200);
     }
 }
 
@@ -100,12 +100,12 @@
 async fn while_nobody_can_ask_the_store_keys_are_trusted_for_a_while_only() {
     let site = site(2).await;
     let vm = &site.vms[0];
-    assert_eq!(send(vm, ONCE, "key-one").await.status, 200);
+    assert_eq!(send(vm, NON_REPEATABLE, "key-one").await.status, 200);
     let silent_since = Instant::now();
     site.platform.set_faults(&Faults { silent: true, ..Faults::default() }).await;
-    assert_eq!(send(vm, ONCE, "key-one").await.status, 200);
+    assert_eq!(send(vm, NON_REPEATABLE, "key-one").await.status, 200);
     let refused = until("keys are no longer trusted", || async {
-        let answer = send(vm, ONCE, "key-one").await;
+        let answer = send(vm, NON_REPEATABLE, "key-one").await;
         (answer.status != 200).then_some(answer)
     })
     .await;
@@ -115,7 +115,7 @@
     assert_eq!(Call::new(OPEN).send(vm).await.expect("an answer comes").status, 200);
     site.platform.set_faults(&Faults::default()).await;
     until("keys are trusted again", || async {
-        (send(vm, ONCE, "key-one").await.status == 200).then_some(())
+        (send(vm, NON_REPEATABLE, "key-one").await.status == 200).then_some(())
     })
     .await;
 }
@@ -123,8 +123,8 @@
 #[actix_rt::test]
 async fn a_vm_that_stood_still_trusts_no_key_that_was_taken_away_meanwhile() {
     let mut site = site(2).await;
-    assert_eq!(send(&site.vms[1], ONCE, "key-one").await.status, 200);
-    let runs = site.runs(ONCE);
+    assert_eq!(send(&site.vms[1], NON_REPEATABLE, "key-one").await.status, 200);
+    let runs = site.runs(NON_REPEATABLE);
     site.vms[1].signal(Signal::STOP);
     let taken = Instant::now();
     site.catalog.version = 3;
@@ -133,12 +133,12 @@
     tokio::time::sleep(Duration::from_secs_f64(REVOKE_S).saturating_sub(taken.elapsed())).await;
     site.vms[1].signal(Signal::CONT);
     for _ in 0..20 {
-        let answer = send(&site.vms[1], ONCE, "key-one").await;
+        let answer = send(&site.vms[1], NON_REPEATABLE, "key-one").await;
         assert_ne!(answer.status, 200, "a key that was taken away works");
     }
-    assert_eq!(site.runs(ONCE), runs);
+    assert_eq!(site.runs(NON_REPEATABLE), runs);
     until("the other key works", || async {
-        (send(&site.vms[1], ONCE, "key-two").await.status == 200).then_some(())
+        (send(&site.vms[1], NON_REPEATABLE, "key-two").await.status == 200).then_some(())
     })
     .await;
 }
@@ -153,13 +153,13 @@
     let (mut served, mut refused) = (0, Vec::new());
     while began.elapsed() < Duration::from_secs(3) {
         for vm in &site.vms {
-            let answer = send(vm, SAFE, "key-one").await;
+            let answer = send(vm, REPEATABLE, "key-one").await;
             match answer.status {
                 200 => served += 1,
                 429 => refused.push(answer),
                 status => panic!("status {status}"),
             }
-            assert_eq!(send(vm, SAFE, "key-two").await.status, 200);
+            assert_eq!(send(vm, REPEATABLE, "key-two").await.status, 200);
         }
     }
     let passed_s = began.elapsed().as_secs_f64();
@@ -186,7 +186,7 @@
         let until = Instant::now() + Duration::from_millis(700);
         while Instant::now() < until {
             for vm in &site.vms {
-                let answer = send(vm, SAFE, "key-one").await;
+                let answer = send(vm, REPEATABLE, "key-one").await;
                 assert!(matches!(answer.status, 200 | 429 | 503), "{}", answer.status);
                 served.extend((answer.status == 200).then(Instant::now));
             }
@@ -221,7 +221,7 @@
         let until = Instant::now() + Duration::from_millis(500);
         while Instant::now() < until {
             for vm in &site.vms {
-                let answer = send(vm, SAFE, "key-one").await;
+                let answer = send(vm, REPEATABLE, "key-one").await;
                 served.extend((answer.status == 200).then(Instant::now));
             }
         }
--- a/tests/tests/gateway_notices.rs
+++ b/tests/tests/gateway_notices.rs
@@ -14,7 +14,7 @@
 use leverstream_tests::flow::{
     CallResult, Flow, longest_after_leaving_notice, max_during_hold_off, served_share,
 };
-use leverstream_tests::site::{Call, SAFE, Site, backend};
+use leverstream_tests::site::{Call, REPEATABLE, Site, backend};
 use rustix::process::Signal;
 use yare::parameterized;
 
@@ -141,7 +141,7 @@
     let mut site = site;
     site.add_origin("i-new").await;
     let served = async || {
-        let answer = Call::new(&format!("{SAFE}again")).send(&site.vms[0]).await;
+        let answer = Call::new(&format!("{REPEATABLE}again")).send(&site.vms[0]).await;
         answer.is_ok_and(|answer| answer.status == 200).then_some(())
     };
     leverstream_tests::until("the service is back", served).await;
--- a/tests/tests/gateway_return.rs
+++ b/tests/tests/gateway_return.rs
@@ -4,7 +4,7 @@
 
 use leverstream_platform::headers;
 use leverstream_standin::platform::Faults;
-use leverstream_tests::site::{Call, ONCE, SAFE, Site, Vm};
+use leverstream_tests::site::{Call, NON_REPEATABLE, REPEATABLE, Site, Vm};
 use leverstream_tests::until;
 use rustix::process::Signal;
 
@@ -23,7 +23,7 @@
     site.vms.iter_mut().for_each(Vm::restart);
     site.until_ready().await;
     for vm in &site.vms {
-        assert_eq!(Call::new(ONCE).send(vm).await.expect("an answer comes").status, 200);
+        assert_eq!(Call::new(NON_REPEATABLE).send(vm).await.expect("an answer comes").status, 200);
         let told = until("callers are told where to go", || async {
             let told = vm.resolve("hall-a").await;
             (!told.is_empty()).then_some(told)
@@ -68,13 +68,17 @@
     site.vms.iter_mut().for_each(Vm::restart);
     // Nobody knows a configuration: what is refused has not run, and says when to come back.
     let refused =
-        until("a VM answers", || async { Call::new(SAFE).send(&site.vms[0]).await.ok() }).await;
+        until("a VM answers", || async { Call::new(REPEATABLE).send(&site.vms[0]).await.ok() })
+            .await;
     assert_eq!((refused.status, refused.text("retry-after").is_some()), (503, true));
     site.platform.set_faults(&Faults::default()).await;
     let returned = Instant::now();
     site.until_ready().await;
     assert!(returned.elapsed() < BACK_WITHIN, "{:?}", returned.elapsed());
-    assert_eq!(Call::new(SAFE).send(&site.vms[0]).await.expect("an answer comes").status, 200);
+    assert_eq!(
+        Call::new(REPEATABLE).send(&site.vms[0]).await.expect("an answer comes").status,
+        200
+    );
 }
 
 #[actix_rt::test]
@@ -95,14 +99,14 @@
     })
     .await;
     until("it knows who is gone", || async {
-        let answer = Call::new(SAFE).send(frozen).await.ok()?;
+        let answer = Call::new(REPEATABLE).send(frozen).await.ok()?;
         (answer.text(headers::STAMP) == Some("i-1") && frozen.has_logged("backend gone"))
             .then_some(())
     })
     .await;
     assert!(woken.elapsed() < CAUGHT_UP_WITHIN, "{:?}", woken.elapsed());
     for _ in 0..6 {
-        let answer = Call::new(ONCE).send(frozen).await.expect("an answer comes");
+        let answer = Call::new(NON_REPEATABLE).send(frozen).await.expect("an answer comes");
         assert_eq!((answer.status, answer.text(headers::STAMP)), (200, Some("i-1")));
     }
 }
@@ -119,7 +123,12 @@
     site.vms[1].signal(Signal::CONT);
     for vm in &site.vms {
         let served = || async {
-            Call::new(ONCE).send(vm).await.ok().filter(|answer| answer.status == 200).map(|_| ())
+            Call::new(NON_REPEATABLE)
+                .send(vm)
+                .await
+                .ok()
+                .filter(|answer| answer.status == 200)
+                .map(|_| ())
         };
         until("the VM serves", served).await;
     }
@@ -135,7 +144,7 @@
         let lists = vm.metric("leverstream_store_lists_total").await;
         let is_watcher = vm.has_logged("\"is_watcher\":true");
         assert!(lists == 0.0 || is_watcher, "{lists} reads, watcher {is_watcher}");
-        assert_eq!(Call::new(ONCE).send(vm).await.expect("an answer comes").status, 200);
+        assert_eq!(Call::new(NON_REPEATABLE).send(vm).await.expect("an answer comes").status, 200);
     }
 }
 
@@ -147,7 +156,8 @@
     for _ in 0..3 {
         site.vms[1].restart();
         let vm = &site.vms[1];
-        let first = until("the VM answers", || async { Call::new(SAFE).send(vm).await.ok() }).await;
+        let first =
+            until("the VM answers", || async { Call::new(REPEATABLE).send(vm).await.ok() }).await;
         assert_eq!(first.status, 200);
     }
 }
--- a/tests/tests/gateway_store.rs
+++ b/tests/tests/gateway_store.rs
@@ -5,7 +5,9 @@
 use leverstream_catalog::{Backend, Catalog};
 use leverstream_platform::{headers, standin};
 use leverstream_standin::platform::Faults;
-use leverstream_tests::site::{Call, ONCE, SAFE, Site, Vm, backend, catalog, route};
+use leverstream_tests::site::{
+    Call, NON_REPEATABLE, REPEATABLE, Site, Vm, backend, catalog, route,
+};
 use leverstream_tests::until;
 use rustix::process::Signal;
 
@@ -27,7 +29,8 @@
     let mut site = site;
     site.vms[0].restart();
     let vm = &site.vms[0];
-    let refused = until("the VM answers", || async { Call::new(SAFE).send(vm).await.ok() }).await;
+    let refused =
+        until("the VM answers", || async { Call::new(REPEATABLE).send(vm).await.ok() }).await;
     assert_eq!(refused.status, 503);
     assert!(!vm.is_ready().await);
     assert!(vm.resolve("hall-a").await.is_empty());
@@ -57,7 +60,7 @@
     })
     .await;
     until("it is logged", || async { vm.has_logged("configuration refused").then_some(()) }).await;
-    assert_eq!(Call::new(SAFE).send(vm).await.expect("an answer comes").status, 200);
+    assert_eq!(Call::new(REPEATABLE).send(vm).await.expect("an answer comes").status, 200);
     site.put_catalog(9).await;
     until_version(&site, 0, 9).await;
 }
@@ -75,7 +78,7 @@
     let vm = &site.vms[0];
     until("the VM knows", || async { vm.has_logged("missing from the list").then_some(()) }).await;
     assert!(started.elapsed() < Duration::from_secs(2));
-    let answer = Call::new(ONCE).send(vm).await.expect("an answer comes");
+    let answer = Call::new(NON_REPEATABLE).send(vm).await.expect("an answer comes");
     assert_eq!(answer.text(headers::STAMP), Some("i-1"));
 }
 
@@ -90,12 +93,12 @@
     until("the store is regained", || async { vm.has_logged("store regained").then_some(()) })
         .await;
     // Neither is listed, and both still serve.
-    assert_eq!(Call::new(ONCE).send(vm).await.expect("an answer comes").status, 200);
+    assert_eq!(Call::new(NON_REPEATABLE).send(vm).await.expect("an answer comes").status, 200);
     site.list_backend(&backend("i-1", site.origin(1).address)).await;
     until("the other is gone", || async { vm.has_logged("not back after").then_some(()) }).await;
     assert!(returned.elapsed() < Duration::from_secs(4), "{:?}", returned.elapsed());
     for _ in 0..6 {
-        let answer = Call::new(ONCE).send(vm).await.expect("an answer comes");
+        let answer = Call::new(NON_REPEATABLE).send(vm).await.expect("an answer comes");
         assert_eq!(answer.text(headers::STAMP), Some("i-1"));
     }
 }
@@ -108,7 +111,7 @@
     site.until_ready().await;
     let told = || async { site.vms[1].has_logged("backends from another VM").then_some(()) };
     until("the other VM's news are logged", told).await;
-    let answer = Call::new(ONCE).send(&site.vms[1]).await.expect("an answer comes");
+    let answer = Call::new(NON_REPEATABLE).send(&site.vms[1]).await.expect("an answer comes");
     assert_eq!(answer.status, 200);
 }
 
@@ -165,9 +168,9 @@
     let at = site.vms.iter().position(|vm| vm.callers().to_string() == listed);
     let at = at.expect("it is one of the two");
     site.set_all_replies(leverstream_standin::origin::Reply::After(600));
-    let (call, vm, other) = (Call::new(ONCE), &site.vms[at], &site.vms[1 - at]);
+    let (call, vm, other) = (Call::new(NON_REPEATABLE), &site.vms[at], &site.vms[1 - at]);
     let during = async {
-        until("it runs", || async { (site.runs(ONCE) == 1).then_some(()) }).await;
+        until("it runs", || async { (site.runs(NON_REPEATABLE) == 1).then_some(()) }).await;
         vm.signal(Signal::TERM);
         until("it is not ready", || async { (!vm.is_ready().await).then_some(()) }).await;
         until("the other takes its place", || async {
@@ -176,7 +179,7 @@
         })
         .await;
         // Those who still hold the old answer are served, and told to go.
-        let late = Call::new(SAFE).send(vm).await.expect("an answer comes");
+        let late = Call::new(REPEATABLE).send(vm).await.expect("an answer comes");
         assert_eq!((late.status, late.closes()), (200, true));
     };
     let (answer, ()) = futures_util::future::join(call.send(vm), during).await;
@@ -192,7 +195,7 @@
     let vm = &site.vms[0];
     for _ in 0..10 {
         vm.signal(Signal::HUP);
-        let answer = Call::new(ONCE).send(vm).await.expect("an answer comes");
+        let answer = Call::new(NON_REPEATABLE).send(vm).await.expect("an answer comes");
         assert_eq!(answer.status, 200);
     }
     until("the settings were read again", || async { vm.has_logged("\"reload\"").then_some(()) })
@@ -267,13 +270,14 @@
             site.until_ready().await;
         }
         for _ in 0..10 {
-            let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer comes");
+            let answer =
+                Call::new(NON_REPEATABLE).send(&site.vms[0]).await.expect("an answer comes");
             assert_eq!(answer.text(headers::STAMP), Some("i-0"));
         }
     }
     site.list_backend(&backend("i-1", site.origin(1).address)).await;
     until("it is back", || async {
-        let answer = Call::new(ONCE).send(&site.vms[0]).await.ok()?;
+        let answer = Call::new(NON_REPEATABLE).send(&site.vms[0]).await.ok()?;
         (answer.text(headers::STAMP) == Some("i-1")).then_some(())
     })
     .await;
@@ -289,7 +293,7 @@
     let is_ended = |vm: &Vm| vm.has_logged("its address answers for another");
     until("it was met", || async {
         for vm in &site.vms {
-            let _ = Call::new(ONCE).send(vm).await;
+            let _ = Call::new(NON_REPEATABLE).send(vm).await;
         }
         site.vms.iter().any(is_ended).then_some(())
     })
@@ -298,7 +302,7 @@
     site.list_backend(&born(2_000)).await;
     for vm in &site.vms {
         until("it gets work from every VM", || async {
-            let answer = Call::new(ONCE).send(vm).await.ok()?;
+            let answer = Call::new(NON_REPEATABLE).send(vm).await.ok()?;
             (answer.text(headers::STAMP) == Some("i-1")).then_some(())
         })
         .await;
--- a/tests/tests/soak.rs
+++ b/tests/tests/soak.rs
@@ -4,7 +4,7 @@
 
 use leverstream_tests::ends::{CrashScenario, MAX_LATE_SENDS};
 use leverstream_tests::notices::{MAX_DURING_HOLD_OFF, NoticesScenario};
-use leverstream_tests::site::{ONCE, SAFE};
+use leverstream_tests::site::{NON_REPEATABLE, REPEATABLE};
 use leverstream_tests::soak::{FaultPlan, soak};
 
 /// The seeds that run each time: one that found nothing yet, then those that ever failed.
@@ -53,7 +53,7 @@
     let mut failed = Vec::new();
     for seed in seeds(&END_SEEDS) {
         let mut story = CrashScenario::start(4, 8).await;
-        let path = if seed % 2 == 0 { SAFE } else { ONCE };
+        let path = if seed % 2 == 0 { REPEATABLE } else { NON_REPEATABLE };
         story.run_with_faults(seed, path, length).await;
         let done = story.events().to_vec();
         let outcome = story.evaluate().await;
