--- a/tests/src/ends.rs
+++ b/tests/src/ends.rs
@@ -54,7 +54,7 @@
 pub struct Outcome {
     /// How often the request reached a backend server.
     pub sends: usize,
-    /// How often it was sent by an undisturbed VM more than [`LEARN_LIMIT`] after the third crash.
+    /// How often it was sent by an undisturbed VM more than `LEARN_LIMIT` after the third crash.
     pub late_sends: usize,
     /// The number of crashes of backend servers.
     pub crash_count: usize,
@@ -81,8 +81,8 @@
     }
 
     /// Repeats the request below a path prefix for a duration, at all VMs in turn, with as many ordinary requests.
-    pub async fn run(&mut self, path: &str, length: Duration) {
-        let until = Instant::now() + length;
+    pub async fn run(&mut self, path: &str, duration: Duration) {
+        let until = Instant::now() + duration;
         while Instant::now() < until {
             self.send_requests(path);
             tokio::time::sleep(REQUEST_INTERVAL).await;
@@ -94,9 +94,9 @@
     }
 
     /// Repeats the request while VMs and the store have random, overlapping faults, drawn from a seed.
-    pub async fn run_with_faults(&mut self, seed: u64, path: &str, length: Duration) {
+    pub async fn run_with_faults(&mut self, seed: u64, path: &str, duration: Duration) {
         let mut rng = StdRng::seed_from_u64(seed);
-        let until = Instant::now() + length;
+        let until = Instant::now() + duration;
         while Instant::now() < until {
             self.fault_injector.inject_random(&mut self.site, &mut rng).await;
             let pause = Duration::from_millis(rng.random_range(100..1_500));
@@ -168,7 +168,7 @@
         }));
     }
 
-    /// Replaces backend servers that crashed at least [`RESTART_DELAY`] ago, unless the store has an outage.
+    /// Replaces backend servers that crashed at least `RESTART_DELAY` ago, unless the store has an outage.
     async fn replace_crashed(&mut self) {
         let is_due =
             |origin: &Origin| origin.ended_at().is_some_and(|at| at.elapsed() >= RESTART_DELAY);
--- a/tests/src/fault_injector.rs
+++ b/tests/src/fault_injector.rs
@@ -97,7 +97,7 @@
         self.vm_faults[vm].push((Instant::now(), until));
     }
 
-    /// Stops a VM gracefully; it restarts after [`RESTART_DELAY`].
+    /// Stops a VM gracefully; it restarts after `RESTART_DELAY`.
     pub fn stop(&mut self, site: &mut Site, vm: usize) {
         self.log_event(&format!("VM {vm} is stopped gracefully"));
         let at = Instant::now() + RESTART_DELAY;
@@ -144,8 +144,8 @@
     }
 
     /// Returns whether, at a moment, no fault had affected the VM or the store for a duration.
-    pub fn was_undisturbed(&self, vm: usize, at: Instant, for_time: Duration) -> bool {
-        let is_affected = |(from, to): &(Instant, Instant)| *from <= at && at < *to + for_time;
+    pub fn was_undisturbed(&self, vm: usize, at: Instant, duration: Duration) -> bool {
+        let is_affected = |(from, to): &(Instant, Instant)| *from <= at && at < *to + duration;
         !self.vm_faults[vm].iter().any(is_affected) && !self.store_faults.iter().any(is_affected)
     }
 
--- a/tests/src/fleet.rs
+++ b/tests/src/fleet.rs
@@ -1,3 +1,5 @@
+//! A fleet of daemons with stand-ins for the platform and backend servers, all as real processes.
+
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/tests/src/flow.rs
+++ b/tests/src/flow.rs
@@ -39,8 +39,8 @@
 
 impl Flow {
     /// Sends requests for a duration, without waiting for their answers.
-    pub async fn run(&mut self, site: &Site, length: Duration) {
-        let until = Instant::now() + length;
+    pub async fn run(&mut self, site: &Site, duration: Duration) {
+        let until = Instant::now() + duration;
         while Instant::now() < until {
             let number = self.vms.len();
             let vm = number % site.vms.len();
@@ -97,7 +97,7 @@
     longest
 }
 
-/// Returns the most requests that one VM sent during a hold-off time named in a rejection, from [`IN_FLIGHT_TIME`] after the
+/// Returns the most requests that one VM sent during a hold-off time named in a rejection, from `IN_FLIGHT_TIME` after the
 /// rejection on. `is_excused` returns whether a fault affected a VM between two moments.
 pub fn max_during_hold_off(
     arrivals: &[(usize, Seen)],
@@ -132,7 +132,7 @@
 pub struct LimitUsage {
     /// The most requests in a window, as a share of those allowed by the limits named in the window.
     pub max_window_share: f64,
-    /// Requests received as a share of those that its limits allow, from [`LIMIT_LEARN_TIME`] on.
+    /// Requests received as a share of those that its limits allow, from `LIMIT_LEARN_TIME` on.
     pub total_share: f64,
 }
 
--- a/tests/src/notices.rs
+++ b/tests/src/notices.rs
@@ -20,7 +20,7 @@
 /// How long a backend server works on a request.
 const WORK_MS: u64 = 40;
 
-/// How long after a leaving notice its backend server may still receive requests: 2 s, and [`WORK_MS`] until the answer
+/// How long after a leaving notice its backend server may still receive requests: 2 s, and `WORK_MS` until the answer
 /// with the notice is sent.
 const LEAVING_LIMIT: Duration = Duration::from_millis(2_000 + WORK_MS);
 
@@ -64,7 +64,7 @@
 /// What the check of the scenario measured.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Pairs of a backend server and a VM where a request arrived more than [`LEAVING_LIMIT`] after the leaving notice to the VM.
+    /// Pairs of a backend server and a VM where a request arrived more than `LEAVING_LIMIT` after the leaving notice to the VM.
     pub late_after_leaving: usize,
     /// The most requests from one VM that reached a backend server during a hold-off time.
     pub max_during_hold_off: usize,
@@ -93,9 +93,9 @@
     }
 
     /// Runs random notices and overlapping faults of VMs and the store, drawn from a seed.
-    pub async fn run_with_faults(&mut self, seed: u64, length: Duration) {
+    pub async fn run_with_faults(&mut self, seed: u64, duration: Duration) {
         let mut rng = StdRng::seed_from_u64(seed);
-        while self.started.elapsed() < length {
+        while self.started.elapsed() < duration {
             if rng.random_bool(0.5) {
                 self.fault_injector.inject_random(&mut self.site, &mut rng).await;
             }
--- a/tests/src/process.rs
+++ b/tests/src/process.rs
@@ -1,3 +1,5 @@
+//! Processes of the workspace's programs, with their output captured.
+
 use std::io::{BufRead, BufReader, Read};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
--- a/tests/src/request.rs
+++ b/tests/src/request.rs
@@ -1,3 +1,5 @@
+//! Single requests to a daemon, sent without retries.
+
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/tests/src/site.rs
+++ b/tests/src/site.rs
@@ -167,8 +167,8 @@
     }
 
     /// Returns the backend server at an index.
-    pub fn origin(&self, number: usize) -> &Origin {
-        &self.origins[number]
+    pub fn origin(&self, index: usize) -> &Origin {
+        &self.origins[index]
     }
 
     /// Sets the reply of all backend servers.
--- a/tests/src/soak.rs
+++ b/tests/src/soak.rs
@@ -27,7 +27,7 @@
 use crate::until;
 
 pub use callers::CallerResult;
-use callers::{Calls, call};
+use callers::{CallerState, run_caller};
 use repeat_bound::find_excess_repeats;
 
 /// The number of VMs.
@@ -91,9 +91,9 @@
 }
 
 /// Runs a soak of a seed for a duration and returns its result.
-pub async fn soak(seed: u64, plan: FaultPlan, length: Duration) -> Findings {
+pub async fn soak(seed: u64, plan: FaultPlan, duration: Duration) -> Findings {
     let mut soak = Soak::start(seed).await;
-    let calls = Rc::new(Calls {
+    let caller_state = Rc::new(CallerState {
         is_running: Cell::new(true),
         results: RefCell::default(),
         wrong_answers: RefCell::default(),
@@ -101,10 +101,10 @@
     let callers: Vec<_> = (0..CALLERS)
         .map(|number| {
             let rng = StdRng::seed_from_u64(seed * 1_000 + number as u64);
-            actix_rt::spawn(call(Rc::clone(&calls), Rc::clone(&soak.directories), rng))
+            actix_rt::spawn(run_caller(Rc::clone(&caller_state), Rc::clone(&soak.directories), rng))
         })
         .collect();
-    while soak.started.elapsed() < length {
+    while soak.started.elapsed() < duration {
         match plan {
             FaultPlan::All => soak.inject_random().await,
             FaultPlan::VmFaultsAndRejections => soak.inject_random_vm_fault().await,
@@ -119,11 +119,11 @@
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     }
     soak.end_faults().await;
-    calls.is_running.set(false);
+    caller_state.is_running.set(false);
     for caller in callers {
         let _ = caller.await;
     }
-    soak.evaluate(&calls)
+    soak.evaluate(&caller_state)
 }
 
 impl Soak {
@@ -193,10 +193,10 @@
             3 => self.pause(vm).await,
             4 => self.stop(vm).await,
             _ => {
-                let rejects = self.rng.random_range(1..=ORIGINS);
+                let rejecting = self.rng.random_range(1..=ORIGINS);
                 self.site.set_all_replies(Reply::After(20));
-                (0..rejects).for_each(|index| self.site.origin(index).set(Reply::Full));
-                self.log_event(&format!("{rejects} backend servers reject requests"));
+                (0..rejecting).for_each(|index| self.site.origin(index).set(Reply::Full));
+                self.log_event(&format!("{rejecting} backend servers reject requests"));
             }
         }
     }
@@ -281,9 +281,9 @@
         for _ in 0..signal_count {
             self.site.vms[vm].signal(Signal::TERM);
         }
-        let ended = tokio::time::timeout(STOP_LIMIT, self.site.vms[vm].process.wait()).await;
-        if ended != Ok(Some(0)) {
-            self.violations.push(format!("VM {vm} did not exit with code 0 in time: {ended:?}"));
+        let exit = tokio::time::timeout(STOP_LIMIT, self.site.vms[vm].process.wait()).await;
+        if exit != Ok(Some(0)) {
+            self.violations.push(format!("VM {vm} did not exit with code 0 in time: {exit:?}"));
         }
         self.site.vms[vm].restart();
         self.log_event(&format!("VM {vm} is restarted"));
@@ -379,15 +379,15 @@
     }
 
     /// Checks the results of callers against the requests that backend servers ran.
-    fn evaluate(self, calls: &Calls) -> Findings {
+    fn evaluate(self, caller_state: &CallerState) -> Findings {
         let mut runs: HashMap<String, usize> = HashMap::new();
         for seen in self.site.origins.iter().flat_map(Origin::seen).filter(|seen| seen.ran) {
             let id = seen.field(headers::REQUEST_ID).unwrap_or_default().to_owned();
             *runs.entry(id).or_default() += 1;
         }
         let mut violations = self.violations;
-        violations.extend(calls.wrong_answers.borrow().iter().cloned());
-        let results = calls.results.borrow();
+        violations.extend(caller_state.wrong_answers.borrow().iter().cloned());
+        let results = caller_state.results.borrow();
         for result in results.iter().filter(|result| result.is_non_repeatable) {
             let ran = runs.get(&result.id).copied().unwrap_or(0);
             if ran > 1 {
--- a/tests/src/soak/callers.rs
+++ b/tests/src/soak/callers.rs
@@ -30,7 +30,7 @@
 }
 
 /// State shared by all callers.
-pub(super) struct Calls {
+pub(super) struct CallerState {
     /// Whether callers go on sending requests.
     pub is_running: Cell<bool>,
     /// The results of all requests.
@@ -40,11 +40,15 @@
 }
 
 /// Sends requests one after the other until `is_running` is cleared.
-pub(super) async fn call(calls: Rc<Calls>, directories: Rc<Vec<SocketAddr>>, mut rng: StdRng) {
+pub(super) async fn run_caller(
+    state: Rc<CallerState>,
+    directories: Rc<Vec<SocketAddr>>,
+    mut rng: StdRng,
+) {
     let mut addresses: Vec<SocketAddr> = Vec::new();
     let mut resolved_at = Instant::now();
     let mut conn: Option<(SocketAddr, Conn)> = None;
-    while calls.is_running.get() {
+    while state.is_running.get() {
         if addresses.is_empty() || resolved_at.elapsed() > ADDRESSES_VALID {
             let directory = *directories.choose(&mut rng).expect("there are VMs");
             let resolved = crate::site::resolve(directory, HALL).await;
@@ -56,7 +60,7 @@
         }
         if let Some(address) = addresses.choose(&mut rng).copied() {
             let is_non_repeatable = rng.random_bool(0.6);
-            conn = send_request(&calls, conn, address, is_non_repeatable).await;
+            conn = send_request(&state, conn, address, is_non_repeatable).await;
         }
         tokio::time::sleep(Duration::from_millis(rng.random_range(5..40))).await;
     }
@@ -64,7 +68,7 @@
 
 /// Sends one request; returns the connection if it can be reused.
 async fn send_request(
-    calls: &Calls,
+    state: &CallerState,
     conn: Option<(SocketAddr, Conn)>,
     address: SocketAddr,
     is_non_repeatable: bool,
@@ -89,10 +93,10 @@
     let answer = tokio::time::timeout(Duration::from_millis(2_500), exchange).await;
     let answer = answer.ok().and_then(Result::ok);
     if let Some(answer) = &answer {
-        check(calls, &call, answer);
+        check(state, &call, answer);
     }
     let status = answer.as_ref().map(|answer| answer.status);
-    calls.results.borrow_mut().push(CallerResult {
+    state.results.borrow_mut().push(CallerResult {
         id: call.id,
         sent_at,
         is_non_repeatable,
@@ -103,13 +107,13 @@
 }
 
 /// Checks that an answer belongs to the request and is complete, and records it otherwise.
-fn check(calls: &Calls, call: &Call, answer: &Answer) {
+fn check(state: &CallerState, call: &Call, answer: &Answer) {
     let stamp = answer.text(headers::STAMP);
     let id = answer.text(headers::REQUEST_ID);
     let is_own = id.is_none_or(|id| id == call.id);
     let expected_body = format!("{} {}", stamp.unwrap_or_default(), call.id);
     let is_whole = &*answer.body == expected_body.as_bytes() || &*answer.body == b"unframed";
     if !is_own || (answer.status == 200 && (stamp.is_none() || !is_whole)) {
-        calls.wrong_answers.borrow_mut().push(format!("{} got {answer:?}", call.id));
+        state.wrong_answers.borrow_mut().push(format!("{} got {answer:?}", call.id));
     }
 }
--- a/tests/src/soak/repeat_bound.rs
+++ b/tests/src/soak/repeat_bound.rs
@@ -8,8 +8,10 @@
 
 use super::CallerResult;
 
-/// The repeats that the site's settings allow all VMs together: a share of the requests, and a fixed number besides.
+/// Repeats allowed to all VMs together per request, as in the site's settings.
 const REPEATS_PER_REQUEST: f64 = 0.2;
+
+/// Repeats allowed to all VMs together in addition, as in the site's settings.
 const REPEATS_SLACK: f64 = 62.0;
 
 /// The window in which repeats are bounded.
