--- a/tests/tests/fleet.rs
+++ b/tests/tests/fleet.rs
@@ -124,13 +124,13 @@
         reads.wait_for(50).await;
         let mut options = DaemonOptions::new(hall, fleet.platform.address);
         options.ticket_ttl_ms = TICKET_TTL_MS;
-        let new = fleet.launch(&options);
+        let new = fleet.start_daemon(&options);
         let mut old = std::mem::replace(&mut fleet.daemons[index], new);
-        fleet.list_all().await;
+        fleet.list_daemons().await;
         old.process.signal(Signal::TERM);
         let code = old.process.wait().await;
         assert_eq!(code, Some(0));
-        fleet.settle().await;
+        fleet.wait_until_all_alive().await;
         fleet.wait_in_force("shop", 1).await;
     }
     reads.wait_for(50).await;
@@ -166,7 +166,7 @@
     let process = &mut fleet.daemons[0].process;
     process.signal(Signal::TERM);
     process.wait_for_line("leaves the answers");
-    assert_eq!(process.ended(), None);
+    assert_eq!(process.try_exit_code(), None);
     process.signal(Signal::TERM);
     assert_eq!(process.wait().await, Some(0));
     assert!(held.await.expect("the task ends").is_none());
@@ -188,7 +188,7 @@
     fleet.daemons[1].must_edit(&[change("shop/b1.leaving", json!(true))]).await;
     assert_requests_stop(&backends[0], &load).await;
     // Marked as leaving on the platform.
-    fleet.list_all_leaving(&[backends[3].address]).await;
+    fleet.list_daemons_with_leaving(&[backends[3].address]).await;
     assert_requests_stop(&backends[3], &load).await;
     // By its own notice in answers, while the platform is unavailable.
     fleet.platform.set_faults(&Faults { away: true, ..Faults::default() }).await;
@@ -235,7 +235,7 @@
     let mut options = DaemonOptions::new("c", fleet.platform.address);
     options.seeds = vec![fleet.daemons[0].peers];
     fleet.add(&options);
-    fleet.settle().await;
+    fleet.wait_until_all_alive().await;
     fleet.wait_in_force("shop", 1).await;
     let request = Request::new(fleet.daemons[2].callers, "shop", Method::GET, "/games/7");
     assert_eq!(request.must_send().await.status, 200);
@@ -274,8 +274,8 @@
         let options = DaemonOptions::new(hall, fleet.platform.address);
         fleet.add(&options);
     }
-    fleet.list_all().await;
-    fleet.settle().await;
+    fleet.list_daemons().await;
+    fleet.wait_until_all_alive().await;
     fleet.wait_in_force("shop", 1).await;
     for daemon in &fleet.daemons {
         let request = Request::new(daemon.callers, "shop", Method::GET, "/games/7");
--- a/tests/tests/gateway.rs
+++ b/tests/tests/gateway.rs
@@ -5,7 +5,9 @@
 use leverstream_catalog::{Backend, Catalog, Route, Target};
 use leverstream_platform::{headers, standin};
 use leverstream_standin::origin::Reply;
-use leverstream_tests::site::{Call, HOST, ONCE, SAFE, Site, backend, catalog, route, send};
+use leverstream_tests::site::{
+    Call, HOST, NON_REPEATABLE, REPEATABLE, Site, backend, catalog, route, send,
+};
 use leverstream_tests::until;
 use leverstream_wire::{Conn, Progress, RequestHead};
 use rustix::process::Signal;
@@ -25,7 +27,7 @@
             ("x-private", "1".into()),
             (headers::EXPECTED_INSTANCE, "forged".into()),
         ],
-        ..Call::new(&format!("{ONCE}a%20b?q=1"))
+        ..Call::new(&format!("{NON_REPEATABLE}a%20b?q=1"))
     };
     let answer = call.send(vm).await.expect("an answer arrives");
     assert_eq!(answer.status, 200);
@@ -33,7 +35,7 @@
     assert_eq!(answer.text(headers::REQUEST_ID), Some(call.id.as_str()));
     assert_eq!(answer.body, format!("i-0 {}", call.id));
     let seen = site.origin(0).requests().remove(0);
-    assert_eq!(seen.line, format!("PUT {ONCE}a%20b?q=1 HTTP/1.1"));
+    assert_eq!(seen.line, format!("PUT {NON_REPEATABLE}a%20b?q=1 HTTP/1.1"));
     assert_eq!(seen.body, b"the body");
     assert_eq!(seen.field("host"), Some(HOST));
     assert_eq!(seen.field("accept-language"), Some("nl"));
@@ -84,14 +86,14 @@
     let site = Site::start(1, 2).await;
     site.origin(0).set(Reply::Rejection);
     for _ in 0..6 {
-        let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer arrives");
+        let answer = Call::new(NON_REPEATABLE).send(&site.vms[0]).await.expect("an answer arrives");
         assert_eq!(answer.status, 200);
     }
     site.origin(1).set(Reply::Rejection);
-    let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer arrives");
+    let answer = Call::new(NON_REPEATABLE).send(&site.vms[0]).await.expect("an answer arrives");
     assert_eq!(answer.status, 503);
     assert!(answer.text("retry-after").is_some());
-    assert_eq!(site.origin(0).runs(ONCE), 0);
+    assert_eq!(site.origin(0).runs(NON_REPEATABLE), 0);
 }
 
 #[actix_rt::test]
@@ -99,7 +101,7 @@
     let site = Site::start(1, 2).await;
     site.origin(0).set_instance("i-new");
     for _ in 0..8 {
-        let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer arrives");
+        let answer = Call::new(NON_REPEATABLE).send(&site.vms[0]).await.expect("an answer arrives");
         assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-1"));
     }
     assert!(site.origin(0).requests().len() <= 1);
@@ -117,8 +119,8 @@
         Reply::NoAnswer,
     ];
     for (number, reply) in broken.into_iter().enumerate() {
-        site.set_all(reply);
-        let path = format!("{ONCE}{number}");
+        site.set_all_replies(reply);
+        let path = format!("{NON_REPEATABLE}{number}");
         let answer = Call::new(&path).send(&site.vms[0]).await.expect("an answer arrives");
         assert!(matches!(answer.status, 500 | 502 | 504), "{reply:?}: {}", answer.status);
         assert_eq!(site.runs(&path), 1, "{reply:?}");
@@ -135,7 +137,7 @@
     {
         site.origin(0).set(reply);
         for round in 0..3 {
-            let path = format!("{SAFE}{number}-{round}");
+            let path = format!("{REPEATABLE}{number}-{round}");
             let answer = Call::new(&path).send(&site.vms[0]).await.expect("an answer arrives");
             assert_eq!(answer.status, 200, "{reply:?}");
         }
@@ -147,9 +149,9 @@
 async fn late_and_surplus_answers_reach_no_caller() {
     let site = Site::start(1, 1).await;
     for reply in [Reply::StaleAnswerFirst, Reply::ExtraAnswer] {
-        site.set_all(reply);
+        site.set_all_replies(reply);
         for _ in 0..10 {
-            let call = Call::new(SAFE);
+            let call = Call::new(REPEATABLE);
             let answer = call.send(&site.vms[0]).await.expect("an answer arrives");
             assert_eq!(
                 (answer.status, &*answer.body),
@@ -162,20 +164,20 @@
 #[actix_rt::test]
 async fn an_answer_without_a_length_is_whole_only_if_the_connection_ends_cleanly() {
     let site = Site::start(1, 1).await;
-    site.set_all(Reply::WithoutLength);
-    let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer arrives");
+    site.set_all_replies(Reply::WithoutLength);
+    let answer = Call::new(NON_REPEATABLE).send(&site.vms[0]).await.expect("an answer arrives");
     assert_eq!((answer.status, &*answer.body), (200, &b"unframed"[..]));
-    site.set_all(Reply::WithoutLengthReset);
-    let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer arrives");
+    site.set_all_replies(Reply::WithoutLengthReset);
+    let answer = Call::new(NON_REPEATABLE).send(&site.vms[0]).await.expect("an answer arrives");
     assert_eq!(answer.status, 502);
 }
 
 #[actix_rt::test]
 async fn the_route_timeout_ends_a_request() {
     let site = Site::start(1, 1).await;
-    site.set_all(Reply::NoAnswer);
+    site.set_all_replies(Reply::NoAnswer);
     let started = Instant::now();
-    let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer arrives");
+    let answer = Call::new(NON_REPEATABLE).send(&site.vms[0]).await.expect("an answer arrives");
     let took = started.elapsed();
     assert_eq!(answer.status, 504);
     assert!((Duration::from_millis(900)..Duration::from_millis(1_500)).contains(&took), "{took:?}");
@@ -184,14 +186,14 @@
 #[actix_rt::test]
 async fn a_request_that_gets_no_slot_in_time_is_not_run_and_gets_retry_after() {
     let site = Site::start(1, 1).await;
-    site.set_all(Reply::After(3_000));
+    site.set_all_replies(Reply::After(3_000));
     let vm = &site.vms[0];
     let busy: Vec<_> = (0..3).map(|_| Call::new("/safe/busy")).collect();
     let sends = futures_util::future::join_all(busy.iter().map(|call| call.send(vm)));
     let late = async {
         until("the slots are taken", || async { (site.runs("/safe/busy") == 3).then_some(()) })
             .await;
-        Call { patience_ms: 400, ..Call::new("/once/late") }.send(vm).await
+        Call { caller_timeout_ms: 400, ..Call::new("/once/late") }.send(vm).await
     };
     let (_, late) = futures_util::future::join(sends, late).await;
     let late = late.expect("an answer arrives");
@@ -204,7 +206,7 @@
 async fn a_request_is_abandoned_when_its_caller_disconnects() {
     let site = Site::start(1, 1).await;
     let vm = &site.vms[0];
-    site.set_all(Reply::After(800));
+    site.set_all_replies(Reply::After(800));
     for (path, is_reset) in [("/safe/fin", false), ("/safe/reset", true)] {
         let mut stream = TcpStream::connect(vm.callers()).await.expect("the VM listens");
         stream.write_all(&Call::new(path).bytes()).await.expect("the request is sent");
@@ -225,7 +227,7 @@
 async fn a_request_whose_caller_disconnects_while_queued_is_never_sent() {
     let site = Site::start(1, 1).await;
     let vm = &site.vms[0];
-    site.set_all(Reply::After(700));
+    site.set_all_replies(Reply::After(700));
     let mut busy = Vec::new();
     for _ in 0..3 {
         let mut stream = TcpStream::connect(vm.callers()).await.expect("the VM listens");
@@ -268,7 +270,8 @@
 #[actix_rt::test]
 async fn a_body_over_the_limit_is_refused() {
     let site = Site::start(1, 1).await;
-    let call = Call { method: "POST", body: vec![b'x'; (1 << 20) + 1], ..Call::new(ONCE) };
+    let call =
+        Call { method: "POST", body: vec![b'x'; (1 << 20) + 1], ..Call::new(NON_REPEATABLE) };
     let answer = call.send(&site.vms[0]).await.expect("an answer arrives");
     assert_eq!(answer.status, 413);
     assert!(site.origin(0).requests().is_empty());
@@ -279,7 +282,7 @@
     let site = Site::start(1, 1).await;
     let mut conn = Conn::open(site.vms[0].callers()).await.expect("the VM listens");
     for _ in 0..20 {
-        let call = Call::new(SAFE);
+        let call = Call::new(REPEATABLE);
         let progress = Progress::default();
         let answer = conn.exchange(&call.bytes(), false, &progress, |_| true).await;
         assert_eq!(
@@ -295,9 +298,9 @@
 #[actix_rt::test]
 async fn repeats_stay_within_the_retry_budget() {
     let site = Site::start(1, 3).await;
-    site.set_all(Reply::Failure);
+    site.set_all_replies(Reply::Failure);
     for _ in 0..120 {
-        let _ = Call::new(SAFE).send(&site.vms[0]).await;
+        let _ = Call::new(REPEATABLE).send(&site.vms[0]).await;
     }
     let arrivals: usize = site.origins.iter().map(|origin| origin.requests().len()).sum();
     // The retry budget is a fifth of the requests plus the slack; a VM that has just started has only part of it.
@@ -310,7 +313,10 @@
     let site = Site::start(1, 1).await;
     let Catalog { services, limits, .. } = catalog(2);
     let half = |service: &str| Target { service: service.to_owned(), weight: 1.0 };
-    let split = Route { targets: vec![half("shop"), half("other")], ..route(ONCE, false, "shop") };
+    let split = Route {
+        targets: vec![half("shop"), half("other")],
+        ..route(NON_REPEATABLE, false, "shop")
+    };
     let routes = vec![(HOST.to_owned(), split)];
     let split = Catalog::build(2, routes, services, limits).expect("the catalog is sound");
     site.put_config(standin::config(&split)).await;
@@ -321,7 +327,7 @@
     .await;
     let mut served = 0;
     for _ in 0..COUNT {
-        let answer = Call::new(ONCE).send(vm).await.expect("an answer arrives");
+        let answer = Call::new(NON_REPEATABLE).send(vm).await.expect("an answer arrives");
         // No backend server of the other service is listed.
         let is_refused = answer.status == 503 && answer.text("retry-after").is_some();
         assert!(answer.status == 200 || is_refused, "{}", answer.status);
@@ -329,7 +335,7 @@
     }
     // Six standard deviations to either side of one half.
     assert!(served.abs_diff(COUNT / 2) <= 42, "{served} of {COUNT}");
-    assert_eq!(site.runs(ONCE), served);
+    assert_eq!(site.runs(NON_REPEATABLE), served);
 }
 
 #[actix_rt::test]
@@ -344,7 +350,7 @@
     .await;
     let before = site.origin(0).requests().len();
     for _ in 0..10 {
-        let answer = Call::new(ONCE).send(vm).await.expect("an answer arrives");
+        let answer = Call::new(NON_REPEATABLE).send(vm).await.expect("an answer arrives");
         assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-1"));
     }
     assert_eq!(site.origin(0).requests().len(), before);
@@ -355,7 +361,7 @@
 #[actix_rt::test]
 async fn late_in_a_planned_stop_a_request_that_may_not_finish_in_time_is_refused() {
     let mut site = Site::start(1, 2).await;
-    let slow = Route { timeout_ms: 5_000, ..route(SAFE, true, "shop") };
+    let slow = Route { timeout_ms: 5_000, ..route(REPEATABLE, true, "shop") };
     let Catalog { services, limits, .. } = site.catalog.clone();
     site.catalog = Catalog::build(2, vec![(HOST.to_owned(), slow)], services, limits)
         .expect("the catalog is sound");
@@ -365,12 +371,15 @@
     })
     .await;
     for _ in 0..20 {
-        assert_eq!(Call::new(SAFE).send(&site.vms[0]).await.map(|answer| answer.status), Ok(200));
+        assert_eq!(
+            Call::new(REPEATABLE).send(&site.vms[0]).await.map(|answer| answer.status),
+            Ok(200)
+        );
     }
     site.vms[0].signal(Signal::TERM);
     tokio::time::sleep(Duration::from_millis(3_200)).await;
-    site.set_all(Reply::After(3_500));
-    let call = Call { patience_ms: 5_000, ..Call::new(&format!("{SAFE}late")) };
+    site.set_all_replies(Reply::After(3_500));
+    let call = Call { caller_timeout_ms: 5_000, ..Call::new(&format!("{REPEATABLE}late")) };
     let answer = call.send(&site.vms[0]).await.expect("the request is answered, not cut");
     assert_eq!(answer.status, 503, "another VM can serve the request");
     assert_eq!(site.runs("late"), 0);
--- a/tests/tests/gateway_bytes.rs
+++ b/tests/tests/gateway_bytes.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use leverstream_tests::site::{Call, ONCE, SAFE, Site};
+use leverstream_tests::site::{Call, NON_REPEATABLE, REPEATABLE, Site};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -37,7 +37,7 @@
 
 /// A valid request with one to five random mutations.
 fn mutated_request(rng: &mut StdRng) -> Vec<u8> {
-    let path = if rng.random() { SAFE } else { ONCE };
+    let path = if rng.random() { REPEATABLE } else { NON_REPEATABLE };
     let body = vec![b'b'; rng.random_range(0..300)];
     let method =
         ["GET", "POST", "HEAD", "OPTIONS"].choose(rng).expect("the list of methods is not empty");
@@ -96,7 +96,7 @@
         socket.send_to(&datagram, peers).await.expect("the datagram is sent");
     }
     for number in 0..20 {
-        let call = Call::new(&format!("{ONCE}after-{number}"));
+        let call = Call::new(&format!("{NON_REPEATABLE}after-{number}"));
         let answer = call.send(vm).await.expect("the VM answers");
         assert_eq!(answer.status, 200, "{number}");
     }
--- a/tests/tests/gateway_emptied.rs
+++ b/tests/tests/gateway_emptied.rs
@@ -5,7 +5,7 @@
 use leverstream_platform::standin;
 use leverstream_standin::origin::Reply;
 use leverstream_standin::platform::Faults;
-use leverstream_tests::flow::{Flow, served};
+use leverstream_tests::flow::{Flow, served_share};
 use leverstream_tests::site::{Site, backend};
 use serde_json::json;
 
@@ -18,7 +18,7 @@
 /// Starts a fleet with four backend servers, the first two of them in the other hall.
 async fn start() -> Site {
     let site = Site::start(3, 4).await;
-    site.set_all(Reply::After(40));
+    site.set_all_replies(Reply::After(40));
     for number in 0..2 {
         let mut entry = backend(&format!("i-{number}"), site.origin(number).address);
         entry.hall = OTHER_HALL.to_owned();
@@ -51,10 +51,10 @@
     site.vms[1].restart();
     site.until_ready().await;
     flow.run(&site, Duration::from_millis(1_500)).await;
-    let served_share = served(&flow.answers().await);
+    let served_share = served_share(&flow.answers().await);
     assert_eq!(arrival_count(&flow, &site, known_at), 0);
     assert!(served_share >= 0.97, "{served_share} served");
-    site.unput(standin::EVACUATIONS_KIND, OTHER_HALL).await;
+    site.delete(standin::EVACUATIONS_KIND, OTHER_HALL).await;
     let restored_at = Instant::now();
     flow.run(&site, Duration::from_millis(2_500)).await;
     flow.answers().await;
--- a/tests/tests/gateway_limits.rs
+++ b/tests/tests/gateway_limits.rs
@@ -7,7 +7,7 @@
 
 use leverstream_platform::headers;
 use leverstream_standin::origin::Reply;
-use leverstream_tests::flow::{Answered, Flow, limited, served};
+use leverstream_tests::flow::{CallResult, Flow, limit_usage, served_share};
 use leverstream_tests::site::Site;
 use rustix::process::Signal;
 use yare::parameterized;
@@ -15,15 +15,15 @@
 #[actix_rt::test]
 async fn a_backend_server_gets_no_more_requests_than_its_announced_limit() {
     let site = Site::start(3, 5).await;
-    site.set_all(Reply::After(80));
+    site.set_all_replies(Reply::After(80));
     let mut flow = Flow::default();
     flow.run(&site, Duration::from_millis(1_000)).await;
     let announced_at = Instant::now();
     site.origin(0).set_notice_fields(&[(headers::RATE_LIMIT, "1.4")]);
     flow.run(&site, Duration::from_secs(11)).await;
-    let served = served(&flow.answers().await);
+    let served = served_share(&flow.answers().await);
     let arrivals = flow.arrivals(site.origin(0), announced_at);
-    let limited = limited(&arrivals, |_, _| false);
+    let limit_usage = limit_usage(&arrivals, |_, _| false);
     for (number, vm) in site.vms.iter().enumerate() {
         let limited_count = vm.metric("leverstream_backends{state=\"Limited\"}").await;
         let granted = vm.metric("leverstream_permits_total{service=\"shop\"}").await;
@@ -35,9 +35,9 @@
             "each VM knows the limit: {limited_count}"
         );
     }
-    println!("{} arrivals, {limited:?}, {served:.3} served", arrivals.len());
-    assert!(limited.worst <= 1.0, "{limited:?}");
-    assert!(limited.spent >= 0.8, "{limited:?}");
+    println!("{} arrivals, {limit_usage:?}, {served:.3} served", arrivals.len());
+    assert!(limit_usage.max_window_share <= 1.0, "{limit_usage:?}");
+    assert!(limit_usage.total_share >= 0.8, "{limit_usage:?}");
     assert!(served >= 0.99, "{served} served");
 }
 
@@ -50,7 +50,7 @@
 #[test_macro(actix_rt::test)]
 async fn an_announced_limit_counts_in_any_answer(reply: Reply) {
     let site = Site::start(2, 5).await;
-    site.set_all(Reply::After(80));
+    site.set_all_replies(Reply::After(80));
     let announced_at = Instant::now();
     site.origin(0).set(reply);
     site.origin(0).set_notice_fields(&[(headers::RATE_LIMIT, "0.5")]);
@@ -61,14 +61,14 @@
         let limited = vm.metric("leverstream_backends{state=\"Limited\"}").await;
         assert!((limited - 1.0).abs() < f64::EPSILON, "each VM knows the limit");
     }
-    let limited = limited(&flow.arrivals(site.origin(0), announced_at), |_, _| false);
-    assert!(limited.worst <= 1.0, "{limited:?}");
+    let limit_usage = limit_usage(&flow.arrivals(site.origin(0), announced_at), |_, _| false);
+    assert!(limit_usage.max_window_share <= 1.0, "{limit_usage:?}");
 }
 
 #[actix_rt::test]
 async fn a_lifted_limit_is_dropped_by_all_vms_within_a_second() {
     let site = Site::start(3, 5).await;
-    site.set_all(Reply::After(80));
+    site.set_all_replies(Reply::After(80));
     site.origin(0).set_notice_fields(&[(headers::RATE_LIMIT, "2")]);
     let mut flow = Flow::default();
     flow.run(&site, Duration::from_secs(4)).await;
@@ -91,7 +91,7 @@
 #[actix_rt::test]
 async fn when_all_backend_servers_announce_limits_these_are_used_and_the_rest_is_refused_at_once() {
     let site = Site::start(3, 3).await;
-    site.set_all(Reply::After(40));
+    site.set_all_replies(Reply::After(40));
     site.origins.iter().for_each(|origin| origin.set_notice_fields(&[(headers::RATE_LIMIT, "3")]));
     let announced_at = Instant::now();
     let mut flow = Flow::default();
@@ -100,20 +100,20 @@
     flow.run(&site, Duration::from_secs(6)).await;
     let answers = flow.answers().await;
     for (number, origin) in site.origins.iter().enumerate() {
-        let limited = limited(&flow.arrivals(origin, announced_at), |_, _| false);
-        println!("backend server {number}: {limited:?}");
-        assert!(limited.worst <= 1.0, "{limited:?}");
-        assert!(limited.spent >= 0.8, "{limited:?}");
+        let limit_usage = limit_usage(&flow.arrivals(origin, announced_at), |_, _| false);
+        println!("backend server {number}: {limit_usage:?}");
+        assert!(limit_usage.max_window_share <= 1.0, "{limit_usage:?}");
+        assert!(limit_usage.total_share >= 0.8, "{limit_usage:?}");
     }
-    let is_refused = |answer: &&Answered| answer.status == Some(503);
-    let refused: Vec<&Answered> = answers.iter().filter(is_refused).collect();
+    let is_refused = |answer: &&CallResult| answer.status == Some(503);
+    let refused: Vec<&CallResult> = answers.iter().filter(is_refused).collect();
     let mut refusal_times: Vec<Duration> = refused.iter().map(|answer| answer.took).collect();
     refusal_times.sort_unstable();
     let slow_count =
         refusal_times.iter().filter(|took| **took > Duration::from_millis(100)).count();
     println!(
         "{:.3} served, {} refused, {slow_count} of them after 0.1 s",
-        served(&answers),
+        served_share(&answers),
         refusal_times.len()
     );
     assert!(refused.iter().all(|answer| answer.retry_after_s.is_some_and(|after_s| after_s > 0.0)));
@@ -127,7 +127,7 @@
 #[actix_rt::test]
 async fn vms_keep_to_the_limit_across_restarts_and_pauses() {
     let mut site = Site::start(4, 5).await;
-    site.set_all(Reply::After(80));
+    site.set_all_replies(Reply::After(80));
     site.origin(0).set_notice_fields(&[(headers::RATE_LIMIT, "1.4")]);
     let announced_at = Instant::now();
     let mut flow = Flow::default();
@@ -143,8 +143,8 @@
     site.vms[3].restart();
     flow.run(&site, Duration::from_millis(3_000)).await;
     flow.answers().await;
-    let limited = limited(&flow.arrivals(site.origin(0), announced_at), |_, _| false);
-    println!("{limited:?}");
-    assert!(limited.worst <= 1.0, "{limited:?}");
-    assert!(limited.spent >= 0.4, "{limited:?}");
+    let limit_usage = limit_usage(&flow.arrivals(site.origin(0), announced_at), |_, _| false);
+    println!("{limit_usage:?}");
+    assert!(limit_usage.max_window_share <= 1.0, "{limit_usage:?}");
+    assert!(limit_usage.total_share >= 0.4, "{limit_usage:?}");
 }
--- a/tests/tests/gateway_notices.rs
+++ b/tests/tests/gateway_notices.rs
@@ -8,8 +8,10 @@
 use leverstream_platform::headers;
 use leverstream_standin::origin::Reply;
 use leverstream_standin::platform::Faults;
-use leverstream_tests::flow::{Answered, Flow, longest_after_word, most_unwanted, served};
-use leverstream_tests::site::{Call, SAFE, Site, backend};
+use leverstream_tests::flow::{
+    CallResult, Flow, longest_after_leaving_notice, max_during_hold_off, served_share,
+};
+use leverstream_tests::site::{Call, REPEATABLE, Site, backend};
 use rustix::process::Signal;
 use yare::parameterized;
 
@@ -27,7 +29,7 @@
 /// Starts a fleet under load whose store has just become unavailable.
 async fn start(vms: usize, origins: usize) -> (Site, Flow) {
     let site = Site::start(vms, origins).await;
-    site.set_all(Reply::After(80));
+    site.set_all_replies(Reply::After(80));
     let mut flow = Flow::default();
     flow.run(&site, Duration::from_millis(1_000)).await;
     site.platform.set_faults(&store_outage()).await;
@@ -42,7 +44,7 @@
     flow.run(&site, Duration::from_secs(4)).await;
     let answers = flow.answers().await;
     let arrivals = flow.arrivals(site.origin(0), announced_at);
-    let longest = longest_after_word(&arrivals);
+    let longest = longest_after_leaving_notice(&arrivals);
     for vm in &site.vms {
         let leaving_count = vm.metric("leverstream_backends{state=\"LeavingByWord\"}").await;
         assert!(
@@ -53,10 +55,10 @@
     println!(
         "{} arrivals, {longest:?} after the notice, {:.3} served",
         arrivals.len(),
-        served(&answers)
+        served_share(&answers)
     );
     assert!(longest <= LEAVE_TIMEOUT, "{longest:?} after the notice");
-    assert!(served(&answers) >= 0.99, "{} served", served(&answers));
+    assert!(served_share(&answers) >= 0.99, "{} served", served_share(&answers));
 }
 
 /// A leave notice counts in an answer of any kind.
@@ -74,7 +76,7 @@
     site.origin(0).set_notice_fields(&[(headers::LEAVING, "1")]);
     flow.run(&site, Duration::from_millis(3_000)).await;
     flow.answers().await;
-    let longest = longest_after_word(&flow.arrivals(site.origin(0), announced_at));
+    let longest = longest_after_leaving_notice(&flow.arrivals(site.origin(0), announced_at));
     assert!(longest <= LEAVE_TIMEOUT, "{longest:?} after the notice");
 }
 
@@ -98,9 +100,9 @@
     site.vms[2].restart();
     site.until_ready().await;
     flow.run(&site, Duration::from_millis(3_000)).await;
-    let served = served(&flow.answers().await);
+    let served = served_share(&flow.answers().await);
     let arrivals = flow.arrivals(site.origin(0), announced_at);
-    let longest = longest_after_word(&arrivals);
+    let longest = longest_after_leaving_notice(&arrivals);
     println!("{} arrivals, {longest:?} after the notice, {served:.3} served", arrivals.len());
     assert!(longest <= LEAVE_TIMEOUT, "{longest:?} after the notice");
 }
@@ -108,7 +110,7 @@
 #[actix_rt::test]
 async fn a_service_whose_backend_servers_all_leave_is_served_for_a_while_then_refused_at_once() {
     let (site, mut flow) = start(3, 3).await;
-    site.set_all(Reply::After(20));
+    site.set_all_replies(Reply::After(20));
     flow.answers().await;
     let announced_at = Instant::now();
     site.origins.iter().for_each(|origin| origin.set_notice_fields(&[(headers::LEAVING, "1")]));
@@ -116,14 +118,20 @@
     let at_first = flow.answers().await;
     flow.run(&site, Duration::from_millis(2_500)).await;
     let later = flow.answers().await;
-    let longest =
-        site.origins.iter().map(|origin| longest_after_word(&flow.arrivals(origin, announced_at)));
+    let longest = site
+        .origins
+        .iter()
+        .map(|origin| longest_after_leaving_notice(&flow.arrivals(origin, announced_at)));
     let longest = longest.max().unwrap_or_default();
-    println!("{:.3} served, then {:.3}; last after {longest:?}", served(&at_first), served(&later));
+    println!(
+        "{:.3} served, then {:.3}; last after {longest:?}",
+        served_share(&at_first),
+        served_share(&later)
+    );
     assert!(longest <= LEAVE_TIMEOUT, "{longest:?} after the notice");
-    assert!(served(&at_first) >= 0.99, "{} served", served(&at_first));
-    let is_refused = |answer: &&Answered| answer.status == Some(503);
-    let refused: Vec<&Answered> = later.iter().filter(is_refused).collect();
+    assert!(served_share(&at_first) >= 0.99, "{} served", served_share(&at_first));
+    let is_refused = |answer: &&CallResult| answer.status == Some(503);
+    let refused: Vec<&CallResult> = later.iter().filter(is_refused).collect();
     assert!(refused.len() > 100, "{} refused", refused.len());
     assert!(refused.iter().all(|answer| answer.retry_after_s.is_some_and(|after_s| after_s > 0.0)));
     let slowest = refused.iter().map(|answer| answer.took).max().unwrap_or_default();
@@ -133,7 +141,7 @@
     let mut site = site;
     site.add_origin("i-new").await;
     let served = async || {
-        let answer = Call::new(&format!("{SAFE}again")).send(&site.vms[0]).await;
+        let answer = Call::new(&format!("{REPEATABLE}again")).send(&site.vms[0]).await;
         answer.is_ok_and(|answer| answer.status == 200).then_some(())
     };
     leverstream_tests::until("the service is back", served).await;
@@ -148,14 +156,14 @@
     site.origin(0).set(Reply::Rejection);
     site.origin(0).set_notice_fields(&[(headers::RETRY_AFTER, "2")]);
     flow.run(&site, HOLD_OFF).await;
-    let served = served(&flow.answers().await);
+    let served = served_share(&flow.answers().await);
     let arrivals = flow.arrivals(site.origin(0), from);
-    let most = most_unwanted(&arrivals, |_, _, _| false);
+    let most = max_during_hold_off(&arrivals, |_, _, _| false);
     println!("{} arrivals, {most} of one VM unwanted, {served:.3} served", arrivals.len());
     assert!(most <= MAX_UNWANTED_PER_VM, "{most} requests of one VM");
     assert!(served >= 0.99, "{served} served");
     site.origin(0).set_notice_fields(&[]);
-    site.set_all(Reply::After(80));
+    site.set_all_replies(Reply::After(80));
     let back = Instant::now();
     flow.run(&site, Duration::from_millis(2_500)).await;
     flow.answers().await;
@@ -170,7 +178,7 @@
     const HOLD_OFF: Duration = Duration::from_secs(3);
     let (site, mut flow) = start(3, 4).await;
     flow.answers().await;
-    site.set_all(Reply::Rejection);
+    site.set_all_replies(Reply::Rejection);
     site.origins.iter().for_each(|origin| origin.set_notice_fields(&[(headers::RETRY_AFTER, "3")]));
     let from = Instant::now();
     flow.run(&site, HOLD_OFF - Duration::from_secs(1)).await;
@@ -178,27 +186,27 @@
     let most = site
         .origins
         .iter()
-        .map(|origin| most_unwanted(&flow.arrivals(origin, from), |_, _, _| false));
+        .map(|origin| max_during_hold_off(&flow.arrivals(origin, from), |_, _, _| false));
     let most = most.max().unwrap_or(0);
     assert!(most <= MAX_UNWANTED_PER_VM, "{most} requests of one VM");
     // By then each VM has received the hold-off from each backend server.
     let settled = from + Duration::from_millis(800);
-    let late: Vec<&Answered> = answers.iter().filter(|answer| answer.asked_at > settled).collect();
+    let late: Vec<&CallResult> = answers.iter().filter(|answer| answer.sent_at > settled).collect();
     let slowest = late.iter().map(|answer| answer.took).max().unwrap_or_default();
     println!("{} refused, the slowest within {slowest:?}, {most} unwanted", late.len());
     assert!(late.iter().all(|answer| answer.status == Some(503)));
     assert!(slowest < Duration::from_millis(300), "a refusal took {slowest:?}");
     for answer in late {
-        let back = answer.asked_at
+        let back = answer.sent_at
             + Duration::from_secs_f64(answer.retry_after_s.expect("the answer has retry-after"));
         assert!(back + Duration::from_millis(100) >= from + HOLD_OFF, "too early");
         assert!(back <= from + HOLD_OFF + Duration::from_secs(3), "too late");
     }
-    site.set_all(Reply::After(20));
+    site.set_all_replies(Reply::After(20));
     site.origins.iter().for_each(|origin| origin.set_notice_fields(&[]));
     tokio::time::sleep(HOLD_OFF.saturating_sub(from.elapsed()) + Duration::from_millis(600)).await;
     flow.run(&site, Duration::from_millis(500)).await;
-    let served = served(&flow.answers().await);
+    let served = served_share(&flow.answers().await);
     assert!(served >= 0.99, "{served} served");
 }
 
@@ -206,15 +214,15 @@
 async fn a_request_that_can_wait_until_the_hold_off_ends_is_served() {
     let (site, mut flow) = start(3, 4).await;
     flow.answers().await;
-    site.set_all(Reply::Rejection);
+    site.set_all_replies(Reply::Rejection);
     site.origins
         .iter()
         .for_each(|origin| origin.set_notice_fields(&[(headers::RETRY_AFTER, "0.3")]));
     flow.run(&site, Duration::from_millis(250)).await;
-    site.set_all(Reply::After(20));
+    site.set_all_replies(Reply::After(20));
     site.origins.iter().for_each(|origin| origin.set_notice_fields(&[]));
     flow.run(&site, Duration::from_millis(500)).await;
-    let served = served(&flow.answers().await);
+    let served = served_share(&flow.answers().await);
     println!("{served:.3} served");
     assert!(served >= 0.7, "{served} served");
 }
--- a/tests/tests/gateway_return.rs
+++ b/tests/tests/gateway_return.rs
@@ -4,7 +4,7 @@
 
 use leverstream_platform::headers;
 use leverstream_standin::platform::Faults;
-use leverstream_tests::site::{Call, ONCE, SAFE, Site, Vm};
+use leverstream_tests::site::{Call, NON_REPEATABLE, REPEATABLE, Site, Vm};
 use leverstream_tests::until;
 use rustix::process::Signal;
 
@@ -23,7 +23,10 @@
     site.vms.iter_mut().for_each(Vm::restart);
     site.until_ready().await;
     for vm in &site.vms {
-        assert_eq!(Call::new(ONCE).send(vm).await.expect("an answer arrives").status, 200);
+        assert_eq!(
+            Call::new(NON_REPEATABLE).send(vm).await.expect("an answer arrives").status,
+            200
+        );
         let named = until("the directory names a VM", || async {
             let named = vm.resolve("hall-a").await;
             (!named.is_empty()).then_some(named)
@@ -68,13 +71,17 @@
     site.vms.iter_mut().for_each(Vm::restart);
     // No VM has a configuration: a refused request has not run, and its answer carries `retry-after`.
     let refused =
-        until("a VM answers", || async { Call::new(SAFE).send(&site.vms[0]).await.ok() }).await;
+        until("a VM answers", || async { Call::new(REPEATABLE).send(&site.vms[0]).await.ok() })
+            .await;
     assert_eq!((refused.status, refused.text("retry-after").is_some()), (503, true));
     site.platform.set_faults(&Faults::default()).await;
     let store_back_at = Instant::now();
     site.until_ready().await;
     assert!(store_back_at.elapsed() < RECOVERY_TIMEOUT, "{:?}", store_back_at.elapsed());
-    assert_eq!(Call::new(SAFE).send(&site.vms[0]).await.expect("an answer arrives").status, 200);
+    assert_eq!(
+        Call::new(REPEATABLE).send(&site.vms[0]).await.expect("an answer arrives").status,
+        200
+    );
 }
 
 #[actix_rt::test]
@@ -95,14 +102,14 @@
     })
     .await;
     until("the resumed VM knows which backend server is gone", || async {
-        let answer = Call::new(SAFE).send(resumed).await.ok()?;
+        let answer = Call::new(REPEATABLE).send(resumed).await.ok()?;
         (answer.text(headers::INSTANCE_STAMP) == Some("i-1") && resumed.has_logged("backend gone"))
             .then_some(())
     })
     .await;
     assert!(resumed_at.elapsed() < CATCH_UP_TIMEOUT, "{:?}", resumed_at.elapsed());
     for _ in 0..6 {
-        let answer = Call::new(ONCE).send(resumed).await.expect("an answer arrives");
+        let answer = Call::new(NON_REPEATABLE).send(resumed).await.expect("an answer arrives");
         assert_eq!((answer.status, answer.text(headers::INSTANCE_STAMP)), (200, Some("i-1")));
     }
 }
@@ -111,7 +118,7 @@
 async fn a_second_process_at_a_paused_vms_addresses_exits_and_logs_why() {
     let site = Site::start(2, 1).await;
     site.vms[1].process.pause().await;
-    let mut second = site.vms[1].second();
+    let mut second = site.vms[1].start_second();
     assert_ne!(second.wait().await, Some(0));
     // A thread of the test reads the log line, possibly after the process has ended.
     second.wait_for_line("listen.");
@@ -119,7 +126,12 @@
     site.vms[1].signal(Signal::CONT);
     for vm in &site.vms {
         let is_served = || async {
-            Call::new(ONCE).send(vm).await.ok().filter(|answer| answer.status == 200).map(|_| ())
+            Call::new(NON_REPEATABLE)
+                .send(vm)
+                .await
+                .ok()
+                .filter(|answer| answer.status == 200)
+                .map(|_| ())
         };
         until("the VM serves", is_served).await;
     }
@@ -135,7 +147,10 @@
         let lists = vm.metric("leverstream_store_lists_total").await;
         let is_watcher = vm.has_logged("\"is_watcher\":true");
         assert!(lists == 0.0 || is_watcher, "{lists} reads, watcher {is_watcher}");
-        assert_eq!(Call::new(ONCE).send(vm).await.expect("an answer arrives").status, 200);
+        assert_eq!(
+            Call::new(NON_REPEATABLE).send(vm).await.expect("an answer arrives").status,
+            200
+        );
     }
 }
 
@@ -147,7 +162,8 @@
     for _ in 0..3 {
         site.vms[1].restart();
         let vm = &site.vms[1];
-        let first = until("the VM answers", || async { Call::new(SAFE).send(vm).await.ok() }).await;
+        let first =
+            until("the VM answers", || async { Call::new(REPEATABLE).send(vm).await.ok() }).await;
         assert_eq!(first.status, 200);
     }
 }
--- a/tests/tests/gateway_store.rs
+++ b/tests/tests/gateway_store.rs
@@ -5,7 +5,9 @@
 use leverstream_catalog::{Backend, Catalog};
 use leverstream_platform::{headers, standin};
 use leverstream_standin::platform::Faults;
-use leverstream_tests::site::{Call, ONCE, SAFE, Site, Vm, backend, catalog, route};
+use leverstream_tests::site::{
+    Call, NON_REPEATABLE, REPEATABLE, Site, Vm, backend, catalog, route,
+};
 use leverstream_tests::until;
 use rustix::process::Signal;
 
@@ -28,7 +30,8 @@
     let mut site = site;
     site.vms[0].restart();
     let vm = &site.vms[0];
-    let refused = until("the VM answers", || async { Call::new(SAFE).send(vm).await.ok() }).await;
+    let refused =
+        until("the VM answers", || async { Call::new(REPEATABLE).send(vm).await.ok() }).await;
     assert_eq!(refused.status, 503);
     assert!(!vm.is_ready().await);
     assert!(vm.resolve("hall-a").await.is_empty());
@@ -61,7 +64,7 @@
         vm.has_logged("configuration refused").then_some(())
     })
     .await;
-    assert_eq!(Call::new(SAFE).send(vm).await.expect("an answer arrives").status, 200);
+    assert_eq!(Call::new(REPEATABLE).send(vm).await.expect("an answer arrives").status, 200);
     site.put_catalog(9).await;
     until_version(&site, 0, 9).await;
 }
@@ -82,7 +85,7 @@
     })
     .await;
     assert!(started.elapsed() < Duration::from_secs(2));
-    let answer = Call::new(ONCE).send(vm).await.expect("an answer arrives");
+    let answer = Call::new(NON_REPEATABLE).send(vm).await.expect("an answer arrives");
     assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-1"));
 }
 
@@ -90,14 +93,14 @@
 async fn entries_that_lapse_during_a_store_outage_have_two_seconds_to_come_back() {
     let site = Site::start(1, 2).await;
     let vm = &site.vms[0];
-    site.unlist_while_away(&["i-0", "i-1"]).await;
+    site.unlist_during_outage(&["i-0", "i-1"]).await;
     until("the store is lost", || async { vm.has_logged("store lost").then_some(()) }).await;
     site.platform.set_faults(&Faults::default()).await;
     let store_back_at = Instant::now();
     until("the store is regained", || async { vm.has_logged("store regained").then_some(()) })
         .await;
     // Neither is listed, yet both still serve.
-    assert_eq!(Call::new(ONCE).send(vm).await.expect("an answer arrives").status, 200);
+    assert_eq!(Call::new(NON_REPEATABLE).send(vm).await.expect("an answer arrives").status, 200);
     site.list_backend(&backend("i-1", site.origin(1).address)).await;
     until("the VM drops the other backend server", || async {
         vm.has_logged("not back after").then_some(())
@@ -105,7 +108,7 @@
     .await;
     assert!(store_back_at.elapsed() < Duration::from_secs(4), "{:?}", store_back_at.elapsed());
     for _ in 0..6 {
-        let answer = Call::new(ONCE).send(vm).await.expect("an answer arrives");
+        let answer = Call::new(NON_REPEATABLE).send(vm).await.expect("an answer arrives");
         assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-1"));
     }
 }
@@ -118,7 +121,7 @@
     site.until_ready().await;
     let has_list = || async { site.vms[1].has_logged("backends from another VM").then_some(()) };
     until("the VM logs that it got the list from another VM", has_list).await;
-    let answer = Call::new(ONCE).send(&site.vms[1]).await.expect("an answer arrives");
+    let answer = Call::new(NON_REPEATABLE).send(&site.vms[1]).await.expect("an answer arrives");
     assert_eq!(answer.status, 200);
 }
 
@@ -175,10 +178,11 @@
     .await;
     let index = site.vms.iter().position(|vm| vm.callers().to_string() == address);
     let index = index.expect("the address is one of the two");
-    site.set_all(leverstream_standin::origin::Reply::After(600));
-    let (call, vm, other) = (Call::new(ONCE), &site.vms[index], &site.vms[1 - index]);
+    site.set_all_replies(leverstream_standin::origin::Reply::After(600));
+    let (call, vm, other) = (Call::new(NON_REPEATABLE), &site.vms[index], &site.vms[1 - index]);
     let during = async {
-        until("the request runs", || async { (site.runs(ONCE) == 1).then_some(()) }).await;
+        until("the request runs", || async { (site.runs(NON_REPEATABLE) == 1).then_some(()) })
+            .await;
         vm.signal(Signal::TERM);
         until("the stopping VM is not ready", || async { (!vm.is_ready().await).then_some(()) })
             .await;
@@ -188,7 +192,7 @@
         })
         .await;
         // Callers that still use the old answer are served, and their connections are closed.
-        let late = Call::new(SAFE).send(vm).await.expect("an answer arrives");
+        let late = Call::new(REPEATABLE).send(vm).await.expect("an answer arrives");
         assert_eq!((late.status, late.closes_connection()), (200, true));
     };
     let (answer, ()) = futures_util::future::join(call.send(vm), during).await;
@@ -204,7 +208,7 @@
     let vm = &site.vms[0];
     for _ in 0..10 {
         vm.signal(Signal::HUP);
-        let answer = Call::new(ONCE).send(vm).await.expect("an answer arrives");
+        let answer = Call::new(NON_REPEATABLE).send(vm).await.expect("an answer arrives");
         assert_eq!(answer.status, 200);
     }
     until("the settings are reloaded", || async { vm.has_logged("\"reload\"").then_some(()) })
@@ -286,13 +290,14 @@
             site.until_ready().await;
         }
         for _ in 0..10 {
-            let answer = Call::new(ONCE).send(&site.vms[0]).await.expect("an answer arrives");
+            let answer =
+                Call::new(NON_REPEATABLE).send(&site.vms[0]).await.expect("an answer arrives");
             assert_eq!(answer.text(headers::INSTANCE_STAMP), Some("i-0"));
         }
     }
     site.list_backend(&backend("i-1", site.origin(1).address)).await;
     until("the backend server is back", || async {
-        let answer = Call::new(ONCE).send(&site.vms[0]).await.ok()?;
+        let answer = Call::new(NON_REPEATABLE).send(&site.vms[0]).await.ok()?;
         (answer.text(headers::INSTANCE_STAMP) == Some("i-1")).then_some(())
     })
     .await;
@@ -308,7 +313,7 @@
     let is_ended = |vm: &Vm| vm.has_logged("its address answers for another");
     until("a VM notices the other instance", || async {
         for vm in &site.vms {
-            let _ = Call::new(ONCE).send(vm).await;
+            let _ = Call::new(NON_REPEATABLE).send(vm).await;
         }
         site.vms.iter().any(is_ended).then_some(())
     })
@@ -317,7 +322,7 @@
     site.list_backend(&incarnation(2_000)).await;
     for vm in &site.vms {
         until("the backend server gets requests from every VM", || async {
-            let answer = Call::new(ONCE).send(vm).await.ok()?;
+            let answer = Call::new(NON_REPEATABLE).send(vm).await.ok()?;
             (answer.text(headers::INSTANCE_STAMP) == Some("i-1")).then_some(())
         })
         .await;
--- a/tests/tests/once.rs
+++ b/tests/tests/once.rs
@@ -55,7 +55,7 @@
 /// Waits until a daemon answers `home-gone` to a request; until then it must report the outcome as unknown.
 async fn until_gone(request: &Request, daemon: &Daemon) {
     until("the daemon knows that the home is gone", || async {
-        let answer = request.clone().at(daemon.callers).must_send().await;
+        let answer = request.clone().with_address(daemon.callers).must_send().await;
         assert_eq!(answer.outcome, "unknown", "{answer:?}");
         (answer.error == "home-gone").then_some(())
     })
@@ -70,7 +70,7 @@
     let first = request.must_send().await;
     assert_eq!((first.status, first.report().run), (200, 1));
     for daemon in &fixture.fleet.daemons {
-        let again = request.clone().at(daemon.callers).must_send().await;
+        let again = request.clone().with_address(daemon.callers).must_send().await;
         assert!(again.is_replayed, "{again:?}");
         assert_eq!(again.body, first.body);
     }
@@ -85,9 +85,9 @@
     let cut = Fault { is_blackholed: true, ..Fault::default() };
     relay.set_faults(Faults { reverse: cut, ..Faults::default() });
     let request = Request::keyed(&entry, "port", "order-1", "subscriber 7");
-    let lost = request.clone().at(relay.address).timeout_ms(300).send().await;
+    let lost = request.clone().with_address(relay.address).timeout_ms(300).send().await;
     assert!(lost.is_none(), "{lost:?}");
-    let again = request.at(fixture.fleet.daemons[1].callers).must_send().await;
+    let again = request.with_address(fixture.fleet.daemons[1].callers).must_send().await;
     assert_eq!((again.status, again.report().run), (200, 1));
     assert_eq!(fixture.backend.runs_of("order-1").await, 1);
 }
@@ -99,7 +99,7 @@
     fixture.backend.set_mode(&Mode { work_ms: 100, ..Mode::default() }).await;
     let request = Request::keyed(&entry, "port", "order-1", "subscriber 7");
     let sends = fixture.fleet.daemons.iter().cycle().take(9).map(|daemon| {
-        let request = request.clone().at(daemon.callers);
+        let request = request.clone().with_address(daemon.callers);
         async move { request.must_send().await }
     });
     let answers = futures_util::future::join_all(sends).await;
@@ -124,7 +124,7 @@
     let entry = fixture.entry(1, 0).await;
     let request = Request::keyed(&entry, "port", "order-1", "subscriber 7");
     fixture.fleet.daemons[0].process.pause().await;
-    let early = request.clone().at(fixture.fleet.daemons[1].callers).must_send().await;
+    let early = request.clone().with_address(fixture.fleet.daemons[1].callers).must_send().await;
     assert_eq!(early.outcome, "unknown", "{early:?}");
     assert_eq!(fixture.backend.runs_of("order-1").await, 0);
     until("the other VMs consider the paused VM dead", || async {
@@ -133,8 +133,8 @@
     })
     .await;
     fixture.fleet.daemons[0].process.signal(Signal::CONT);
-    fixture.fleet.settle().await;
-    let late = request.at(fixture.fleet.daemons[2].callers).must_send().await;
+    fixture.fleet.wait_until_all_alive().await;
+    let late = request.with_address(fixture.fleet.daemons[2].callers).must_send().await;
     assert_eq!(late.report().run, 1, "{late:?}");
     assert_eq!(fixture.backend.runs_of("order-1").await, 1);
 }
@@ -145,7 +145,7 @@
     let entry = fixture.entry(1, 0).await;
     fixture.backend.set_mode(&Mode { stall_share: 1.0, ..Mode::default() }).await;
     let request = Request::keyed(&entry, "port", "order-1", "subscriber 7");
-    let sent = request.clone().at(fixture.fleet.daemons[1].callers);
+    let sent = request.clone().with_address(fixture.fleet.daemons[1].callers);
     let waiting = actix_rt::spawn(async move { sent.send().await });
     until("the backend server has started the request", || async {
         (fixture.backend.runs_of("order-1").await == 1).then_some(())
@@ -155,7 +155,7 @@
     let answer = waiting.await.expect("the task ends").expect("an answer arrives");
     assert_eq!(answer.outcome, "unknown", "{answer:?}");
     for daemon in &fixture.fleet.daemons[1..] {
-        let again = request.clone().at(daemon.callers).must_send().await;
+        let again = request.clone().with_address(daemon.callers).must_send().await;
         assert_eq!(again.outcome, "unknown", "{again:?}");
     }
     assert_eq!(fixture.backend.runs_of("order-1").await, 1);
@@ -170,8 +170,8 @@
     old.process.kill();
     let mut options = DaemonOptions::new("a", fixture.fleet.platform.address);
     options.peers_listen = peers;
-    fixture.fleet.daemons[0] = fixture.fleet.launch(&options);
-    fixture.fleet.settle().await;
+    fixture.fleet.daemons[0] = fixture.fleet.start_daemon(&options);
+    fixture.fleet.wait_until_all_alive().await;
     fixture.fleet.wait_in_force("port", 1).await;
     let request = Request::keyed(&entry, "port", "order-1", "subscriber 7");
     assert_ne!(callers, fixture.fleet.daemons[0].callers);
@@ -214,9 +214,9 @@
         let relay = Relay::spawn(home).await.expect("the relay starts");
         relay.set_faults(faults);
         let request = Request::keyed(&entry, "port", key, "subscriber 7");
-        let lost = request.clone().at(relay.address).timeout_ms(300).send().await;
+        let lost = request.clone().with_address(relay.address).timeout_ms(300).send().await;
         assert!(lost.is_none(), "{lost:?}");
-        let answer = request.at(fixture.fleet.daemons[1].callers).must_send().await;
+        let answer = request.with_address(fixture.fleet.daemons[1].callers).must_send().await;
         assert_eq!(answer.report().run, 1, "{key}: {answer:?}");
         assert_eq!(fixture.backend.runs_of(key).await, 1);
     }
@@ -238,15 +238,15 @@
     let home = fleet.add(&home);
     relay.set_target(fleet.daemons[home].callers);
     fleet.add(&DaemonOptions::new("b", platform));
-    fleet.list_all().await;
-    fleet.settle().await;
+    fleet.list_daemons().await;
+    fleet.wait_until_all_alive().await;
     let backend = Backend::start("b1", 4);
     let fixture = Fixture { fleet, backend };
     fixture.add_service().await;
     let entry = fixture.entry_at(1, relay.address).await;
     relay.set_faults(Faults { reverse: cut(), ..Faults::default() });
     let request = Request::keyed(&entry, "port", "order-1", "subscriber 7");
-    let request = request.at(fixture.fleet.daemons[1].callers);
+    let request = request.with_address(fixture.fleet.daemons[1].callers);
     let early = request.must_send().await;
     assert_eq!(early.outcome, "unknown", "{early:?}");
     relay.set_faults(Faults::default());
@@ -285,7 +285,7 @@
     let mut options = DaemonOptions::new("a", fleet.platform.address);
     (options.ticket_ttl_ms, options.answer_holds_ms) = (700, 200);
     fleet.add(&options);
-    fleet.list_all().await;
+    fleet.list_daemons().await;
     let fixture = Fixture { fleet, backend: Backend::start("b1", 4) };
     fixture.add_service().await;
     let entry = fixture.entry(0, 0).await;
@@ -312,7 +312,7 @@
         let entry = fixture.entry(1, home).await;
         let key = format!("order-{home}");
         for daemon in &fixture.fleet.daemons {
-            let request = Request::keyed(&entry, "port", &key, "x").at(daemon.callers);
+            let request = Request::keyed(&entry, "port", &key, "x").with_address(daemon.callers);
             assert_eq!(request.must_send().await.report().run, 1);
         }
         assert_eq!(fixture.backend.runs_of(&key).await, 1);
@@ -358,9 +358,9 @@
     fixture.fleet.daemons[0].process.signal(Signal::CONT);
     let late = waiting.await.expect("the task ends").expect("an answer arrives");
     assert_eq!((late.error.as_str(), late.outcome.as_str()), ("ticket-expired", "unknown"));
-    fixture.fleet.settle().await;
+    fixture.fleet.wait_until_all_alive().await;
     for daemon in &fixture.fleet.daemons {
-        let answer = request.clone().at(daemon.callers).must_send().await;
+        let answer = request.clone().with_address(daemon.callers).must_send().await;
         assert_eq!(answer.outcome, "unknown", "{answer:?}");
     }
     assert_eq!(fixture.backend.runs_of("order-1").await, 0);
--- a/tests/tests/scale.rs
+++ b/tests/tests/scale.rs
@@ -7,7 +7,7 @@
 use leverstream_bench::load::{cpu_ms, resident_kb};
 use leverstream_caller::{CallRequest, Caller};
 use leverstream_standin::backend::Mode;
-use leverstream_tests::{Backend, DaemonOptions, Fleet, PATIENCE, change, until};
+use leverstream_tests::{Backend, DaemonOptions, Fleet, WAIT_TIMEOUT, change, until};
 use serde_json::json;
 
 /// The size of a current user's fleet.
@@ -37,8 +37,8 @@
         let options = options(index, &fleet);
         fleet.add(&options);
     }
-    fleet.list_all().await;
-    fleet.settle().await;
+    fleet.list_daemons().await;
+    fleet.wait_until_all_alive().await;
     let backends: Vec<Backend> =
         (0..4).map(|index| Backend::start(&format!("b{index}"), 8)).collect();
     for backend in &backends {
@@ -111,14 +111,14 @@
             if answer.addresses.iter().all(|entry| entry.address != victim) {
                 break;
             }
-            assert!(killed_at.elapsed() < PATIENCE, "the directory still names the dead VM");
+            assert!(killed_at.elapsed() < WAIT_TIMEOUT, "the directory still names the dead VM");
         }
         times_to_drop.push(killed_at.elapsed());
         let options = options(index.unwrap_or(0), fleet);
         fleet.add(&options);
-        fleet.list_all().await;
+        fleet.list_daemons().await;
     }
-    fleet.settle().await;
+    fleet.wait_until_all_alive().await;
     times_to_drop.sort_unstable();
     println!(
         "the directory dropped a dead VM: median {:?}, worst {:?}",
--- a/tests/tests/soak.rs
+++ b/tests/tests/soak.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use leverstream_tests::ends::{EndsStory, SENDS_LEFT};
-use leverstream_tests::notices::{NoticesStory, UNWANTED_LEFT};
-use leverstream_tests::site::{ONCE, SAFE};
-use leverstream_tests::soak::{Plan, soak};
+use leverstream_tests::ends::{CrashScenario, MAX_LATE_SENDS};
+use leverstream_tests::notices::{MAX_DURING_HOLD_OFF, NoticesScenario};
+use leverstream_tests::site::{NON_REPEATABLE, REPEATABLE};
+use leverstream_tests::soak::{FaultPlan, soak};
 
 /// Default seeds of the general plan: 1, which has never failed, and 3 and 5 for their mix of stops and outages. Seeds that
 /// fail are added here.
@@ -27,17 +27,17 @@
 
 #[actix_rt::test]
 async fn guarantees_hold_under_random_faults() {
-    run(Plan::Anything, &ANY_SEEDS, LENGTH_S).await;
+    run(FaultPlan::All, &ANY_SEEDS, LENGTH_S).await;
 }
 
 #[actix_rt::test]
 async fn repeats_stay_within_the_retry_budget_while_vms_stop_and_start() {
-    run(Plan::Rejects, &REJECT_SEEDS, REJECT_LENGTH_S).await;
+    run(FaultPlan::VmFaultsAndRejections, &REJECT_SEEDS, REJECT_LENGTH_S).await;
 }
 
 #[actix_rt::test]
 async fn guarantees_hold_while_backend_servers_restart_under_their_ids() {
-    run(Plan::Reborn, &RESTART_SEEDS, LENGTH_S).await;
+    run(FaultPlan::StartsUnderSameId, &RESTART_SEEDS, LENGTH_S).await;
 }
 
 /// Default seeds with backend servers that restart under their ids.
@@ -51,13 +51,13 @@
     let length = Duration::from_secs(number("SOAK_SECONDS").unwrap_or(LENGTH_S));
     let mut failed = Vec::new();
     for seed in seeds(&END_SEEDS) {
-        let mut story = EndsStory::start(4, 8).await;
-        let path = if seed % 2 == 0 { SAFE } else { ONCE };
-        story.soak(seed, path, length).await;
-        let events = story.story().to_vec();
-        let outcome = story.judge().await;
+        let mut story = CrashScenario::start(4, 8).await;
+        let path = if seed % 2 == 0 { REPEATABLE } else { NON_REPEATABLE };
+        story.run_with_faults(seed, path, length).await;
+        let events = story.events().to_vec();
+        let outcome = story.evaluate().await;
         println!("ends, seed {seed}: {outcome:?}");
-        if outcome.late > SENDS_LEFT || std::env::var_os("SOAK_STORY").is_some() {
+        if outcome.late_sends > MAX_LATE_SENDS || std::env::var_os("SOAK_STORY").is_some() {
             println!("seed {seed}:\n{}", events.join("\n"));
             failed.push(seed);
         }
@@ -76,13 +76,14 @@
     let length = Duration::from_secs(number("SOAK_SECONDS").unwrap_or(LENGTH_S));
     let mut failed = Vec::new();
     for seed in seeds(&NOTICE_SEEDS) {
-        let mut story = NoticesStory::start(4, 6).await;
-        story.soak(seed, length).await;
-        let events = story.story().to_vec();
-        let outcome = story.judge().await;
+        let mut story = NoticesScenario::start(4, 6).await;
+        story.run_with_faults(seed, length).await;
+        let events = story.events().to_vec();
+        let outcome = story.evaluate().await;
         println!("notices, seed {seed}: {outcome:?}");
-        let is_broken =
-            outcome.late > 0 || outcome.most_unwanted > UNWANTED_LEFT || outcome.most_limited > 1.0;
+        let is_broken = outcome.late_after_leaving > 0
+            || outcome.max_during_hold_off > MAX_DURING_HOLD_OFF
+            || outcome.max_limit_usage > 1.0;
         if is_broken || std::env::var_os("SOAK_STORY").is_some() {
             println!("seed {seed}:\n{}", events.join("\n"));
             failed.push(seed);
@@ -103,16 +104,16 @@
 }
 
 /// Runs a soak for each seed; the environment may replace the seeds and the length.
-async fn run(plan: Plan, seeds: &[u64], length_s: u64) {
+async fn run(plan: FaultPlan, seeds: &[u64], length_s: u64) {
     let length = Duration::from_secs(number("SOAK_SECONDS").unwrap_or(length_s));
     let mut failed = Vec::new();
     for seed in self::seeds(seeds) {
         let findings = soak(seed, plan, length).await;
-        println!("{plan:?}, seed {seed}: {} of {} served", findings.served, findings.asked);
-        assert!(findings.asked > 50, "the callers sent requests");
-        if !findings.broken.is_empty() {
-            println!("seed {seed}:\n{}", findings.story.join("\n"));
-            println!("seed {seed} breaks:\n{}", findings.broken.join("\n"));
+        println!("{plan:?}, seed {seed}: {} of {} served", findings.served, findings.requests);
+        assert!(findings.requests > 50, "the callers sent requests");
+        if !findings.violations.is_empty() {
+            println!("seed {seed}:\n{}", findings.events.join("\n"));
+            println!("seed {seed} breaks:\n{}", findings.violations.join("\n"));
             failed.push(seed);
         }
     }
