--- a/crates/leverstream-gateway/src/attempt.rs
+++ b/crates/leverstream-gateway/src/attempt.rs
@@ -17,7 +17,7 @@
 
 use crate::gateway::Inner;
 use crate::inbound::Inbound;
-use crate::meters::FarCause;
+use crate::meters::CrossHallCause;
 use crate::slot::Slot;
 use crate::{evidence, words};
 
@@ -75,7 +75,7 @@
         let fleet = inner.fleet.borrow();
         (fleet.target(slot.key).0, fleet.incarnation(slot.key))
     };
-    let idle = inner.idle.borrow_mut().take(&incarnation, is_repeatable, inner.now_ms());
+    let idle = inner.idle_pool.borrow_mut().take(&incarnation, is_repeatable, inner.now_ms());
     let is_reused = idle.is_some();
     let conn = match idle {
         Some(conn) => Ok(conn),
@@ -119,7 +119,7 @@
         is_matching
     };
     if slot.pick.choice.is_far() {
-        inner.meters.count_far(FarCause::Request, bytes.len());
+        inner.meters.count_cross_hall(CrossHallCause::Request, bytes.len());
     }
     let answer_wait =
         AnswerWait { attempt: &attempt, sent_ms: now_ms, is_finished: Cell::new(false) };
@@ -144,10 +144,10 @@
         }
     };
     if slot.pick.choice.is_far() {
-        inner.meters.count_far(FarCause::Answer, answer.body.len());
+        inner.meters.count_cross_hall(CrossHallCause::Answer, answer.body.len());
     }
     if conn.is_reusable() && inner.fleet.borrow().is_in_service(slot.key) {
-        inner.idle.borrow_mut().put(incarnation.clone(), conn, answer.keep_alive_ms(), now_ms);
+        inner.idle_pool.borrow_mut().put(incarnation.clone(), conn, answer.keep_alive_ms(), now_ms);
     }
     classify_answer(&attempt, answer)
 }
@@ -298,7 +298,7 @@
             let status = head.status;
             info!(id, backend = instance, born_ms, status, source = "answer", "backend leaves");
             words::tell(inner, incarnation);
-            inner.idle.borrow_mut().close_all(incarnation);
+            inner.idle_pool.borrow_mut().close_all(incarnation);
             inner.wake_all();
         }
         if let Some(for_ms) = notice.hold_off_ms {
@@ -384,7 +384,7 @@
         }
         match connect_within(address, END_PROBE_TIMEOUT_MS).await {
             Ok(conn) => {
-                inner.idle.borrow_mut().put(incarnation.clone(), conn, None, inner.now_ms());
+                inner.idle_pool.borrow_mut().put(incarnation.clone(), conn, None, inner.now_ms());
                 false
             }
             Err(error) => error == ConnectError::Refused,
--- a/crates/leverstream-gateway/src/duty.rs
+++ b/crates/leverstream-gateway/src/duty.rs
@@ -1,4 +1,4 @@
-//! Who watches the store, and who cannot reach it.
+//! Decides whether this VM watches the store, and records which VMs cannot reach it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -9,35 +9,35 @@
 use tokio::sync::Notify;
 use tracing::info;
 
-/// How often a VM looks whether it should watch the store.
-const LOOK_MS: u64 = 500;
+/// The interval at which a VM checks whether it should watch the store.
+const CHECK_INTERVAL_MS: u64 = 500;
 
-/// How many VMs of a hall may have lost the store before no further one tries in their place.
+/// The number of VMs of a hall without the store from which on no further VM replaces them as watcher.
 ///
-/// So many are not turned away by chance: the store itself is away. Those that lost it go on trying
-/// and tell when it is back.
-const LOST_A_HALL_LIMIT: usize = 4;
+/// So many failures are no coincidence: the store itself is down. The VMs that lost it go on retrying and report when
+/// it is back.
+const MAX_LOST_PER_HALL: usize = 4;
 
-/// Whether a VM watches the store.
+/// This VM's part in watching the store.
 #[derive(Default)]
-pub(crate) struct Duty {
+pub(crate) struct WatchDuty {
     /// Whether this VM has run long enough to know the others.
     is_settled: Cell<bool>,
-    /// Whether this VM is one of those that watch the store.
+    /// Whether this VM is one of its hall's watchers.
     is_watcher: Cell<bool>,
     /// Whether this VM cannot reach the store.
     has_lost_store: Cell<bool>,
-    /// The other VMs that cannot.
+    /// The ids of the other VMs that cannot reach the store.
     without_store: RefCell<HashSet<u64>>,
-    /// When a VM was last known to be without the store.
-    trouble_ms: Cell<Option<u64>>,
-    /// Where the VMs of this hall that watch the store are reached.
+    /// When a VM last lost or regained the store.
+    last_outage_ms: Cell<Option<u64>>,
+    /// The peer addresses of this hall's other watchers.
     hall_watchers: RefCell<Vec<SocketAddr>>,
-    /// Told when this VM begins or ceases to be one of those that watch the store.
+    /// Notified when this VM starts or stops being a watcher.
     changed: Notify,
 }
 
-impl Duty {
+impl WatchDuty {
     /// Notes that this VM has run long enough to know the others.
     pub fn settle(&self) {
         if !self.is_settled.replace(true) {
@@ -45,85 +45,86 @@
         }
     }
 
-    /// Tells whether this VM should watch the store: it is one of its hall's watchers, or hears
-    /// nobody who could tell it. One that has just started knows too few others to say.
+    /// Returns whether this VM should watch the store: it is one of its hall's watchers, or no peer reaches it. A VM that
+    /// has just started knows too few peers to decide.
     pub fn watches(&self, is_isolated: bool) -> bool {
         self.is_settled.get() && (self.is_watcher.get() || is_isolated)
     }
 
-    /// Where the other VMs of this hall that watch the store are reached.
+    /// Returns the peer addresses of this hall's other watchers.
     pub fn hall_watchers(&self) -> Vec<SocketAddr> {
         self.hall_watchers.borrow().clone()
     }
 
-    /// Waits until this VM should watch the store, or no longer should.
+    /// Waits until [`watches`](Self::watches) returns `should`.
     pub async fn until_watches(&self, should: bool, is_isolated: impl Fn() -> bool) {
         while self.watches(is_isolated()) != should {
-            // Whether a VM hears nobody is not told, so it looks by itself too.
-            let look = tokio::time::sleep(Duration::from_millis(LOOK_MS));
+            // Isolation sends no notification, so it is checked at an interval too.
+            let check = tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS));
             tokio::select! {
                 () = self.changed.notified() => {}
-                () = look => {}
+                () = check => {}
             }
         }
     }
 
-    /// Tells whether this VM cannot reach the store.
+    /// Returns whether this VM cannot reach the store.
     pub fn has_lost_store(&self) -> bool {
         self.has_lost_store.get()
     }
 
-    /// Tells whether some VM was without the store a short while ago, so that the store may have been
-    /// away, and entries may have lapsed that come back.
-    pub fn had_trouble(&self, within_ms: u64, now_ms: u64) -> bool {
+    /// Returns whether any VM was without the store within the given time: the store may have been down, and entries that
+    /// expired meanwhile may be written again.
+    pub fn had_outage(&self, within_ms: u64, now_ms: u64) -> bool {
         let is_recent = |at_ms: u64| now_ms.saturating_sub(at_ms) < within_ms;
         self.has_lost_store.get()
             || !self.without_store.borrow().is_empty()
-            || self.trouble_ms.get().is_some_and(is_recent)
+            || self.last_outage_ms.get().is_some_and(is_recent)
     }
 
-    /// Notes whether this VM can reach the store; true if that is news.
+    /// Notes whether this VM has lost the store; returns true if that has changed.
     pub fn note_own(&self, is_lost: bool, now_ms: u64) -> bool {
-        let is_news = self.has_lost_store.replace(is_lost) != is_lost;
-        if is_news {
-            self.trouble_ms.set(Some(now_ms));
+        let has_changed = self.has_lost_store.replace(is_lost) != is_lost;
+        if has_changed {
+            self.last_outage_ms.set(Some(now_ms));
         }
-        is_news
+        has_changed
     }
 
-    /// Notes whether another VM can reach the store; true if that is news.
+    /// Notes whether another VM has lost the store; returns true if that has changed.
     pub fn note(&self, id: u64, is_lost: bool, now_ms: u64) -> bool {
-        let mut without = self.without_store.borrow_mut();
-        let is_news = if is_lost { without.insert(id) } else { without.remove(&id) };
-        if is_news {
-            self.trouble_ms.set(Some(now_ms));
+        let mut without_store_ids = self.without_store.borrow_mut();
+        let has_changed =
+            if is_lost { without_store_ids.insert(id) } else { without_store_ids.remove(&id) };
+        if has_changed {
+            self.last_outage_ms.set(Some(now_ms));
         }
-        is_news
+        has_changed
     }
 
-    /// Chooses anew who watches the store: VMs of the hall that can reach it.
+    /// Chooses this hall's watchers among its VMs that can reach the store.
     pub fn choose(&self, hall: &str, members: &[&Member], me: u64) {
-        let mut without = self.without_store.borrow_mut();
-        without.retain(|id| {
+        let mut without_store_ids = self.without_store.borrow_mut();
+        without_store_ids.retain(|id| {
             members.iter().any(|member| member.identity.id == *id && member.takes_callers())
         });
         let can_watch = |member: &&Member| {
             let id = member.identity.id;
             member.takes_callers()
-                && !without.contains(&id)
+                && !without_store_ids.contains(&id)
                 && (id != me || !self.has_lost_store.get())
         };
         let in_hall = members.iter().filter(|member| member.identity.hall == hall);
-        let lost = in_hall.filter(|member| without.contains(&member.identity.id)).count();
+        let lost = in_hall.filter(|member| without_store_ids.contains(&member.identity.id)).count();
         let chosen = watchers(hall, members.iter().copied().filter(can_watch));
         let is_watcher =
-            lost < LOST_A_HALL_LIMIT && chosen.iter().any(|member| member.identity.id == me);
+            lost < MAX_LOST_PER_HALL && chosen.iter().any(|member| member.identity.id == me);
         let others = chosen.iter().filter(|member| member.identity.id != me);
         *self.hall_watchers.borrow_mut() =
             others.map(|member| member.identity.peer_address).collect();
         if self.is_watcher.replace(is_watcher) != is_watcher {
             self.changed.notify_waiters();
-            info!(is_watcher, members = members.len(), "store watcher");
+            info!(is_watcher, members = members.len(), "store watcher role changed");
         }
     }
 }
--- a/crates/leverstream-gateway/src/emptied.rs
+++ b/crates/leverstream-gateway/src/emptied.rs
@@ -1,4 +1,4 @@
-//! Follows which data halls operators ask to be emptied; the VMs that watch the store tell the others with each packet.
+//! Reads and watches which data halls operators want emptied; VMs that watch the store report them in each packet.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,42 +9,42 @@
 use rand::Rng;
 use tracing::info;
 
-use crate::follow::{Link, WATCH_MS};
+use crate::follow::{StoreLink, WATCH_TIMEOUT_MS};
 use crate::gateway::Inner;
 
-/// After how long at least a VM that nobody has told reads them itself, in milliseconds: later than those that watch the store
-/// have. The users' bound counts from when a VM has run for some seconds.
-const UNTOLD_MS: u64 = 1_600;
+/// The minimum time that a VM waits for a peer's report before it reads the store itself, in milliseconds: the VMs that
+/// watch the store have read it by then. The bound on emptying counts only after a VM has run for some seconds.
+const PEER_REPORT_WAIT_MS: u64 = 1_600;
 
-/// For how long at the most the store's return is left to others to find out, in milliseconds.
-const AWAY_MS: u64 = 1_500;
+/// The maximum wait for other calls to find the store reachable again, in milliseconds.
+const MAX_STORE_RETURN_WAIT_MS: u64 = 1_500;
 
-/// How often one that waits looks.
-const LOOK_MS: u64 = 100;
+/// The interval at which a waiting task checks its condition, in milliseconds.
+const CHECK_INTERVAL_MS: u64 = 100;
 
-/// Follows them, if there may be any.
+/// Reads and watches the emptied data halls, unless the settings exclude them.
 pub(crate) async fn follow(store: Store, inner: Rc<Inner>) {
     if inner.settings.emptying.within_s.is_none() {
         return;
     }
-    let mut link = Link::open("emptied data halls");
-    until_due(&inner).await;
+    let mut link = StoreLink::new("emptied data halls");
+    wait_until_due(&inner).await;
     loop {
         let Listing { items, mut revision } = match store.list_emptied().await {
             Ok(listing) => listing,
             Err(error) => {
                 link.fail(&inner, &error).await;
-                until_store_is_back(&inner).await;
+                wait_until_store_is_back(&inner).await;
                 continue;
             }
         };
         link.succeed(&inner);
         let halls = items.into_iter().map(|item| item.name).collect();
-        take(&inner, EmptiedHalls { revision, halls }, "store");
+        apply(&inner, EmptiedHalls { revision, halls }, "store");
         let mut is_broken = false;
         while !is_broken && inner.mesh.watches() {
             let watched = tokio::select! {
-                watched = store.watch_emptied(revision, WATCH_MS) => watched,
+                watched = store.watch_emptied(revision, WATCH_TIMEOUT_MS) => watched,
                 () = inner.mesh.until_watches(false) => break,
             };
             match watched {
@@ -61,11 +61,11 @@
                             Change::Removed(hall) => halls.remove(&hall),
                         };
                     }
-                    take(&inner, EmptiedHalls { revision, halls }, "store");
+                    apply(&inner, EmptiedHalls { revision, halls }, "store");
                 }
                 Err(error) => {
                     link.fail(&inner, &error).await;
-                    until_store_is_back(&inner).await;
+                    wait_until_store_is_back(&inner).await;
                     is_broken = true;
                 }
             }
@@ -76,40 +76,40 @@
     }
 }
 
-/// Waits until this VM should read them: it watches the store, or nobody has told it for a while.
-async fn until_due(inner: &Inner) {
-    let spread_ms = rand::rng().random_range(0..UNTOLD_MS);
-    let until_ms = inner.now_ms() + UNTOLD_MS + spread_ms;
+/// Waits until this VM should read the store: it has to watch the store, or no peer has reported in time.
+async fn wait_until_due(inner: &Inner) {
+    let spread_ms = rand::rng().random_range(0..PEER_REPORT_WAIT_MS);
+    let until_ms = inner.now_ms() + PEER_REPORT_WAIT_MS + spread_ms;
     let is_known = || inner.fleet.borrow().emptied().revision > 0;
     while !inner.mesh.watches() && (is_known() || inner.now_ms() < until_ms) {
-        tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+        tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
     }
 }
 
-/// Waits for what else is read from the store to find out that it is back: each call has its price.
-async fn until_store_is_back(inner: &Inner) {
-    let until_ms = inner.now_ms() + AWAY_MS;
+/// Waits for other calls to find the store reachable again, since each call is billed.
+async fn wait_until_store_is_back(inner: &Inner) {
+    let until_ms = inner.now_ms() + MAX_STORE_RETURN_WAIT_MS;
     while inner.mesh.has_lost_store() && inner.now_ms() < until_ms {
-        tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+        tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
     }
 }
 
-/// What other VMs are told of them with each packet; nothing before anything is known.
-pub(crate) fn told(inner: &Inner) -> Option<peer::Emptied> {
+/// Returns the report for each packet to other VMs; none before any data is known.
+pub(crate) fn report(inner: &Inner) -> Option<peer::Emptied> {
     let fleet = inner.fleet.borrow();
     let EmptiedHalls { revision, halls } = fleet.emptied();
     (*revision > 0)
         .then(|| peer::Emptied { revision: *revision, halls: halls.iter().cloned().collect() })
 }
 
-/// Takes in what another VM knows of them.
-pub(crate) fn hear(inner: &Inner, told: &peer::Emptied) {
-    let halls = told.halls.iter().cloned().collect();
-    take(inner, EmptiedHalls { revision: told.revision, halls }, "another VM");
+/// Applies another VM's report.
+pub(crate) fn handle_report(inner: &Inner, report: &peer::Emptied) {
+    let halls = report.halls.iter().cloned().collect();
+    apply(inner, EmptiedHalls { revision: report.revision, halls }, "another VM");
 }
 
-/// Takes in which they are by now; who has read it from the store tells the others at once.
-fn take(inner: &Inner, emptied: EmptiedHalls, source: &str) {
+/// Applies the present set of emptied data halls; a VM that has read it from the store reports it at once.
+fn apply(inner: &Inner, emptied: EmptiedHalls, source: &str) {
     let EmptiedHalls { revision, halls } = emptied.clone();
     let is_first = inner.fleet.borrow().emptied().revision == 0 && revision > 0;
     let has_changed = inner.fleet.borrow_mut().set_emptied(emptied);
--- a/crates/leverstream-gateway/src/follow.rs
+++ b/crates/leverstream-gateway/src/follow.rs
@@ -1,8 +1,8 @@
-//! Follows the platform's store: the configuration and the backend servers.
+//! Reads and watches the configuration and the backend servers in the platform's store.
 //!
-//! When a VM starts, others tell it both; it reads them itself if it is one that the others are told to greet,
-//! or if nobody tells it for a while. After that only a few VMs of each data hall watch; the others hear from
-//! them (see [`news`](crate::news)).
+//! A VM that starts receives both from its peers. It reads the store itself if it is a seed, or if no peer sends them
+//! in time. Afterwards only a few VMs of each data hall watch the store; the others fetch changes from those VMs (see
+//! [`news`](crate::news)).
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -18,50 +18,50 @@
 use crate::gateway::Inner;
 use crate::{Settings, outlast};
 
-/// How many refused records are remembered at the most, against logging one again.
-const REFUSED_LIMIT: usize = 1_024;
+/// The maximum number of refused records that are remembered so that none is logged twice.
+const MAX_REFUSED_RECORDS: usize = 1_024;
 
-/// How long one watch waits for a change; the store allows 30 s.
-pub(crate) const WATCH_MS: u64 = 20_000;
+/// How long one watch call waits for a change; the store allows 30 s.
+pub(crate) const WATCH_TIMEOUT_MS: u64 = 20_000;
 
-/// The pause between a change and the next watch, in which further changes gather: each call has a
-/// price, and a change must be in force within two seconds.
-const GATHER_MS: u64 = 300;
+/// The pause between a change and the next watch, so that one call returns several changes: each call is billed, and
+/// a change must be in force within two seconds.
+const CHANGE_BATCH_MS: u64 = 300;
 
-/// How long a VM that has just started waits at least for others to tell it what the store holds: greeting them
-/// and fetching it takes a tenth of a second, and half a second where 442 do so at once.
-const TOLD_WITHIN_MS: u64 = 500;
+/// The minimum time that a VM that has just started waits for its peers to send the store's content: joining and
+/// fetching takes 0.1 s, and 0.5 s when 442 VMs do so at once.
+const PEER_WAIT_MS: u64 = 500;
 
-/// Over how long after that the VMs of a fleet that starts as a whole spread their own reading: a few read, and
-/// the others are told meanwhile.
-const READ_SPREAD_MS: u64 = 3_000;
+/// The range of the random extra wait before a VM reads the store itself: when a whole fleet starts, a few VMs read
+/// first and the others receive the content from them.
+const FIRST_READ_SPREAD_MS: u64 = 3_000;
 
-/// After how long a VM reads the configuration again where there was none yet: others tell it sooner.
-const NONE_YET_MS: u64 = 5_000;
+/// The delay before a VM reads the store again if it held no configuration; a peer usually sends one sooner.
+const NO_CATALOG_RETRY_MS: u64 = 5_000;
 
-/// The same for one that callers come to.
-const NONE_YET_PRESSED_MS: u64 = 250;
+/// The same delay for a VM that already receives requests of callers.
+const NO_CATALOG_RETRY_WITH_CALLERS_MS: u64 = 250;
 
-/// How often one that waits looks whether it was told.
-const TOLD_LOOK_MS: u64 = 20;
+/// The interval at which a waiting VM checks whether its peers have sent the content.
+const PEER_CHECK_INTERVAL_MS: u64 = 20;
 
-/// The first wait after a failed call, in milliseconds.
-const RETRY_FIRST_MS: u64 = 100;
+/// The delay after the first failed call, in milliseconds.
+const INITIAL_RETRY_DELAY_MS: u64 = 100;
 
-/// The longest wait after a call that could not be made; such a call costs nothing, and what was
-/// missed should be caught up with quickly.
-const RETRY_AWAY_LIMIT_MS: u64 = 300;
+/// The maximum delay after a call that could not connect; such a call is not billed, and missed changes should be
+/// read soon.
+const MAX_UNREACHABLE_RETRY_DELAY_MS: u64 = 300;
 
-/// The longest wait after a call that the store refused.
-const RETRY_REFUSED_LIMIT_MS: u64 = 1_000;
+/// The maximum delay after a call that connected and failed; the store bills it.
+const MAX_FAILED_RETRY_DELAY_MS: u64 = 1_000;
 
-/// How long entries that went while the store was away may take to come back after its return.
-const RETURN_MS: u64 = 2_100;
+/// How long removals seen after a store outage are held back, since the entries may be written again.
+const REMOVAL_HOLD_MS: u64 = 2_100;
 
-/// Follows the operators' configuration.
+/// Reads and watches the operators' configuration.
 pub(crate) async fn catalogs(store: Store, inner: Rc<Inner>) {
-    let mut link = Link::open("catalog");
-    if is_told(&inner, "catalog", |inner| inner.catalog().is_some()).await {
+    let mut link = StoreLink::new("catalog");
+    if wait_for_peers(&inner, "catalog", |inner| inner.catalog().is_some()).await {
         inner.mesh.until_watches(true).await;
     }
     loop {
@@ -70,16 +70,16 @@
             asked_ms.set(inner.now_ms());
             store.list_catalogs(&inner.hasher)
         };
-        let listing = link.until_done(&inner, list).await;
+        let listing = link.retry_until_done(&inner, list).await;
         for item in listing.items {
-            take_catalog(&inner, item);
+            apply_catalog(&inner, item);
         }
         inner.leases.read_at(asked_ms.get());
         let mut revision = listing.revision;
         let mut is_broken = false;
         while !is_broken && inner.mesh.watches() {
             let watched = tokio::select! {
-                watched = store.watch_catalogs(revision, WATCH_MS, &inner.hasher) => watched,
+                watched = store.watch_catalogs(revision, WATCH_TIMEOUT_MS, &inner.hasher) => watched,
                 () = inner.mesh.until_watches(false) => break,
             };
             match watched {
@@ -89,15 +89,17 @@
                     let has_changes = !watched.changes.is_empty();
                     for change in watched.changes {
                         match change {
-                            Change::Set(item) => take_catalog(&inner, item),
+                            Change::Set(item) => apply_catalog(&inner, item),
                             Change::Removed(_) => {
-                                warn!("the configuration was removed; the last stays in force");
+                                warn!(
+                                    "the configuration was removed from the store; the last one stays in force"
+                                );
                             }
                         }
                     }
                     pause(has_changes).await;
                 }
-                // What a watch that broke off has missed, only a whole list tells for sure.
+                // Only a full listing shows reliably what a broken watch has missed.
                 Err(error) => {
                     link.fail(&inner, &error).await;
                     is_broken = true;
@@ -105,16 +107,20 @@
             }
         }
         if !is_broken {
-            until_catalog_due(&inner).await;
+            wait_until_catalog_due(&inner).await;
         }
     }
 }
 
-/// Waits until this VM should read the configuration again: it is to watch, or there was none yet and nobody has
-/// told one for a while, or callers come meanwhile.
-async fn until_catalog_due(inner: &Inner) {
+/// Waits until this VM should read the configuration again: it has to watch the store, or it has no configuration and
+/// the retry delay, which is shorter with callers, has passed.
+async fn wait_until_catalog_due(inner: &Inner) {
     if inner.catalog().is_none() {
-        let wait_ms = if inner.has_caller.get() { NONE_YET_PRESSED_MS } else { NONE_YET_MS };
+        let wait_ms = if inner.has_caller.get() {
+            NO_CATALOG_RETRY_WITH_CALLERS_MS
+        } else {
+            NO_CATALOG_RETRY_MS
+        };
         let pause = tokio::time::sleep(Duration::from_millis(wait_ms));
         tokio::select! {
             () = pause => {}
@@ -127,30 +133,32 @@
     inner.mesh.until_watches(true).await;
 }
 
-/// Follows the backend servers.
+/// Reads and watches the backend servers.
 pub(crate) async fn backends(store: Store, inner: Rc<Inner>) {
-    let mut link = Link::open("backends");
-    if is_told(&inner, "backends", |inner| inner.has_fleet.get()).await {
+    let mut link = StoreLink::new("backends");
+    if wait_for_peers(&inner, "backends", |inner| inner.has_fleet.get()).await {
         inner.mesh.until_watches(true).await;
     } else {
-        // Requests are served once the backend servers are known, so what they end under is read before.
+        // Requests are served as soon as the backend servers are known, so the refused requests are read first.
         outlast::read(&store, &inner).await;
     }
     loop {
-        let listing = link.until_done(&inner, || store.list_backends()).await;
+        let listing = link.retry_until_done(&inner, || store.list_backends()).await;
         let mut revision = listing.revision;
         let newest = listing.items.iter().map(|item| item.revision).max().unwrap_or(revision);
-        let may_return = link.was_away() || inner.mesh.had_store_trouble(RETURN_MS, inner.now_ms());
-        let Taken { held: missing, has_removed } = take_listing(&inner, listing, may_return);
-        let mut held = Held::open(missing, inner.now_ms());
-        // Others hear of a removal only by a revision beyond those of the entries that are left.
-        held.publish(&inner, if has_removed { revision } else { newest });
+        let may_return =
+            link.was_away() || inner.mesh.had_store_trouble(REMOVAL_HOLD_MS, inner.now_ms());
+        let ListingOutcome { pending: missing, has_removed } =
+            apply_listing(&inner, listing, may_return);
+        let mut pending = PendingRemovals::new(missing, inner.now_ms());
+        // Peers fetch a removal only if the revision is beyond those of the remaining entries.
+        pending.publish(&inner, if has_removed { revision } else { newest });
         let mut is_broken = false;
-        while !is_broken && (inner.mesh.watches() || held.is_waiting()) {
-            let wait_ms = held.wait_ms(WATCH_MS, inner.now_ms());
+        while !is_broken && (inner.mesh.watches() || pending.has_pending()) {
+            let wait_ms = pending.wait_ms(WATCH_TIMEOUT_MS, inner.now_ms());
             let watched = tokio::select! {
                 watched = store.watch_backends(revision, wait_ms) => watched,
-                () = inner.mesh.until_watches(false), if !held.is_waiting() => break,
+                () = inner.mesh.until_watches(false), if !pending.has_pending() => break,
             };
             match watched {
                 Ok(watched) => {
@@ -158,24 +166,24 @@
                     revision = watched.revision;
                     let has_changes = !watched.changes.is_empty();
                     for change in watched.changes {
-                        take_change(&inner, change, revision, was_away, &mut held);
+                        apply_change(&inner, change, revision, was_away, &mut pending);
                     }
                     if has_changes {
-                        held.publish(&inner, revision);
+                        pending.publish(&inner, revision);
                     }
-                    pause(has_changes && !held.is_waiting()).await;
+                    pause(has_changes && !pending.has_pending()).await;
                 }
                 Err(error) => {
                     link.fail(&inner, &error).await;
                     is_broken = true;
                 }
             }
-            let due = held.take_due(inner.now_ms());
+            let due = pending.take_due(inner.now_ms());
             for instance in &due {
-                remove(&inner, instance, revision, "not back after the store's return");
+                remove_backend(&inner, instance, revision, "not back after the store's return");
             }
             if !due.is_empty() {
-                held.publish(&inner, revision);
+                pending.publish(&inner, revision);
             }
         }
         if !is_broken {
@@ -184,77 +192,83 @@
     }
 }
 
-/// Waits until another VM has told what the store holds; false if this one has to read it.
+/// Waits until a peer has sent the store's content; returns false if this VM has to read the store itself.
 ///
-/// One that callers come to does not wait: after a loss of power they go on with the addresses they hold.
-async fn is_told(inner: &Inner, kind: &str, is_known: impl Fn(&Inner) -> bool) -> bool {
+/// A VM that receives callers does not wait: after a power loss, callers go on using the addresses they hold.
+async fn wait_for_peers(inner: &Inner, kind: &str, is_known: impl Fn(&Inner) -> bool) -> bool {
     let Settings { peers, listen, .. } = &inner.settings;
-    // All others greet those first, which must have something to tell.
+    // All others join through the seeds, so a seed needs the content first.
     if peers.seeds.is_empty() || peers.seeds.contains(&listen.peers) {
         return false;
     }
-    let spread_ms = rand::rng().random_range(0..READ_SPREAD_MS);
-    let until_ms = inner.now_ms() + TOLD_WITHIN_MS + spread_ms;
+    let spread_ms = rand::rng().random_range(0..FIRST_READ_SPREAD_MS);
+    let until_ms = inner.now_ms() + PEER_WAIT_MS + spread_ms;
     while !is_known(inner) && !inner.has_caller.get() && inner.now_ms() < until_ms {
-        tokio::time::sleep(Duration::from_millis(TOLD_LOOK_MS)).await;
+        tokio::time::sleep(Duration::from_millis(PEER_CHECK_INTERVAL_MS)).await;
     }
     let (is_told, has_caller) = (is_known(inner), inner.has_caller.get());
-    info!(kind, is_told, has_caller, waited_ms = inner.now_ms(), "first knowledge");
+    info!(
+        kind,
+        is_told,
+        has_caller,
+        waited_ms = inner.now_ms(),
+        "waited for peers to send the store's content"
+    );
     is_told
 }
 
-/// Entries that went while the store was away, until they are back or taken as gone.
-struct Held {
-    /// The instances.
+/// Removals seen after a store outage, held until the entries reappear or the hold time has passed.
+struct PendingRemovals {
+    /// The instances whose entries are missing.
     instances: HashSet<String>,
-    /// When they are taken as gone.
+    /// When the removals take effect.
     until_ms: u64,
 }
 
-impl Held {
-    /// Holds entries from the store's return on.
-    fn open(instances: HashSet<String>, now_ms: u64) -> Held {
-        Held { instances, until_ms: now_ms + RETURN_MS }
+impl PendingRemovals {
+    /// Holds removals from the store's return on.
+    fn new(instances: HashSet<String>, now_ms: u64) -> PendingRemovals {
+        PendingRemovals { instances, until_ms: now_ms + REMOVAL_HOLD_MS }
     }
 
-    /// Tells whether some are held.
-    fn is_waiting(&self) -> bool {
+    /// Returns whether any removal is pending.
+    fn has_pending(&self) -> bool {
         !self.instances.is_empty()
     }
 
-    /// Tells other VMs how far the backend servers are known, unless that is still to be decided.
+    /// Announces the revision up to which the backend servers are known, unless removals are pending.
     fn publish(&self, inner: &Inner, revision: u64) {
-        if !self.is_waiting() {
+        if !self.has_pending() {
             inner.fleet.borrow_mut().advance_revision(revision);
             inner.mesh.tell_standing(inner);
         }
     }
 
-    /// How long a watch may wait before a decision is due.
-    fn wait_ms(&self, usual_ms: u64, now_ms: u64) -> u64 {
-        let left_ms = self.until_ms.saturating_sub(now_ms).clamp(10, usual_ms);
-        if self.is_waiting() { left_ms } else { usual_ms }
+    /// Returns how long a watch may wait before pending removals are due.
+    fn wait_ms(&self, default_ms: u64, now_ms: u64) -> u64 {
+        let left_ms = self.until_ms.saturating_sub(now_ms).clamp(10, default_ms);
+        if self.has_pending() { left_ms } else { default_ms }
     }
 
-    /// Takes those that are gone by now.
+    /// Takes the removals that are due.
     fn take_due(&mut self, now_ms: u64) -> HashSet<String> {
         if now_ms < self.until_ms { HashSet::new() } else { std::mem::take(&mut self.instances) }
     }
 }
 
-/// What taking a whole list in came to.
-struct Taken {
-    /// Those missing from it that may yet come back.
-    held: HashSet<String>,
-    /// Whether some were taken out.
+/// The outcome of applying a full listing.
+struct ListingOutcome {
+    /// Instances missing from the listing whose removal is pending.
+    pending: HashSet<String>,
+    /// Whether any backend server was removed.
     has_removed: bool,
 }
 
-/// Takes a whole list in.
-fn take_listing(inner: &Inner, listing: Listing<Backend>, may_return: bool) -> Taken {
+/// Applies a full listing of the backend servers.
+fn apply_listing(inner: &Inner, listing: Listing<Backend>, may_return: bool) -> ListingOutcome {
     let listed: HashSet<String> = listing.items.iter().map(|item| item.name.clone()).collect();
     for item in listing.items {
-        set(inner, item, listing.revision);
+        set_backend(inner, item, listing.revision);
     }
     inner.has_fleet.set(true);
     inner.mesh.choose(inner);
@@ -262,47 +276,47 @@
     let missing: HashSet<String> =
         known.into_iter().filter(|instance| !listed.contains(instance)).collect();
     if may_return {
-        return Taken { held: missing, has_removed: false };
+        return ListingOutcome { pending: missing, has_removed: false };
     }
     for instance in &missing {
-        remove(inner, instance, listing.revision, "missing from the list");
+        remove_backend(inner, instance, listing.revision, "missing from the list");
     }
-    Taken { held: HashSet::new(), has_removed: !missing.is_empty() }
+    ListingOutcome { pending: HashSet::new(), has_removed: !missing.is_empty() }
 }
 
-/// Takes one change in.
-fn take_change(
+/// Applies one change of a backend server; removals after a store outage are held back.
+fn apply_change(
     inner: &Inner,
     change: Change<Backend>,
     revision: u64,
     was_away: bool,
-    held: &mut Held,
+    pending: &mut PendingRemovals,
 ) {
     match change {
         Change::Set(item) => {
-            held.instances.remove(&item.name);
-            set(inner, item, revision);
+            pending.instances.remove(&item.name);
+            set_backend(inner, item, revision);
         }
-        Change::Removed(instance) if was_away || held.is_waiting() => {
-            if !held.is_waiting() {
-                held.until_ms = inner.now_ms() + RETURN_MS;
+        Change::Removed(instance) if was_away || pending.has_pending() => {
+            if !pending.has_pending() {
+                pending.until_ms = inner.now_ms() + REMOVAL_HOLD_MS;
             }
-            held.instances.insert(instance);
+            pending.instances.insert(instance);
         }
-        Change::Removed(instance) => remove(inner, &instance, revision, "removed"),
+        Change::Removed(instance) => remove_backend(inner, &instance, revision, "removed"),
     }
 }
 
-/// Takes in what the store says of a backend server.
-fn set(inner: &Inner, item: StoreItem<Backend>, revision: u64) {
+/// Applies the store's record of a backend server; one with an unusable record is removed.
+fn set_backend(inner: &Inner, item: StoreItem<Backend>, revision: u64) {
     let backend = match item.content {
         Ok(backend) => backend,
         Err(error) => {
-            if inner.refused.note(&item.name, item.revision) {
+            if inner.refused_records.note(&item.name, item.revision) {
                 inner.meters.records_refused.inc();
                 warn!(backend = item.name, %error, "backend record refused");
             }
-            remove(inner, &item.name, revision, "its record cannot be used");
+            remove_backend(inner, &item.name, revision, "its record cannot be used");
             return;
         }
     };
@@ -314,64 +328,64 @@
     }
 }
 
-/// Records that could not be used, so that each is logged once a change.
+/// Records that could not be used, so that each revision of them is logged once.
 #[derive(Debug, Default)]
 pub(crate) struct RefusedRecords {
-    /// The revision of each that was logged, by name.
+    /// The last logged revision by record name.
     revisions: RefCell<HashMap<String, u64>>,
 }
 
 impl RefusedRecords {
-    /// Notes a record that cannot be used; true if that was not noted of this revision of it.
+    /// Notes an unusable record; returns true if this revision of it was not noted before.
     fn note(&self, name: &str, revision: u64) -> bool {
         let mut revisions = self.revisions.borrow_mut();
-        if revisions.len() >= REFUSED_LIMIT {
+        if revisions.len() >= MAX_REFUSED_RECORDS {
             revisions.clear();
         }
         revisions.insert(name.to_owned(), revision) != Some(revision)
     }
 }
 
-/// Takes a backend server out.
-fn remove(inner: &Inner, instance: &str, revision: u64, reason: &str) {
+/// Removes a backend server.
+fn remove_backend(inner: &Inner, instance: &str, revision: u64, reason: &str) {
     if inner.fleet.borrow_mut().remove(instance, revision) {
         info!(backend = instance, reason, revision, "backend gone");
         inner.wake_all();
     }
 }
 
-/// Takes in what the store says of the configuration.
-fn take_catalog(inner: &Inner, item: StoreItem<Catalog>) {
+/// Applies the store's record of the configuration.
+fn apply_catalog(inner: &Inner, item: StoreItem<Catalog>) {
     match item.content {
         Ok(catalog) => {
-            if adopt(inner, catalog) {
+            if install_catalog(inner, catalog) {
                 inner.mesh.tell_standing(inner);
             }
         }
         Err(error) => {
             inner.meters.catalogs_refused.inc();
-            warn!(%error, "configuration refused; the last stays in force");
+            warn!(%error, "configuration refused; the last one stays in force");
         }
     }
 }
 
-/// Reads the configuration from the store and puts it in force if it is newer; true if the store told it.
+/// Reads the configuration from the store and puts it in force if it is newer; returns true if the read succeeded.
 pub(crate) async fn read_catalog(store: Store, inner: Rc<Inner>) -> bool {
     match store.list_catalogs(&inner.hasher).await {
         Ok(listing) => {
-            listing.items.into_iter().for_each(|item| take_catalog(&inner, item));
+            listing.items.into_iter().for_each(|item| apply_catalog(&inner, item));
             true
         }
         Err(error) => {
-            info!(%error, "configuration could not be read");
+            info!(%error, "configuration could not be read from the store");
             false
         }
     }
 }
 
-/// Puts a configuration in force, if it is newer than the one that is.
-pub(crate) fn adopt(inner: &Inner, catalog: Catalog) -> bool {
-    let before = inner.catalog().map(|held| held.version);
+/// Puts a configuration in force if it is newer than the present one.
+pub(crate) fn install_catalog(inner: &Inner, catalog: Catalog) -> bool {
+    let before = inner.catalog().map(|pending| pending.version);
     if before.is_some_and(|before| before >= catalog.version) {
         return false;
     }
@@ -386,48 +400,51 @@
     true
 }
 
-/// Waits for further changes to gather after one.
+/// Waits after a change so that the next watch call returns several changes.
 async fn pause(has_changes: bool) {
     if has_changes {
-        tokio::time::sleep(Duration::from_millis(GATHER_MS)).await;
+        tokio::time::sleep(Duration::from_millis(CHANGE_BATCH_MS)).await;
     }
 }
 
-/// The state of the way to the store, for one kind.
-pub(crate) struct Link {
-    /// The kind, for the log.
+/// The connection state and retry delays of the calls to the store for one kind of record.
+pub(crate) struct StoreLink {
+    /// The kind of record, for the log.
     kind: &'static str,
-    /// The waits after calls that could not be made.
-    away: Backoff,
-    /// The waits after calls that were refused.
-    refused: Backoff,
-    /// Failures since the last success.
+    /// The delays after calls that could not connect.
+    unreachable_backoff: Backoff,
+    /// The delays after calls that connected and failed.
+    failed_backoff: Backoff,
+    /// The number of failures since the last success.
     failures: u32,
-    /// Whether they show that the store was away, not just that it ended one call.
+    /// Whether the failures show an outage of the store rather than the end of one call.
     is_away: bool,
-    /// Whether the store was away before the last success.
+    /// Whether an outage of the store preceded the last success.
     was_away: bool,
 }
 
-impl Link {
-    /// Starts without failures.
-    pub(crate) fn open(kind: &'static str) -> Link {
-        Link {
+impl StoreLink {
+    /// Creates the state without failures.
+    pub(crate) fn new(kind: &'static str) -> StoreLink {
+        StoreLink {
             kind,
-            away: Backoff::new(RETRY_FIRST_MS, RETRY_AWAY_LIMIT_MS),
-            refused: Backoff::new(RETRY_FIRST_MS, RETRY_REFUSED_LIMIT_MS),
+            unreachable_backoff: Backoff::new(
+                INITIAL_RETRY_DELAY_MS,
+                MAX_UNREACHABLE_RETRY_DELAY_MS,
+            ),
+            failed_backoff: Backoff::new(INITIAL_RETRY_DELAY_MS, MAX_FAILED_RETRY_DELAY_MS),
             failures: 0,
             is_away: false,
             was_away: false,
         }
     }
 
-    /// Tells whether the store was away before the last success.
+    /// Returns whether an outage of the store preceded the last success.
     fn was_away(&self) -> bool {
         self.was_away
     }
 
-    /// Notes a success; true if the store was away before.
+    /// Notes a success; returns true if an outage of the store preceded it.
     pub(crate) fn succeed(&mut self, inner: &Inner) -> bool {
         if self.failures > 0 {
             let (kind, failures, is_away) = (self.kind, self.failures, self.is_away);
@@ -435,15 +452,15 @@
         }
         self.was_away = std::mem::take(&mut self.is_away);
         self.failures = 0;
-        self.away.reset();
-        self.refused.reset();
+        self.unreachable_backoff.reset();
+        self.failed_backoff.reset();
         inner.mesh.set_lost_store(inner, false);
         self.was_away
     }
 
-    /// Notes a failure and waits.
+    /// Notes a failure and waits for the retry delay.
     ///
-    /// A store that ends one call and answers the next was not away.
+    /// A store that ends one call and answers the next has had no outage.
     pub(crate) async fn fail(&mut self, inner: &Inner, error: &StoreError) {
         if self.failures == 0 {
             warn!(kind = self.kind, %error, "store lost");
@@ -454,17 +471,17 @@
         if self.is_away {
             inner.mesh.set_lost_store(inner, true);
         }
-        // A connection that could not be opened costs nothing; any other call is paid for.
+        // A call that could not connect is not billed; any other is.
         let backoff = match error {
-            StoreError::Away => &mut self.away,
-            _ => &mut self.refused,
+            StoreError::Away => &mut self.unreachable_backoff,
+            _ => &mut self.failed_backoff,
         };
         let wait_ms = backoff.next_delay_ms(&mut rand::rng());
         tokio::time::sleep(Duration::from_millis(wait_ms)).await;
     }
 
-    /// Makes a call until it is done.
-    async fn until_done<T, F>(&mut self, inner: &Inner, call: impl Fn() -> F) -> T
+    /// Repeats a call until it succeeds.
+    async fn retry_until_done<T, F>(&mut self, inner: &Inner, call: impl Fn() -> F) -> T
     where
         F: Future<Output = Result<T, StoreError>>,
     {
--- a/crates/leverstream-gateway/src/gateway.rs
+++ b/crates/leverstream-gateway/src/gateway.rs
@@ -18,94 +18,94 @@
 use crate::limits::{Limits, Permits};
 use crate::mesh::Mesh;
 use crate::meters::Meters;
-use crate::news::{Fetching, Packed};
+use crate::news::{FetchState, PackedBodies};
 use crate::repeats::Repeats;
 use crate::starts::Starts;
 use crate::suspects::Suspicions;
 use crate::waiting::WaitQueue;
 use crate::{Settings, emptied, evidence, follow, listeners, mesh, outlast};
 
-/// How often a planned stop looks whether it may end, in milliseconds.
+/// The interval at which a planned stop checks whether it may end, in milliseconds.
 const STOP_POLL_MS: u64 = 20;
 
-/// How many lives of an answer callers may go on using it, after which none comes any more.
-const ANSWER_LIVES: u64 = 3;
+/// The number of validity periods of a directory answer after which no caller uses it any more.
+const ANSWER_VALIDITY_PERIODS: u64 = 3;
 
-/// What a stop leaves of the grace before the process is ended by force, in milliseconds.
+/// The part of the grace period that a stop leaves unused before the process is killed, in milliseconds.
 const STOP_MARGIN_MS: u64 = 250;
 
-/// A running gateway VM; clones share it. All of it runs on one thread.
+/// A running gateway VM; clones share its state. It runs on one thread.
 #[derive(Clone)]
 pub struct Gateway {
-    /// What clones share.
+    /// The state that clones share.
     inner: Rc<Inner>,
 }
 
 /// The state of a gateway VM.
 pub(crate) struct Inner {
-    /// The settings.
+    /// The settings that the VM was started with.
     pub settings: Settings,
-    /// The clock.
+    /// The clock of all decisions.
     pub clock: Clock,
     /// The configuration in force.
     pub catalog: RefCell<Option<Rc<Catalog>>>,
-    /// The backend servers.
+    /// The backend servers and what is known of each.
     pub fleet: RefCell<Fleet>,
-    /// Whether the backend servers have been read once.
+    /// Whether the backend servers have been received once.
     pub has_fleet: Cell<bool>,
-    /// Whether a caller has come.
+    /// Whether any caller has sent a request or asked where to connect.
     pub has_caller: Cell<bool>,
     /// Idle connections to backend servers.
-    pub idle: RefCell<IdlePool>,
-    /// What is held for each service.
+    pub idle_pool: RefCell<IdlePool>,
+    /// The state of each service by name.
     pub services: RefCell<HashMap<String, ServiceState>>,
-    /// The other VMs.
+    /// The connection to the other VMs.
     pub mesh: Rc<Mesh>,
-    /// How long what is known of keys may be trusted.
+    /// The leases that bound how long known keys are valid.
     pub leases: Rc<Leases>,
-    /// The allotments of workspaces.
+    /// Admission by the allotments of workspaces.
     pub admission: Rc<Admission>,
-    /// What may be repeated.
+    /// The retry budgets of the services.
     pub repeats: Repeats,
-    /// Makes digests of keys.
+    /// Computes digests of workspace keys.
     pub hasher: KeyHasher,
-    /// Requests under which backend servers end.
+    /// Requests during which backend servers have ended.
     pub suspicions: Rc<Suspicions>,
-    /// Backend servers that leave by their own word.
-    pub words: Cell<NoticeSync>,
-    /// Permits for requests to backend servers that name a limit.
+    /// Synchronizes the notices of backend servers with other VMs.
+    pub notice_sync: Cell<NoticeSync>,
+    /// Permits for requests to backend servers that announce a rate limit.
     pub limits: Limits,
-    /// Whether news are being fetched from another VM.
-    pub fetching: Fetching,
-    /// The configuration as other VMs are sent it.
-    pub packed: Packed,
+    /// Whether an update is being fetched from another VM.
+    pub fetch_state: FetchState,
+    /// Compressed bodies that other VMs fetch.
+    pub packed_bodies: PackedBodies,
     /// Records of backend servers that could not be used.
-    pub refused: RefusedRecords,
-    /// The counts.
+    pub refused_records: RefusedRecords,
+    /// The metrics.
     pub meters: Rc<Meters>,
-    /// Requests of callers under way.
+    /// The number of callers' requests in progress.
     pub in_flight: Cell<u32>,
-    /// When the planned stop began.
+    /// When the planned stop began, if it has.
     pub stopping_since_ms: Cell<Option<u64>>,
 }
 
-/// What is held for a service.
+/// The state of a service.
 #[derive(Default)]
 pub(crate) struct ServiceState {
-    /// What is asked of it.
+    /// The demand for the service.
     pub demand: Demand,
-    /// Who waits for a slot.
-    pub waiting: WaitQueue,
+    /// The requests that wait for a slot.
+    pub wait_queue: WaitQueue,
 }
 
 /// Why a gateway could not start.
 #[derive(Debug, Display)]
 pub enum GatewayError {
-    /// `{place}` cannot be listened on: {error}
+    /// cannot listen on the address in `{setting}`: {error}
     Bind {
-        /// The settings' field.
-        place: &'static str,
-        /// What the system said.
+        /// The setting that holds the address.
+        setting: &'static str,
+        /// The error of the operating system.
         error: std::io::Error,
     },
 }
@@ -113,10 +113,10 @@
 impl std::error::Error for GatewayError {}
 
 impl Gateway {
-    /// Binds the listeners and starts all parts on the present thread's runtime.
+    /// Binds the listeners and starts all tasks on the present thread's runtime.
     pub async fn open(settings: Settings) -> Result<Gateway, GatewayError> {
         let clock = Clock::start();
-        let bind = |place| move |error| GatewayError::Bind { place, error };
+        let bind = |setting| move |error| GatewayError::Bind { setting, error };
         let mesh = Mesh::open(&settings, clock.now_ms()).await.map_err(bind("listen.peers"))?;
         let store = Store::open(settings.store.address);
         let mut fleet = Fleet::default();
@@ -127,7 +127,7 @@
             fleet: RefCell::new(fleet),
             has_fleet: Cell::new(false),
             has_caller: Cell::new(false),
-            idle: RefCell::default(),
+            idle_pool: RefCell::default(),
             services: RefCell::default(),
             mesh: Rc::new(mesh),
             leases: Rc::new(Leases::open(settings.keys.revoke_ms())),
@@ -135,11 +135,11 @@
             repeats: Repeats::open(&settings),
             hasher: KeyHasher::derive(&settings.peers.key),
             suspicions: Rc::new(Suspicions::open(&settings.peers.key)),
-            words: Cell::default(),
+            notice_sync: Cell::default(),
             limits: Limits::default(),
-            fetching: Fetching::default(),
-            packed: Packed::default(),
-            refused: RefusedRecords::default(),
+            fetch_state: FetchState::default(),
+            packed_bodies: PackedBodies::default(),
+            refused_records: RefusedRecords::default(),
             meters: Rc::new(Meters::open(&store)),
             in_flight: Cell::new(0),
             stopping_since_ms: Cell::new(None),
@@ -157,23 +157,23 @@
         actix_rt::spawn(emptied::follow(store.clone(), Rc::clone(&inner)));
         actix_rt::spawn(outlast::write(store.clone(), Rc::clone(&inner)));
         gateway.keep_leases(store.clone());
-        gateway.tell_allotments();
-        gateway.begin_allotments(store);
-        gateway.tell_suspects();
+        gateway.report_allotments();
+        gateway.start_allotments(store);
+        gateway.report_suspects();
         actix_rt::spawn(mesh::receive(Rc::clone(&inner)));
         actix_rt::spawn(mesh::tick(Rc::clone(&inner)));
         actix_rt::spawn(evidence::tell(Rc::clone(&inner)));
         let Settings { vm, hall, region, .. } = &inner.settings;
-        info!(vm, hall, region, callers = %listen.callers, "start");
+        info!(vm, hall, region, callers = %listen.callers, "gateway started");
         if !clock.counts_suspension() {
             warn!(
-                "no clock goes on while the machine is suspended; what was believed before counts on after it"
+                "no clock advances while the machine is suspended; leases and other timed state stay valid for too long after it"
             );
         }
         Ok(gateway)
     }
 
-    /// Keeps what is known of keys young.
+    /// Starts the task that renews the leases on keys.
     fn keep_leases(&self, store: Store) {
         let inner = Rc::clone(&self.inner);
         let (leases, mesh) = (Rc::clone(&inner.leases), Rc::clone(&inner.mesh));
@@ -181,16 +181,16 @@
         actix_rt::spawn(keeper.run(move || follow::read_catalog(store.clone(), Rc::clone(&inner))));
     }
 
-    /// Tells other VMs what this one lets in of workspaces' allotments.
-    fn tell_allotments(&self) {
+    /// Starts the task that reports to other VMs how many requests of each workspace this VM admits.
+    fn report_allotments(&self) {
         let inner = &self.inner;
         let (admission, mesh) = (Rc::clone(&inner.admission), Rc::clone(&inner.mesh));
         let meters = Rc::clone(&inner.meters);
         actix_rt::spawn(Teller { clock: inner.clock, admission, mesh, meters }.run());
     }
 
-    /// Decides how this VM begins with allotments.
-    fn begin_allotments(&self, store: Store) {
+    /// Starts the task that decides this VM's initial share of the allotments.
+    fn start_allotments(&self, store: Store) {
         let inner = &self.inner;
         let starts = Starts {
             vm: inner.settings.vm.clone(),
@@ -203,8 +203,8 @@
         actix_rt::spawn(starts.run());
     }
 
-    /// Tells other VMs under which requests backend servers end.
-    fn tell_suspects(&self) {
+    /// Starts the task that reports to other VMs during which requests backend servers ended.
+    fn report_suspects(&self) {
         let inner = &self.inner;
         let (suspicions, mesh) = (Rc::clone(&inner.suspicions), Rc::clone(&inner.mesh));
         let (meters, clock) = (Rc::clone(&inner.meters), inner.clock);
@@ -213,26 +213,26 @@
         });
     }
 
-    /// Takes in settings that have changed while it runs; listeners stay where they are.
+    /// Applies changed settings at run time: only the seeds take effect, the listeners keep their addresses.
     pub fn reload(&self, settings: &Settings) {
         let has_changed = *settings != self.inner.settings;
         self.inner.mesh.hint(settings.peers.seeds.clone());
         info!(has_changed, seeds = ?settings.peers.seeds, "reload");
     }
 
-    /// Stops as planned: leaves the directory, serves whoever still comes, finishes what runs.
+    /// Performs a planned stop: leaves the directory, serves requests that still arrive, and finishes those in progress.
     pub async fn stop(&self) {
         let inner = &self.inner;
         let since_ms = inner.now_ms();
         inner.stopping_since_ms.set(Some(since_ms));
         info!(in_flight = inner.in_flight.get(), "stop begins");
         inner.mesh.leave(inner);
-        let quiet_ms = since_ms + inner.settings.entry.answer_holds_ms * ANSWER_LIVES;
-        let last_ms = inner.stop_ends_ms().unwrap_or(since_ms);
+        let drained_ms = since_ms + inner.settings.entry.answer_holds_ms * ANSWER_VALIDITY_PERIODS;
+        let deadline_ms = inner.stop_ends_ms().unwrap_or(since_ms);
         loop {
             let now_ms = inner.now_ms();
-            let is_quiet = now_ms >= quiet_ms && inner.in_flight.get() == 0;
-            if is_quiet || now_ms >= last_ms {
+            let is_drained = now_ms >= drained_ms && inner.in_flight.get() == 0;
+            if is_drained || now_ms >= deadline_ms {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(STOP_POLL_MS)).await;
@@ -242,35 +242,35 @@
 }
 
 impl Inner {
-    /// The present time.
+    /// Returns the present time.
     pub fn now_ms(&self) -> u64 {
         self.clock.now_ms()
     }
 
-    /// Tells whether the configuration and the backend servers are known.
-    pub fn knows_all(&self) -> bool {
+    /// Returns whether the configuration and the backend servers are known.
+    pub fn has_initial_state(&self) -> bool {
         self.catalog.borrow().is_some() && self.has_fleet.get()
     }
 
-    /// Tells whether callers can be served.
+    /// Returns whether callers can be served.
     pub fn is_ready(&self) -> bool {
-        self.stopping_since_ms.get().is_none() && self.knows_all()
+        self.stopping_since_ms.get().is_none() && self.has_initial_state()
     }
 
-    /// When a planned stop ends at the latest, if one has begun.
+    /// Returns when a planned stop ends at the latest, if one has begun.
     pub fn stop_ends_ms(&self) -> Option<u64> {
         let since_ms = self.stopping_since_ms.get()?;
         Some(since_ms + self.settings.grace_ms().saturating_sub(STOP_MARGIN_MS))
     }
 
-    /// The slots of all backend servers that may take work of a service that is configured.
+    /// Returns the total slots of the backend servers that accept requests of configured services.
     pub fn slots(&self) -> u32 {
         let Some(catalog) = self.catalog() else { return 0 };
         let fleet = self.fleet.borrow();
         catalog.services.keys().map(|service| fleet.slots(service)).sum()
     }
 
-    /// Permits for requests to backend servers that name a limit.
+    /// Returns access to the permits for requests to backend servers that announce a rate limit.
     pub fn permits(&self) -> Permits<'_> {
         Permits {
             limits: &self.limits,
@@ -282,22 +282,22 @@
         }
     }
 
-    /// Notes that a request for a service came.
+    /// Notes the arrival of a request for a service.
     pub fn note_arrival(&self, service: &str, now_ms: u64) {
         let mut services = self.services.borrow_mut();
         services.entry(service.to_owned()).or_default().demand.note_arrival(now_ms);
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force, if one is known.
     pub fn catalog(&self) -> Option<Rc<Catalog>> {
         self.catalog.borrow().clone()
     }
 
-    /// Wakes those who wait for a slot of any service.
+    /// Wakes all requests that wait for a slot of any service.
     pub fn wake_all(&self) {
         for state in self.services.borrow_mut().values_mut() {
-            let count = state.waiting.count();
-            state.waiting.wake(count);
+            let count = state.wait_queue.count();
+            state.wait_queue.wake(count);
         }
     }
 }
--- a/crates/leverstream-gateway/src/listeners.rs
+++ b/crates/leverstream-gateway/src/listeners.rs
@@ -68,12 +68,9 @@
 
 /// Listens for other VMs that fetch what this one knows.
 pub(crate) async fn peers(address: SocketAddr, inner: &Rc<Inner>) -> std::io::Result<()> {
-    listen(
-        address,
-        "peers",
-        inner,
-        |inner, request| async move { news::answer(&inner, request.path()) },
-    )
+    listen(address, "peers", inner, |inner, request| async move {
+        news::answer_fetch(&inner, request.path())
+    })
     .await
 }
 
--- a/crates/leverstream-gateway/src/mesh.rs
+++ b/crates/leverstream-gateway/src/mesh.rs
@@ -20,9 +20,9 @@
 use tokio::sync::Notify;
 use tracing::{info, warn};
 
-use crate::duty::Duty;
+use crate::duty::WatchDuty;
 use crate::gateway::Inner;
-use crate::meters::{FarCause, Meters};
+use crate::meters::{CrossHallCause, Meters};
 use crate::sharing::Sharing;
 use crate::{Settings, emptied, news};
 
@@ -68,7 +68,7 @@
     /// Who takes callers.
     pub sharing: Sharing,
     /// Who watches the store.
-    duty: Duty,
+    duty: WatchDuty,
     /// Told when there is something to tell of backend servers.
     news: Notify,
     /// Where the VMs of other data halls listen.
@@ -104,7 +104,7 @@
             key: FleetKey::derive(&settings.peers.key),
             socket,
             sharing: Sharing::open(id),
-            duty: Duty::default(),
+            duty: WatchDuty::default(),
             news: Notify::new(),
             far: RefCell::default(),
             has_changed: Cell::new(false),
@@ -249,7 +249,7 @@
 
     /// Tells whether some VM was without the store a short while ago.
     pub fn had_store_trouble(&self, within_ms: u64, now_ms: u64) -> bool {
-        self.duty.had_trouble(within_ms, now_ms)
+        self.duty.had_outage(within_ms, now_ms)
     }
 
     /// Notes whether this VM can reach the store; the others hear it at once.
@@ -293,8 +293,8 @@
         let to = self.told_at_once();
         let from = Some(self.swim.borrow().me().to_update());
         let updates = changed.iter().map(Member::to_update).collect();
-        let standing = Some(news::standing(inner));
-        let emptied = emptied::told(inner);
+        let standing = Some(news::own_standing(inner));
+        let emptied = emptied::report(inner);
         let packet = Packet { from, updates, standing, emptied, ..Packet::default() };
         self.send(&inner.meters, &packet, &to);
     }
@@ -313,16 +313,16 @@
             warn!(bytes = datagram.len(), "a datagram is too large");
         }
         let cause = match packet.body {
-            Some(Body::Evidence(_)) => FarCause::Evidence,
-            Some(Body::Allotments(_)) => FarCause::Allotments,
-            Some(Body::LoanQuestion(_) | Body::Loan(_)) => FarCause::Repeats,
-            Some(Body::Suspects(_)) => FarCause::Suspects,
-            Some(Body::Words(_)) => FarCause::Words,
-            Some(Body::PermitQuestion(_) | Body::PermitAnswer(_)) => FarCause::Permits,
-            _ => FarCause::Members,
+            Some(Body::Evidence(_)) => CrossHallCause::Evidence,
+            Some(Body::Allotments(_)) => CrossHallCause::Allotments,
+            Some(Body::LoanQuestion(_) | Body::Loan(_)) => CrossHallCause::Repeats,
+            Some(Body::Suspects(_)) => CrossHallCause::Suspects,
+            Some(Body::Words(_)) => CrossHallCause::Words,
+            Some(Body::PermitQuestion(_) | Body::PermitAnswer(_)) => CrossHallCause::Permits,
+            _ => CrossHallCause::Members,
         };
         let far = to.iter().filter(|address| self.is_far(**address)).count();
-        meters.count_far(cause, datagram.len() * far);
+        meters.count_cross_hall(cause, datagram.len() * far);
         for address in to {
             // One that cannot be sent is lost like any other; what it says is told again.
             let _ = self.socket.try_send_to(&datagram, *address);
@@ -339,10 +339,10 @@
         if out.is_empty() {
             return;
         }
-        let standing = news::standing(inner);
+        let standing = news::own_standing(inner);
         for Outgoing { to, mut packet } in out {
             packet.standing = Some(standing);
-            packet.emptied = emptied::told(inner);
+            packet.emptied = emptied::report(inner);
             self.send(&inner.meters, &packet, &[to]);
         }
     }
--- a/crates/leverstream-gateway/src/mesh/inbox.rs
+++ b/crates/leverstream-gateway/src/mesh/inbox.rs
@@ -145,7 +145,7 @@
     let out = inner.mesh.swim.borrow_mut().receive(from, packet, now_ms);
     inner.mesh.send_all(inner, out);
     if let Some(told) = &packet.emptied {
-        emptied::hear(inner, told);
+        emptied::handle_report(inner, told);
     }
     if let (Some(sender), Some(standing)) = (&packet.from, packet.standing) {
         take_standing(inner, from, sender, standing);
@@ -162,7 +162,7 @@
     if inner.mesh.duty.note(sender.id, standing.store_lost, now_ms) {
         inner.mesh.choose(inner);
     }
-    news::hear(inner, from, standing, sender.hall == inner.settings.hall);
+    news::handle_standing(inner, from, standing, sender.hall == inner.settings.hall);
 }
 
 /// Who found out that members have changed.
--- a/crates/leverstream-gateway/src/meters.rs
+++ b/crates/leverstream-gateway/src/meters.rs
@@ -52,7 +52,7 @@
 
 /// What bytes between data halls are sent for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub(crate) enum FarCause {
+pub(crate) enum CrossHallCause {
     /// Requests to backend servers.
     Request,
     /// Answers of backend servers.
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct CauseLabel {
     /// What they were sent for.
-    cause: FarCause,
+    cause: CrossHallCause,
 }
 
 /// What a gateway VM counts.
@@ -236,7 +236,7 @@
     }
 
     /// Counts bytes exchanged with another data hall.
-    pub fn count_far(&self, cause: FarCause, bytes: usize) {
+    pub fn count_cross_hall(&self, cause: CrossHallCause, bytes: usize) {
         self.far_bytes.get_or_create(&CauseLabel { cause }).inc_by(bytes as u64);
     }
 
--- a/crates/leverstream-gateway/src/serve.rs
+++ b/crates/leverstream-gateway/src/serve.rs
@@ -147,7 +147,7 @@
         // are spread over as long again.
         Availability::Limited { per_s, from_ms } => {
             let waiting =
-                inner.services.borrow().get(service).map_or(0, |state| state.waiting.count());
+                inner.services.borrow().get(service).map_or(0, |state| state.wait_queue.count());
             let needed_ms = ((waiting + 1) as f64 / per_s * 1_000.0) as u64;
             (from_ms.max(now_ms).saturating_add(needed_ms), needed_ms.max(RETRY_SPREAD_MS))
         }
@@ -161,7 +161,7 @@
 /// Returns the configuration in force; on a VM that has just started, waits until it is known.
 async fn wait_for_catalog(inner: &Inner, arrived_ms: u64) -> Result<Rc<Catalog>, Kind> {
     inner.has_caller.set(true);
-    while !inner.knows_all() && inner.now_ms() < arrived_ms + STARTUP_WAIT_MS {
+    while !inner.has_initial_state() && inner.now_ms() < arrived_ms + STARTUP_WAIT_MS {
         tokio::time::sleep(Duration::from_millis(STARTUP_CHECK_INTERVAL_MS)).await;
     }
     inner.catalog().filter(|_| inner.has_fleet.get()).ok_or(Kind::NoCatalog)
--- a/crates/leverstream-gateway/src/slot.rs
+++ b/crates/leverstream-gateway/src/slot.rs
@@ -101,12 +101,12 @@
     let started_ms = inner.now_ms();
     let turn = {
         let mut services = inner.services.borrow_mut();
-        let waiting = &mut services.entry(request.service.to_owned()).or_default().waiting;
+        let waiting = &mut services.entry(request.service.to_owned()).or_default().wait_queue;
         waiting.assign_turn(request.rank, request.workspace)
     };
     loop {
         let now_ms = inner.now_ms();
-        let ahead = inner.services.borrow()[request.service].waiting.count_ahead(turn);
+        let ahead = inner.services.borrow()[request.service].wait_queue.count_ahead(turn);
         let position = QueuePosition { ahead, has_waited: now_ms > started_ms };
         request.check_available(&inner.fleet.borrow(), position, now_ms)?;
         if ahead == 0
@@ -119,7 +119,7 @@
         }
         let woken = {
             let mut services = inner.services.borrow_mut();
-            services.entry(request.service.to_owned()).or_default().waiting.enqueue(turn)
+            services.entry(request.service.to_owned()).or_default().wait_queue.enqueue(turn)
         };
         let wait_ms = RECHECK_INTERVAL_MS.min(request.until_ms - now_ms);
         // The loop checks again after a wake-up and after the timeout alike.
@@ -181,7 +181,7 @@
         drop(fleet);
         self.inner.mesh.has_news();
         if let Some(state) = self.inner.services.borrow_mut().get_mut(&self.service) {
-            state.waiting.wake(1);
+            state.wait_queue.wake(1);
         }
     }
 }
--- a/crates/leverstream-gateway/src/words.rs
+++ b/crates/leverstream-gateway/src/words.rs
@@ -32,10 +32,10 @@
 
 /// Takes in how another VM's knowledge compares.
 pub(crate) fn compare(inner: &Inner, from: SocketAddr, theirs: u64, now_ms: u64) {
-    let mut words = inner.words.get();
+    let mut words = inner.notice_sync.get();
     let is_sharer = inner.mesh.takes_callers();
     let told = words.compare(theirs, &inner.fleet.borrow(), is_sharer, now_ms);
-    inner.words.set(words);
+    inner.notice_sync.set(words);
     if let Some(told) = told {
         say(inner, &told, &[from]);
     }
