--- a/crates/leverstream-gateway/src/forward.rs
+++ b/crates/leverstream-gateway/src/forward.rs
@@ -431,7 +431,7 @@
         let inner = self.inner;
         let now_ms = inner.now_ms();
         let (is_granted, headroom) = inner.repeats.take(self.service, now_ms);
-        inner.meters.note_room(self.service, headroom);
+        inner.meters.note_headroom(self.service, headroom);
         if is_granted {
             sends.repeats_taken.set(sends.repeats_taken.get() + 1);
             inner.meters.repeats.inc();
--- a/crates/leverstream-gateway/src/gateway.rs
+++ b/crates/leverstream-gateway/src/gateway.rs
@@ -1,3 +1,5 @@
+//! The state of a gateway VM, its start and its planned stop.
+
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -164,7 +166,7 @@
         actix_rt::spawn(mesh::tick(Rc::clone(&inner)));
         actix_rt::spawn(evidence::tell(Rc::clone(&inner)));
         let Settings { vm, hall, region, .. } = &inner.settings;
-        info!(vm, hall, region, callers = %listen.callers, "gateway started");
+        info!(vm, hall, region, callers = %listen.callers, "start");
         if !clock.counts_suspension() {
             warn!(
                 "no clock advances while the machine is suspended; leases and other timed state stay valid for too long after it"
--- a/crates/leverstream-gateway/src/lib.rs
+++ b/crates/leverstream-gateway/src/lib.rs
@@ -1,11 +1,17 @@
-//! A gateway VM: callers' requests by host and path, where to connect, readiness.
+//! A gateway VM: it routes callers' requests to backend servers by host and path, and answers readiness checks and the
+//! question where to connect.
 //!
-//! [`Gateway::open`] binds the listeners and runs on one thread. Configuration and backend servers
-//! come from the platform's store (`follow`, `emptied`) or from VMs that watch it (`news`); VMs find each other
-//! by datagrams (`mesh`) and share what they see of backend servers (`evidence`) and how many requests of workspaces
-//! they let in (`admission`), lend each other what they may repeat (`repeats`), and know requests under which backend
-//! servers end (`suspects`), which the store holds for them (`outlast`). Together they keep to the limits that
-//! backend servers name (`limits`). A request goes through `serve`, `authorize`, `slot` and `attempt`.
+//! [`Gateway::open`] binds the listeners and runs on one thread. A request passes through `serve`, `authorize`,
+//! `forward`, `slot` and `attempt`.
+//!
+//! The configuration and the backend servers come from the platform's store (`follow`, `emptied`) or from VMs that watch
+//! it (`news`); `duty` decides which VMs watch. VMs find each other by datagrams (`mesh`) and exchange over them:
+//!
+//! - observations of backend servers (`evidence`) and the notices that these send (`words`),
+//! - the number of admitted requests of each workspace (`admission`),
+//! - loans of retry budget (`repeats`),
+//! - requests during which backend servers ended (`suspects`), which the store keeps across restarts (`outlast`),
+//! - permits that enforce the rate limits of backend servers (`limits`).
 
 mod admission;
 mod attempt;
--- a/crates/leverstream-gateway/src/listeners.rs
+++ b/crates/leverstream-gateway/src/listeners.rs
@@ -77,8 +77,8 @@
 /// Listens for metrics scrapes.
 pub(crate) async fn metrics(address: SocketAddr, inner: &Rc<Inner>) -> std::io::Result<()> {
     listen(address, "metrics", inner, |inner, _| async move {
-        inner.meters.show_backends(inner.fleet.borrow().state_counts(inner.now_ms()));
-        inner.meters.show_limits(inner.fleet.borrow().limits_by_service());
+        inner.meters.set_backends(inner.fleet.borrow().state_counts(inner.now_ms()));
+        inner.meters.set_limits(inner.fleet.borrow().limits_by_service());
         let text = leverstream_observe::encode(&inner.meters.registry);
         Response::build(StatusCode::OK).body(text).map_into_boxed_body()
     })
--- a/crates/leverstream-gateway/src/meters.rs
+++ b/crates/leverstream-gateway/src/meters.rs
@@ -1,3 +1,5 @@
+//! The metrics of a gateway VM.
+
 use std::sync::atomic::AtomicU64;
 
 use leverstream_catalog::Notice;
@@ -12,134 +14,134 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 
-/// The label of an answer of the VM's own.
+/// The label of an error answer that the VM itself gives.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct KindLabel {
-    /// The kind's name.
+    /// The name of the error kind.
     kind: String,
 }
 
-/// The label of what concerns one service.
+/// The label of a metric of one service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ServiceLabel {
     /// The service's name.
     service: String,
 }
 
-/// How a backend server stands, as this VM knows it.
+/// The state of a backend server as this VM knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
-enum BackendsState {
-    /// It takes work.
+enum BackendState {
+    /// It accepts requests.
     InService,
     /// The platform lists it as leaving.
     Leaving,
-    /// It has said that it leaves; the platform does not tell.
+    /// It has announced that it leaves; the platform does not list it as leaving.
     LeavingByWord,
-    /// It wants nothing of this VM for now.
+    /// It has asked this VM to send nothing for some time.
     HoldingOff,
-    /// It names how many requests a second it takes from all VMs together.
+    /// It announces a rate limit for the requests of all VMs together.
     Limited,
     /// Its data hall is to be emptied.
     Emptied,
 }
 
-/// The label of a number of backend servers.
+/// The label of a count of backend servers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct StateLabel {
-    /// How they stand.
-    state: BackendsState,
+    /// Their state.
+    state: BackendState,
 }
 
-/// What bytes between data halls are sent for.
+/// The purpose of bytes that are sent between data halls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub(crate) enum CrossHallCause {
     /// Requests to backend servers.
     Request,
     /// Answers of backend servers.
     Answer,
-    /// What VMs that share the traffic tell each other.
+    /// Observations of backend servers that VMs exchange.
     Evidence,
-    /// Pings and what goes with them.
+    /// Membership: pings and the updates that they carry.
     Members,
-    /// Configuration and backend servers.
+    /// Transfers of the configuration and the list of backend servers.
     News,
-    /// How many requests of workspaces were let in.
+    /// Reports of the number of admitted requests of workspaces.
     Allotments,
-    /// What VMs lend each other of what they may repeat.
+    /// Loans of retry budget between VMs.
     Repeats,
-    /// What they know of requests under which backend servers end.
+    /// Reports of requests during which backend servers ended.
     Suspects,
-    /// What backend servers say of themselves.
+    /// Notices of backend servers that VMs pass on.
     Words,
-    /// Permits for requests to backend servers that name a limit.
+    /// Permits for requests to backend servers that announce a rate limit.
     Permits,
 }
 
 /// The label of bytes between data halls.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct CauseLabel {
-    /// What they were sent for.
+    /// The purpose of the bytes.
     cause: CrossHallCause,
 }
 
-/// What a gateway VM counts.
+/// The metrics that a gateway VM records.
 pub(crate) struct Meters {
-    /// All of it, for whoever reads the metrics.
+    /// The registry of all metrics, for exporting them.
     pub registry: Registry,
-    /// Requests of callers.
+    /// Requests that callers have sent.
     pub requests: Counter,
-    /// Answers of the VM's own, by kind.
+    /// Error answers that the VM itself gave, by kind.
     refusals: Family<KindLabel, Counter>,
     /// Requests sent to backend servers.
     pub attempts: Counter,
-    /// Those among them that repeat another.
+    /// Attempts that repeat an earlier one.
     pub repeats: Counter,
-    /// Repeats that the allowance did not cover.
+    /// Repeats that the retry budget did not cover.
     pub repeats_denied: Counter,
-    /// What this VM has repeated or lent in the window that ended with the last wish for a repeat, by service.
+    /// Repeats made or lent by this VM in the window that ended with the last request for a repeat, by service.
     repeats_spent: Family<ServiceLabel, Gauge<f64, AtomicU64>>,
-    /// What it was allowed to in that window, with what others had lent it.
+    /// Repeats allowed to this VM in that window, including loans from other VMs, by service.
     repeats_allowed: Family<ServiceLabel, Gauge<f64, AtomicU64>>,
-    /// Requests under which a backend server has ended.
+    /// Requests during which a backend server has ended.
     pub suspects: Gauge,
-    /// Those among them that are refused.
+    /// The number of those requests that are refused.
     pub suspects_refused: Gauge,
-    /// Listed backend servers, by how they stand.
+    /// Listed backend servers by state.
     backends: Family<StateLabel, Gauge>,
-    /// Answers in which a backend server said that it leaves.
+    /// Answers in which a backend server announced that it leaves.
     notices_leaving: Counter,
-    /// Answers in which a backend server said for how long it wants nothing.
+    /// Answers in which a backend server asked to receive nothing for some time.
     notices_hold_off: Counter,
-    /// Those among them whose time could not be read.
+    /// The number of those answers whose time could not be parsed.
     notices_garbled: Counter,
-    /// Answers in which a backend server named a limit.
+    /// Answers in which a backend server announced a rate limit.
     notices_limit: Counter,
-    /// Answers in which it named one that could not be read.
+    /// Answers with a rate limit that could not be parsed.
     notices_limit_garbled: Counter,
-    /// Permits for requests to limited backend servers that were had, by service.
+    /// Granted permits for requests to rate-limited backend servers, by service.
     permits: Family<ServiceLabel, Counter>,
-    /// Those that were not.
+    /// Denied permits, by service.
     permits_denied: Family<ServiceLabel, Counter>,
-    /// The limits that listed backend servers name, by service.
+    /// The sum of the rate limits that listed backend servers announce, by service.
     limits_per_s: Family<ServiceLabel, Gauge<f64, AtomicU64>>,
-    /// Questions where to connect.
+    /// Requests of callers that ask where to connect.
     pub questions: Counter,
     /// Configurations that could not be used.
     pub catalogs_refused: Counter,
-    /// Records of backend servers that could not be used, each once a change.
+    /// Records of backend servers that could not be used, one count for each revision.
     pub records_refused: Counter,
-    /// Bytes of news sent to other VMs.
+    /// Bytes of configuration and backend servers sent to other VMs that fetch them.
     pub news_bytes: Counter,
-    /// Bytes exchanged with other data halls, by what they were sent for.
+    /// Bytes exchanged with other data halls, by purpose.
     far_bytes: Family<CauseLabel, Counter>,
-    /// How long requests took, in seconds.
-    pub seconds: Histogram,
-    /// How long requests waited for a slot, in seconds.
+    /// The duration of requests, in seconds.
+    pub request_seconds: Histogram,
+    /// The time that requests waited for a slot, in seconds.
     pub waited_seconds: Histogram,
 }
 
 impl Meters {
-    /// Registers the counts, with those of calls to the store.
+    /// Registers the metrics, including those of calls to the store.
     pub fn open(store: &Store) -> Meters {
         let buckets = || exponential_buckets(0.001, 2.0, 15);
         let mut meters = Meters {
@@ -167,7 +169,7 @@
             records_refused: Counter::default(),
             news_bytes: Counter::default(),
             far_bytes: Family::default(),
-            seconds: Histogram::new(buckets()),
+            request_seconds: Histogram::new(buckets()),
             waited_seconds: Histogram::new(buckets()),
         };
         let registry = &mut meters.registry;
@@ -226,7 +228,11 @@
         registry.register("news_bytes", help, meters.news_bytes.clone());
         let help = "Bytes exchanged with other data halls";
         registry.register("far_bytes", help, meters.far_bytes.clone());
-        registry.register("request_seconds", "How long requests took", meters.seconds.clone());
+        registry.register(
+            "request_seconds",
+            "How long requests took",
+            meters.request_seconds.clone(),
+        );
         registry.register(
             "waited_seconds",
             "How long requests waited for a slot",
@@ -240,55 +246,55 @@
         self.far_bytes.get_or_create(&CauseLabel { cause }).inc_by(bytes as u64);
     }
 
-    /// Takes in what may be repeated for a service.
-    pub fn note_room(&self, service: &str, room: Headroom) {
+    /// Records the present retry budget of a service.
+    pub fn note_headroom(&self, service: &str, headroom: Headroom) {
         let label = ServiceLabel { service: service.to_owned() };
-        self.repeats_spent.get_or_create(&label).set(room.spent);
-        let allowed = room.spent + room.own + room.lent;
+        self.repeats_spent.get_or_create(&label).set(headroom.spent);
+        let allowed = headroom.spent + headroom.own + headroom.lent;
         self.repeats_allowed.get_or_create(&label).set(allowed);
     }
 
-    /// Shows how the listed backend servers stand.
-    pub fn show_backends(&self, state_counts: StateCounts) {
+    /// Sets the number of listed backend servers in each state.
+    pub fn set_backends(&self, state_counts: StateCounts) {
         let counts = [
-            (BackendsState::InService, state_counts.in_service),
-            (BackendsState::Leaving, state_counts.leaving),
-            (BackendsState::LeavingByWord, state_counts.leaving_announced),
-            (BackendsState::HoldingOff, state_counts.holding_off),
-            (BackendsState::Limited, state_counts.limited),
-            (BackendsState::Emptied, state_counts.emptied),
+            (BackendState::InService, state_counts.in_service),
+            (BackendState::Leaving, state_counts.leaving),
+            (BackendState::LeavingByWord, state_counts.leaving_announced),
+            (BackendState::HoldingOff, state_counts.holding_off),
+            (BackendState::Limited, state_counts.limited),
+            (BackendState::Emptied, state_counts.emptied),
         ];
         for (state, count) in counts {
             self.backends.get_or_create(&StateLabel { state }).set(count.into());
         }
     }
 
-    /// Counts a permit for a request to a limited backend server, or that there was none.
+    /// Counts a granted or denied permit for a request to a rate-limited backend server.
     pub fn note_permit(&self, service: &str, is_granted: bool) {
         let count = if is_granted { &self.permits } else { &self.permits_denied };
         count.get_or_create(&ServiceLabel { service: service.to_owned() }).inc();
     }
 
-    /// Shows the sums of the limits that the backend servers of services name.
-    pub fn show_limits(&self, limits: impl IntoIterator<Item = (String, f64)>) {
+    /// Sets the sum of the announced rate limits of each service.
+    pub fn set_limits(&self, limits: impl IntoIterator<Item = (String, f64)>) {
         self.limits_per_s.clear();
         for (service, per_s) in limits {
             self.limits_per_s.get_or_create(&ServiceLabel { service }).inc_by(per_s);
         }
     }
 
-    /// Counts what a backend server said of itself.
+    /// Counts a notice of a backend server.
     pub fn note_notice(&self, notice: Notice) {
         self.notices_leaving.inc_by(u64::from(notice.is_leaving));
-        let tells_time = notice.hold_off_ms.is_some() || notice.is_hold_off_malformed;
-        self.notices_hold_off.inc_by(u64::from(tells_time));
+        let has_hold_off = notice.hold_off_ms.is_some() || notice.is_hold_off_malformed;
+        self.notices_hold_off.inc_by(u64::from(has_hold_off));
         self.notices_garbled.inc_by(u64::from(notice.is_hold_off_malformed));
         self.notices_limit.inc_by(u64::from(notice.limit_per_s.is_some()));
         self.notices_limit_garbled.inc_by(u64::from(notice.is_limit_malformed));
     }
 
-    /// Counts an answer of the VM's own.
-    pub fn refuse(&self, kind: Kind) {
+    /// Counts an error answer that the VM itself gives.
+    pub fn note_error_answer(&self, kind: Kind) {
         self.refusals.get_or_create(&KindLabel { kind: kind.to_string() }).inc();
     }
 }
--- a/crates/leverstream-gateway/src/serve.rs
+++ b/crates/leverstream-gateway/src/serve.rs
@@ -41,14 +41,14 @@
     let mut request_log = RequestLog::default();
     let result = handle(&inner, request, arrived_ms, &mut request_log).await;
     let took_ms = inner.now_ms().saturating_sub(arrived_ms);
-    inner.meters.seconds.observe(took_ms as f64 / 1000.0);
+    inner.meters.request_seconds.observe(took_ms as f64 / 1000.0);
     let mut response = match result {
         Ok(answer) => {
             request_log.log(&inner, answer.status, "answered", took_ms);
             reply::relay_answer(answer)
         }
         Err(error_answer) => {
-            inner.meters.refuse(error_answer.kind);
+            inner.meters.note_error_answer(error_answer.kind);
             let response = reply::error_response(error_answer);
             let outcome = error_answer.kind.to_string();
             request_log.log(&inner, response.status().as_u16(), &outcome, took_ms);
--- a/crates/leverstream-gateway/src/settings.rs
+++ b/crates/leverstream-gateway/src/settings.rs
@@ -1,194 +1,196 @@
+//! The settings of a gateway VM, read from TOML.
+
 use std::fmt;
 use std::net::SocketAddr;
 
 use leverstream_route::{MAX_WINDOW_MS, RetryAllowance};
 use serde::Deserialize;
 
-/// What one VM of a gateway fleet is told when it starts.
+/// The settings that one VM of a gateway fleet starts with.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// The VM's name.
     pub vm: String,
-    /// The data hall it stands in.
+    /// The VM's data hall.
     pub hall: String,
-    /// The region it stands in.
+    /// The VM's region.
     pub region: String,
-    /// Where it listens.
+    /// The addresses that the VM listens on.
     pub listen: Listen,
-    /// How it finds other VMs.
+    /// How the VM finds and authenticates other VMs.
     pub peers: Peers,
-    /// What the VM has.
+    /// The VM's resources.
     pub machine: Machine,
-    /// Where the platform's store is.
+    /// The platform's store.
     pub store: StoreSettings,
-    /// What all VMs together may repeat.
+    /// The retry budget that all VMs share.
     pub retries: Retries,
-    /// How a planned stop goes.
+    /// The limits of a planned stop.
     pub stop: Stop,
-    /// Who callers are sent to.
+    /// Which VMs callers connect to.
     #[serde(default)]
     pub entry: Entry,
-    /// How much of a service that fails must stay in use.
+    /// The share of a failing service's backend servers that must stay in use.
     #[serde(default)]
     pub floor: Floor,
-    /// What bytes between data halls cost.
+    /// The cost of bytes between data halls.
     #[serde(default)]
     pub halls: Halls,
-    /// How soon keys that are taken away must cease to work.
+    /// How soon revoked keys must stop working.
     #[serde(default)]
     pub keys: Keys,
-    /// How long backend servers that leave may still get requests.
+    /// How long leaving backend servers may still receive requests.
     #[serde(default)]
     pub leaving: Leaving,
-    /// Whether operators may ask that a data hall be emptied.
+    /// Whether and how soon operators can empty a data hall.
     #[serde(default)]
     pub emptying: Emptying,
-    /// How exactly the allotments of workspaces must be kept.
+    /// How exactly the allotments of workspaces are enforced.
     #[serde(default)]
     pub allotments: AllotmentSettings,
 }
 
-/// The keys of workspaces.
+/// Settings for the keys of workspaces.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Keys {
-    /// How long a key may go on working anywhere after the store has accepted its removal, in seconds; without it,
-    /// until the VM hears of that.
+    /// The maximum time that a key works anywhere after the store has accepted its removal, in seconds; if it is not set,
+    /// a key works until the VM learns of the removal.
     pub revoke_s: Option<f64>,
 }
 
 impl Keys {
-    /// How long a key may go on working after its removal, in milliseconds.
+    /// Returns the maximum time that a key works after its removal, in milliseconds.
     pub fn revoke_ms(self) -> Option<u64> {
         self.revoke_s.map(|revoke_s| (revoke_s * 1000.0) as u64)
     }
 }
 
-/// How long before a backend server that leaves gets no more requests the last one is sent: the way there, on a busy VM.
+/// The time between the last request to a leaving backend server and the end of its service, in milliseconds: the
+/// request's transit time from a busy VM.
 const LAST_SEND_MARGIN_MS: u64 = 100;
 
-/// Backend servers that leave.
+/// Settings for leaving backend servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Leaving {
-    /// For how long after its word one serves on where its service has no other, in seconds.
+    /// How long a backend server goes on serving after it announces that it leaves, if its service has no other, in seconds.
     pub serves_on_s: f64,
 }
 
 impl Leaving {
-    /// For how long requests are sent to one where its service has no other, in milliseconds.
+    /// Returns how long requests are sent to a leaving backend server whose service has no other, in milliseconds.
     pub fn serves_on_ms(self) -> u64 {
         ((self.serves_on_s * 1000.0) as u64).saturating_sub(LAST_SEND_MARGIN_MS)
     }
 }
 
-/// Data halls that operators ask to be emptied.
+/// Settings for data halls that operators empty.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Emptying {
-    /// How soon after the store has taken that nothing may be sent there any more, in seconds; without it the store is not
-    /// asked for such requests.
+    /// The time after the store has accepted the operator's request within which requests stop going there, in seconds;
+    /// if it is not set, the VM does not read such requests from the store.
     pub within_s: Option<f64>,
 }
 
-/// The allotments of workspaces.
+/// Settings for the allotments of workspaces.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AllotmentSettings {
-    /// How many requests beyond rate and burst a workspace may get through in any few seconds.
+    /// The number of requests beyond rate and burst that may be admitted for a workspace within any few seconds.
     pub slack: f64,
 }
 
-/// The listeners.
+/// The addresses of the listeners.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers' requests.
+    /// The address for callers' requests.
     pub callers: SocketAddr,
-    /// For the platform's question whether the VM is ready.
+    /// The address for the platform's readiness checks.
     pub readiness: SocketAddr,
-    /// For callers who ask where to connect.
+    /// The address for callers that ask where to connect.
     pub directory: SocketAddr,
-    /// For datagrams of other VMs.
+    /// The address for datagrams and fetches of other VMs.
     pub peers: SocketAddr,
-    /// For metrics.
+    /// The address for reading the metrics.
     pub metrics: SocketAddr,
 }
 
-/// How a VM finds others.
+/// How a VM finds and authenticates other VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peers {
-    /// Where some of them listen, or did.
+    /// Addresses of some VMs to join through; they may be out of date.
     pub seeds: Vec<SocketAddr>,
-    /// The secret that all VMs share; datagrams made without it are dropped.
+    /// The secret that all VMs share; datagrams that are not authenticated by it are dropped.
     #[serde(default = "default_key")]
     pub key: String,
-    /// Whether the whole fleet starts for the first time, with this process: none has run before it on this VM.
+    /// Whether the whole fleet starts for the first time with this process, so that none has run on this VM before.
     #[serde(default)]
     pub is_first_start: bool,
 }
 
-/// What a VM has.
+/// The resources of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
-    /// Its part of a core, or more than one.
+    /// The number of cores; it may be a fraction of one.
     pub cores: f64,
-    /// The bandwidth of its link, in megabits a second.
+    /// The bandwidth of the link, in megabits per second.
     pub link_mbps: f64,
 }
 
-/// The platform's store.
+/// Settings for the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreSettings {
-    /// Where it listens.
+    /// The address of the store.
     pub address: SocketAddr,
 }
 
-/// What all VMs together may repeat, for each service.
+/// The retry budget of each service, shared by all VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Retries {
-    /// Repeats for each request.
+    /// The number of repeats that each request adds.
     pub ratio: f64,
     /// The length of the sliding window, in seconds.
     pub window_s: f64,
-    /// Repeats in a window besides.
+    /// The number of repeats in a window beyond the ratio.
     pub slack: f64,
 }
 
-/// A planned stop.
+/// The limits of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stop {
-    /// How long after the signal the process is ended by force, in seconds.
+    /// The time between the signal and the kill of the process, in seconds.
     pub grace_s: f64,
 }
 
-/// Who callers are sent to.
+/// Which VMs callers connect to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// How many VMs of each hall take callers; 0 lets the work and the VMs' capacity decide.
+    /// The number of VMs of each hall that accept callers; 0 derives it from the load and the VMs' capacity.
     pub vms_a_hall: usize,
-    /// How long callers may keep an answer, in milliseconds.
+    /// How long a directory answer is valid for callers, in milliseconds.
     pub answer_holds_ms: u64,
 }
 
 impl Default for Entry {
-    /// As few as can do the work: the fewer share the backend servers, the more each knows of them.
-    /// Answers hold as short as the cost of asking allows, for that is how long a lost VM still gets
-    /// callers.
+    /// Uses as few VMs as can carry the load: each VM of a smaller set observes more of every backend server. Answers are
+    /// valid as briefly as the cost of asking allows, because a lost VM still receives callers until they expire.
     fn default() -> Entry {
         Entry { vms_a_hall: 0, answer_holds_ms: 1_500 }
     }
 }
 
-/// The floor: the share of a service's sound backend servers that must have work while many of its requests
-/// fail.
+/// The floor: the share of a service's healthy backend servers that must receive requests while many of the service's
+/// requests fail.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Floor {
@@ -197,45 +199,45 @@
 }
 
 impl Default for Floor {
-    /// What both of the first users ask for.
+    /// Sets the share that both of the first users require.
     fn default() -> Floor {
         Floor { share: 0.7 }
     }
 }
 
-/// Traffic between data halls, which is paid for.
+/// Settings for traffic between data halls, which is billed.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Halls {
-    /// How many requests served a megabyte between halls is worth.
+    /// The cost of a megabyte between halls, in served requests.
     pub requests_a_mb: f64,
 }
 
 impl Default for Halls {
-    /// An answer of 100 kB from another hall costs as much as it brings.
+    /// Makes an answer of 100 kB from another hall cost as much as one served request is worth.
     fn default() -> Halls {
         Halls { requests_a_mb: 10.0 }
     }
 }
 
 impl Halls {
-    /// What so many bytes between halls cost, in requests served.
-    pub fn cost(self, bytes: f64) -> f64 {
+    /// Returns the cost of a number of bytes between halls, in served requests.
+    pub fn cost_in_requests(self, bytes: f64) -> f64 {
         bytes / 1e6 * self.requests_a_mb
     }
 }
 
-/// How far above the floor the share is kept: VMs hear of each other's work with a delay.
+/// The margin kept above the floor, because VMs learn of each other's load with a delay.
 const FLOOR_MARGIN: f64 = 0.03;
 
 impl Floor {
-    /// The share to keep in use.
-    pub fn aim(self) -> f64 {
+    /// Returns the share to keep in use, which is the floor plus a margin.
+    pub fn target_share(self) -> f64 {
         self.share + FLOOR_MARGIN
     }
 }
 
-/// Why settings cannot be used.
+/// The reason why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(String);
 
@@ -247,28 +249,28 @@
 
 impl std::error::Error for SettingsError {}
 
-/// What one request costs a VM in time of a core, in milliseconds: 0.15 to 0.25 were measured, at 442 VMs too, with
-/// what the directory and datagrams cost besides.
-const REQUEST_CORE_MS: f64 = 0.25;
+/// The CPU time of one request, in milliseconds: between 0.15 and 0.25, also at 442 VMs, including the cost of directory
+/// and datagrams.
+const CORE_MS_PER_REQUEST: f64 = 0.25;
 
-/// What one request moves over a VM's link, both ways together, in kilobits: answers of 5 kB come in
-/// and go out.
-const REQUEST_KILOBITS: f64 = 90.0;
+/// The traffic of one request on a VM's link in both directions together, in kilobits: an answer of 5 kB is received
+/// and sent on.
+const LINK_KILOBITS_PER_REQUEST: f64 = 90.0;
 
-/// The part of a VM that steady load may take.
-const STEADY_PART: f64 = 0.5;
+/// The fraction of a VM's resources for steady load; the rest is left for bursts.
+const STEADY_LOAD_FRACTION: f64 = 0.5;
 
 impl Machine {
-    /// How many requests a second the VM can take with room for bursts.
+    /// Returns the number of requests per second that the VM can handle with headroom for bursts.
     pub fn capacity_per_s(self) -> u32 {
-        let by_core = self.cores * 1000.0 / REQUEST_CORE_MS;
-        let by_link = self.link_mbps * 1000.0 / REQUEST_KILOBITS;
-        (by_core.min(by_link) * STEADY_PART) as u32
+        let by_core = self.cores * 1000.0 / CORE_MS_PER_REQUEST;
+        let by_link = self.link_mbps * 1000.0 / LINK_KILOBITS_PER_REQUEST;
+        (by_core.min(by_link) * STEADY_LOAD_FRACTION) as u32
     }
 }
 
 impl Settings {
-    /// Reads settings, naming the field at fault and its place.
+    /// Parses and checks settings; an error names the invalid field.
     pub fn from_toml(text: &str) -> Result<Settings, SettingsError> {
         let settings: Settings =
             toml::from_str(text).map_err(|error| SettingsError(error.to_string()))?;
@@ -286,22 +288,22 @@
             ("allotments.slack", settings.allotments.slack),
             ("emptying.within_s", settings.emptying.within_s.unwrap_or_default()),
         ];
-        let longest_s = MAX_WINDOW_MS as f64 / 1000.0;
-        if settings.retries.window_s > longest_s {
+        let max_window_s = MAX_WINDOW_MS as f64 / 1000.0;
+        if settings.retries.window_s > max_window_s {
             let window_s = settings.retries.window_s;
             let text =
-                format!("`retries.window_s` must not be over {longest_s}, but is {window_s}");
+                format!("`retries.window_s` must be at most {max_window_s}, but is {window_s}");
             return Err(SettingsError(text));
         }
         match numbers.iter().find(|(_, number)| !(number.is_finite() && *number >= 0.0)) {
-            Some((field, number)) => {
-                Err(SettingsError(format!("`{field}` must not be below zero, but is {number}")))
-            }
+            Some((field, number)) => Err(SettingsError(format!(
+                "`{field}` must be a finite number that is at least zero, but is {number}"
+            ))),
             None => Ok(settings),
         }
     }
 
-    /// What all VMs together may repeat.
+    /// Returns the retry budget that all VMs share.
     pub fn allowance(&self) -> RetryAllowance {
         RetryAllowance {
             ratio: self.retries.ratio,
@@ -310,13 +312,13 @@
         }
     }
 
-    /// How long after the signal the process is ended by force, in milliseconds.
+    /// Returns the time between the signal and the kill of the process, in milliseconds.
     pub fn grace_ms(&self) -> u64 {
         (self.stop.grace_s * 1000.0) as u64
     }
 }
 
-/// The secret of a fleet that sets none: it keeps other fleets' datagrams out, no attackers.
+/// Returns the secret of a fleet that sets none; it rejects other fleets' datagrams but does not stop attackers.
 fn default_key() -> String {
     "leverstream".to_owned()
 }
--- a/crates/leverstream-gateway/src/slot.rs
+++ b/crates/leverstream-gateway/src/slot.rs
@@ -145,9 +145,9 @@
         is_repeatable: request.is_repeatable,
         tried: request.tried,
         waited_ms,
-        far_bytes_cost: inner.settings.halls.cost(bytes),
+        far_bytes_cost: inner.settings.halls.cost_in_requests(bytes),
         objective_ms: request.objective_ms,
-        floor_share: inner.settings.floor.aim(),
+        floor_share: inner.settings.floor.target_share(),
         requests_fail,
         requests_per_s: demand.per_s(now_ms).map(|per_s| per_s * sharers),
     };
--- a/crates/leverstream-gateway/tests/clocks.rs
+++ b/crates/leverstream-gateway/tests/clocks.rs
@@ -1,15 +1,15 @@
-//! What decides at a gateway VM goes by one clock, which goes on while the machine is suspended.
+//! Checks that all decisions of a gateway VM use the one clock that advances while the machine is suspended.
 
 use std::path::Path;
 
-/// Clocks that stand still while the machine is suspended, or jump.
-const OTHERS: [&str; 3] = ["Instant::now", "SystemTime", "unix_ms"];
+/// Names in the source that read other clocks, which stop while the machine is suspended or jump.
+const OTHER_CLOCKS: [&str; 3] = ["Instant::now", "SystemTime", "unix_ms"];
 
-/// Files that set timers by another clock: what those wake looks at the one clock before it acts.
-const TIMERS: [&str; 1] = ["evidence.rs"];
+/// Files that set timers by another clock: the code they wake reads the one clock before it acts.
+const FILES_WITH_TIMERS: [&str; 1] = ["evidence.rs"];
 
 #[test]
-fn no_other_clock_is_read_where_anything_is_decided() {
+fn decision_code_reads_no_clock_that_stops_or_jumps() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let decide = ["core", "gateway", "health", "member", "route", "suspect", "workspace"];
     let folders = decide.map(|name| crates.join(format!("leverstream-{name}/src")));
@@ -19,12 +19,16 @@
     for file in files {
         let name = file.file_name().and_then(|name| name.to_str()).expect("a name");
         let text = std::fs::read_to_string(&file).expect("the source can be read");
-        let found = OTHERS.iter().find(|other| text.contains(**other));
-        assert!(found.is_none() || TIMERS.contains(&name), "{}: {found:?}", file.display());
+        let found = OTHER_CLOCKS.iter().find(|other| text.contains(**other));
+        assert!(
+            found.is_none() || FILES_WITH_TIMERS.contains(&name),
+            "{}: {found:?}",
+            file.display()
+        );
     }
 }
 
-/// All sources below a folder.
+/// Returns all Rust sources below a folder.
 fn files_below(folder: &Path) -> Vec<std::path::PathBuf> {
     let entries = std::fs::read_dir(folder).expect("the folder can be read");
     let paths = entries.map(|entry| entry.expect("an entry").path());
