--- a/crates/leverstream-gateway/src/duty.rs
+++ b/crates/leverstream-gateway/src/duty.rs
@@ -92,7 +92,7 @@
     }
 
     /// Notes whether another VM has lost the store; returns true if that has changed.
-    pub fn note(&self, id: u64, is_lost: bool, now_ms: u64) -> bool {
+    pub fn note_other(&self, id: u64, is_lost: bool, now_ms: u64) -> bool {
         let mut without_store_ids = self.without_store.borrow_mut();
         let has_changed =
             if is_lost { without_store_ids.insert(id) } else { without_store_ids.remove(&id) };
@@ -103,7 +103,7 @@
     }
 
     /// Chooses this hall's watchers among its VMs that can reach the store.
-    pub fn choose(&self, hall: &str, members: &[&Member], me: u64) {
+    pub fn choose_watchers(&self, hall: &str, members: &[&Member], own_id: u64) {
         let mut without_store_ids = self.without_store.borrow_mut();
         without_store_ids.retain(|id| {
             members.iter().any(|member| member.identity.id == *id && member.takes_callers())
@@ -112,14 +112,14 @@
             let id = member.identity.id;
             member.takes_callers()
                 && !without_store_ids.contains(&id)
-                && (id != me || !self.has_lost_store.get())
+                && (id != own_id || !self.has_lost_store.get())
         };
         let in_hall = members.iter().filter(|member| member.identity.hall == hall);
         let lost = in_hall.filter(|member| without_store_ids.contains(&member.identity.id)).count();
         let chosen = watchers(hall, members.iter().copied().filter(can_watch));
         let is_watcher =
-            lost < MAX_LOST_PER_HALL && chosen.iter().any(|member| member.identity.id == me);
-        let others = chosen.iter().filter(|member| member.identity.id != me);
+            lost < MAX_LOST_PER_HALL && chosen.iter().any(|member| member.identity.id == own_id);
+        let others = chosen.iter().filter(|member| member.identity.id != own_id);
         *self.hall_watchers.borrow_mut() =
             others.map(|member| member.identity.peer_address).collect();
         if self.is_watcher.replace(is_watcher) != is_watcher {
--- a/crates/leverstream-gateway/src/mesh.rs
+++ b/crates/leverstream-gateway/src/mesh.rs
@@ -363,7 +363,7 @@
         }
         self.sharing.place(chosen.into_iter().cloned().collect());
         inner.repeats.place(swim.vm_count(), self.sharing.is_placed());
-        self.duty.choose(&me.hall, &members, me.id);
+        self.duty.choose_watchers(&me.hall, &members, me.id);
         let far = members.iter().filter(|member| member.identity.hall != me.hall);
         *self.far.borrow_mut() = far.map(|member| member.identity.peer_address).collect();
     }
--- a/crates/leverstream-gateway/src/mesh/inbox.rs
+++ b/crates/leverstream-gateway/src/mesh/inbox.rs
@@ -159,7 +159,7 @@
     inner.repeats.hear_vms(standing.vms, now_ms);
     inner.suspicions.compare(from, standing.suspects, &inner.mesh, &inner.meters, now_ms);
     words::compare(inner, from, standing.words, now_ms);
-    if inner.mesh.duty.note(sender.id, standing.store_lost, now_ms) {
+    if inner.mesh.duty.note_other(sender.id, standing.store_lost, now_ms) {
         inner.mesh.choose(inner);
     }
     news::handle_standing(inner, from, standing, sender.hall == inner.settings.hall);
