--- a/crates/leverstream-gateway/src/follow.rs
+++ b/crates/leverstream-gateway/src/follow.rs
@@ -152,7 +152,7 @@
             apply_listing(&inner, listing, may_return);
         let mut pending = PendingRemovals::new(missing, inner.now_ms());
         // Peers fetch a removal only if the revision is beyond those of the remaining entries.
-        pending.publish(&inner, if has_removed { revision } else { newest });
+        pending.publish_revision(&inner, if has_removed { revision } else { newest });
         let mut is_broken = false;
         while !is_broken && (inner.mesh.watches() || pending.has_pending()) {
             let wait_ms = pending.wait_ms(WATCH_TIMEOUT_MS, inner.now_ms());
@@ -169,7 +169,7 @@
                         apply_change(&inner, change, revision, was_away, &mut pending);
                     }
                     if has_changes {
-                        pending.publish(&inner, revision);
+                        pending.publish_revision(&inner, revision);
                     }
                     pause(has_changes && !pending.has_pending()).await;
                 }
@@ -183,7 +183,7 @@
                 remove_backend(&inner, instance, revision, "not back after the store's return");
             }
             if !due.is_empty() {
-                pending.publish(&inner, revision);
+                pending.publish_revision(&inner, revision);
             }
         }
         if !is_broken {
@@ -237,7 +237,7 @@
     }
 
     /// Announces the revision up to which the backend servers are known, unless removals are pending.
-    fn publish(&self, inner: &Inner, revision: u64) {
+    fn publish_revision(&self, inner: &Inner, revision: u64) {
         if !self.has_pending() {
             inner.fleet.borrow_mut().advance_revision(revision);
             inner.mesh.tell_standing(inner);
--- a/crates/leverstream-gateway/src/gateway.rs
+++ b/crates/leverstream-gateway/src/gateway.rs
@@ -169,7 +169,7 @@
         info!(vm, hall, region, callers = %listen.callers, "start");
         if !clock.counts_suspension() {
             warn!(
-                "no clock advances while the machine is suspended; leases and other timed state stay valid for too long after it"
+                "no clock advances while the machine is suspended; leases and other timed state outlive a suspension"
             );
         }
         Ok(gateway)
--- a/crates/leverstream-gateway/src/news.rs
+++ b/crates/leverstream-gateway/src/news.rs
@@ -250,7 +250,7 @@
         inner.meters.count_cross_hall(CrossHallCause::News, body.len());
     }
     match unpack(&body) {
-        Ok(news) => Some(news),
+        Ok(update) => Some(update),
         Err(error) => {
             warn!(%from, path, %error, "update from another VM could not be decompressed or parsed");
             None
