--- a/crates/leverstream-gateway/src/mesh.rs
+++ b/crates/leverstream-gateway/src/mesh.rs
@@ -20,9 +20,9 @@
 use tokio::sync::Notify;
 use tracing::{info, warn};
 
-use crate::duty::Duty;
+use crate::duty::WatchDuty;
 use crate::gateway::Inner;
-use crate::meters::{FarCause, Meters};
+use crate::meters::{CrossHallCause, Meters};
 use crate::sharing::EntrySet;
 use crate::{Settings, emptied, news};
 
@@ -70,7 +70,7 @@
     /// The VMs that take callers.
     pub entry_set: EntrySet,
     /// Which VMs watch the store.
-    duty: Duty,
+    duty: WatchDuty,
     /// Notified when the state of backend servers has changed.
     backend_changed: Notify,
     /// The addresses of the VMs of other data halls.
@@ -106,7 +106,7 @@
             key: FleetKey::derive(&settings.peers.key),
             socket,
             entry_set: EntrySet::open(id),
-            duty: Duty::default(),
+            duty: WatchDuty::default(),
             backend_changed: Notify::new(),
             far: RefCell::default(),
             has_member_changes: Cell::new(false),
@@ -257,7 +257,7 @@
 
     /// Tells whether any VM was without the store within the given time.
     pub fn had_store_trouble(&self, within_ms: u64, now_ms: u64) -> bool {
-        self.duty.had_trouble(within_ms, now_ms)
+        self.duty.had_outage(within_ms, now_ms)
     }
 
     /// Updates whether this VM can reach the store; the others are notified at once.
@@ -301,8 +301,8 @@
         let to = self.change_receivers();
         let from = Some(self.swim.borrow().me().to_update());
         let updates = changed.iter().map(Member::to_update).collect();
-        let standing = Some(news::standing(inner));
-        let emptied = emptied::told(inner);
+        let standing = Some(news::own_standing(inner));
+        let emptied = emptied::report(inner);
         let packet = Packet { from, updates, standing, emptied, ..Packet::default() };
         self.send(&inner.meters, &packet, &to);
     }
@@ -321,16 +321,16 @@
             warn!(bytes = datagram.len(), "datagram exceeds the packet size limit");
         }
         let cause = match packet.body {
-            Some(Body::Evidence(_)) => FarCause::Evidence,
-            Some(Body::Allotments(_)) => FarCause::Allotments,
-            Some(Body::LoanQuestion(_) | Body::Loan(_)) => FarCause::Repeats,
-            Some(Body::Suspects(_)) => FarCause::Suspects,
-            Some(Body::Words(_)) => FarCause::Words,
-            Some(Body::PermitQuestion(_) | Body::PermitAnswer(_)) => FarCause::Permits,
-            _ => FarCause::Members,
+            Some(Body::Evidence(_)) => CrossHallCause::Evidence,
+            Some(Body::Allotments(_)) => CrossHallCause::Allotments,
+            Some(Body::LoanQuestion(_) | Body::Loan(_)) => CrossHallCause::Repeats,
+            Some(Body::Suspects(_)) => CrossHallCause::Suspects,
+            Some(Body::Words(_)) => CrossHallCause::Words,
+            Some(Body::PermitQuestion(_) | Body::PermitAnswer(_)) => CrossHallCause::Permits,
+            _ => CrossHallCause::Members,
         };
         let far = to.iter().filter(|address| self.is_far(**address)).count();
-        meters.count_far(cause, datagram.len() * far);
+        meters.count_cross_hall(cause, datagram.len() * far);
         for address in to {
             // A datagram that cannot be sent counts as lost; its content is sent again later.
             let _ = self.socket.try_send_to(&datagram, *address);
@@ -347,10 +347,10 @@
         if out.is_empty() {
             return;
         }
-        let standing = news::standing(inner);
+        let standing = news::own_standing(inner);
         for Outgoing { to, mut packet } in out {
             packet.standing = Some(standing);
-            packet.emptied = emptied::told(inner);
+            packet.emptied = emptied::report(inner);
             self.send(&inner.meters, &packet, &[to]);
         }
     }
@@ -371,7 +371,7 @@
         }
         self.entry_set.replace(chosen.into_iter().cloned().collect());
         inner.repeats.set_fleet(swim.vm_count(), self.entry_set.is_entry_vm());
-        self.duty.choose(&me.hall, &members, me.id);
+        self.duty.choose_watchers(&me.hall, &members, me.id);
         let far = members.iter().filter(|member| member.identity.hall != me.hall);
         *self.far.borrow_mut() = far.map(|member| member.identity.peer_address).collect();
     }
--- a/crates/leverstream-gateway/src/mesh/inbox.rs
+++ b/crates/leverstream-gateway/src/mesh/inbox.rs
@@ -146,7 +146,7 @@
     let out = inner.mesh.swim.borrow_mut().receive(from, packet, now_ms);
     inner.mesh.send_all(inner, out);
     if let Some(emptied) = &packet.emptied {
-        emptied::hear(inner, emptied);
+        emptied::handle_report(inner, emptied);
     }
     if let (Some(sender), Some(standing)) = (&packet.from, packet.standing) {
         apply_standing(inner, from, sender, standing);
@@ -160,10 +160,10 @@
     inner.repeats.record_report(standing.vms, now_ms);
     inner.suspect_tracker.compare(from, standing.suspects, &inner.mesh, &inner.meters, now_ms);
     words::compare(inner, from, standing.words, now_ms);
-    if inner.mesh.duty.note(sender.id, standing.store_lost, now_ms) {
+    if inner.mesh.duty.note_other(sender.id, standing.store_lost, now_ms) {
         inner.mesh.update_roles(inner);
     }
-    news::hear(inner, from, standing, sender.hall == inner.settings.hall);
+    news::handle_standing(inner, from, standing, sender.hall == inner.settings.hall);
 }
 
 /// Where a change of members was detected.
--- a/crates/leverstream-gateway/src/serve.rs
+++ b/crates/leverstream-gateway/src/serve.rs
@@ -41,14 +41,14 @@
     let mut request_log = RequestLog::default();
     let result = handle(&inner, request, arrived_ms, &mut request_log).await;
     let took_ms = inner.now_ms().saturating_sub(arrived_ms);
-    inner.meters.seconds.observe(took_ms as f64 / 1000.0);
+    inner.meters.request_seconds.observe(took_ms as f64 / 1000.0);
     let mut response = match result {
         Ok(answer) => {
             request_log.log(&inner, answer.status, "answered", took_ms);
             reply::relay_answer(answer)
         }
         Err(error_answer) => {
-            inner.meters.refuse(error_answer.kind);
+            inner.meters.note_error_answer(error_answer.kind);
             let response = reply::error_response(error_answer);
             let outcome = error_answer.kind.to_string();
             request_log.log(&inner, response.status().as_u16(), &outcome, took_ms);
@@ -147,7 +147,7 @@
         // are spread over as long again.
         Availability::Limited { per_s, from_ms } => {
             let waiting =
-                inner.services.borrow().get(service).map_or(0, |state| state.waiting.count());
+                inner.services.borrow().get(service).map_or(0, |state| state.wait_queue.count());
             let needed_ms = ((waiting + 1) as f64 / per_s * 1_000.0) as u64;
             (from_ms.max(now_ms).saturating_add(needed_ms), needed_ms.max(RETRY_SPREAD_MS))
         }
@@ -161,7 +161,7 @@
 /// Returns the configuration in force; on a VM that has just started, waits until it is known.
 async fn wait_for_catalog(inner: &Inner, arrived_ms: u64) -> Result<Rc<Catalog>, Kind> {
     inner.has_caller.set(true);
-    while !inner.knows_all() && inner.now_ms() < arrived_ms + STARTUP_WAIT_MS {
+    while !inner.has_initial_state() && inner.now_ms() < arrived_ms + STARTUP_WAIT_MS {
         tokio::time::sleep(Duration::from_millis(STARTUP_CHECK_INTERVAL_MS)).await;
     }
     inner.catalog().filter(|_| inner.has_fleet.get()).ok_or(Kind::NoCatalog)
