--- a/crates/leverstream-bench/src/capacity/choosing.rs
+++ b/crates/leverstream-bench/src/capacity/choice.rs
@@ -1,46 +1,48 @@
+//! Measures the choice of a backend server by the number of backend servers per service.
+
 use leverstream_catalog::Backend;
 use leverstream_core::{Fleet, Outcome, PickRequest, Report, choose};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use super::{Allocated, growth, line, time_us};
+use super::{AllocatedBytes, measure_allocation, print_row, time_us};
 
-/// How many VMs share the traffic.
-const SHARERS: u64 = 35;
+/// VMs in the entry set of the service.
+const ENTRY_VMS: u64 = 35;
 
-/// The data halls.
+/// Number of data halls.
 const HALLS: usize = 5;
 
-/// State and time of a gateway VM by how many backend servers a service has.
-pub(super) fn choosing(allocated: Allocated) {
+/// Measures the memory and CPU time of a gateway VM by the number of backend servers per service.
+pub(super) fn measure_choice(allocated: AllocatedBytes) {
     for count in [100, 1_000, 10_000] {
-        let (fleet, bytes) = growth(allocated, || listed(count));
-        line(
-            &format!("a backend server of {count}, listed"),
+        let (fleet, bytes) = measure_allocation(allocated, || fleet_of(count));
+        print_row(
+            &format!("state per backend server, list of {count}"),
             &format!("{:.0} B", bytes / count as f64),
             &format!("74,000: {:.0} MB", bytes / count as f64 * 74_000.0 / 1e6),
         );
-        let set_us = time_us(1, || {
-            std::hint::black_box(listed(count));
+        let apply_us = time_us(1, || {
+            std::hint::black_box(fleet_of(count));
         });
-        line(
-            &format!("a list of {count} backend servers taken in"),
-            &format!("{:.1} ms", set_us / 1e3),
-            &format!("{:.0} ms for 74,000", set_us / 1e3 / count as f64 * 74_000.0),
+        print_row(
+            &format!("a list of {count} backend servers applied"),
+            &format!("{:.1} ms", apply_us / 1e3),
+            &format!("{:.0} ms for 74,000", apply_us / 1e3 / count as f64 * 74_000.0),
         );
-        a_choice(fleet, count);
+        measure_choice_among(fleet, count);
     }
 }
 
-/// The time of a choice where half of a service's backend servers were heard of from all VMs.
-fn a_choice(mut fleet: Fleet, count: usize) {
+/// Measures the time of one choice when all VMs have reported half of the service's backend servers.
+fn measure_choice_among(mut fleet: Fleet, count: usize) {
     let route = fleet.route_key("r", 1_000);
     let keys = fleet.keys_of_service("s").to_vec();
-    for (at, key) in keys.iter().take(count / 2).enumerate() {
-        let now_ms = 1_000 + at as u64 * 500 / count as u64;
-        let of = fleet.incarnation(*key);
-        (0..SHARERS).for_each(|vm| {
-            fleet.report(&of, vm, report(now_ms));
+    for (index, key) in keys.iter().take(count / 2).enumerate() {
+        let now_ms = 1_000 + index as u64 * 500 / count as u64;
+        let incarnation = fleet.incarnation(*key);
+        (0..ENTRY_VMS).for_each(|vm| {
+            fleet.report(&incarnation, vm, report(now_ms));
         });
         fleet.begin_request(*key, route, now_ms);
         fleet.end_request(
@@ -52,7 +54,7 @@
         );
     }
     let mut rng = StdRng::seed_from_u64(1);
-    let want = PickRequest {
+    let pick_request = PickRequest {
         service: "s",
         hall: "h0",
         is_repeatable: false,
@@ -65,17 +67,17 @@
         requests_per_s: Some(count as f64 / 4.0),
     };
     let choose_us = time_us(500, || {
-        std::hint::black_box(choose(&fleet, &want, 2_000, &mut rng));
+        std::hint::black_box(choose(&fleet, &pick_request, 2_000, &mut rng));
     });
-    line(
-        &format!("a request's choice among {count}"),
+    print_row(
+        &format!("choice for a request among {count}"),
         &format!("{choose_us:.0} us"),
-        &format!("{:.2} ms of the 2.4 ms", choose_us / 1e3),
+        &format!("{:.2} ms of the 2.4 ms budget", choose_us / 1e3),
     );
 }
 
-/// A fleet of one service among three.
-fn listed(count: usize) -> Fleet {
+/// Returns a fleet state of three services, of which `s` has `count` backend servers.
+fn fleet_of(count: usize) -> Fleet {
     let mut fleet = Fleet::default();
     for number in 0..count {
         fleet.set(backend(number, "s"), number as u64 + 1, 0);
@@ -85,7 +87,7 @@
     fleet
 }
 
-/// A backend server.
+/// Returns backend server `number` of a service.
 fn backend(number: usize, service: &str) -> Backend {
     Backend {
         instance: format!("i-{number:010x}"),
@@ -99,7 +101,7 @@
     }
 }
 
-/// What another VM tells that is done with a backend server.
+/// Returns the report of another VM whose requests to a backend server have ended.
 fn report(heard_ms: u64) -> Report {
     let reached_ms = Some(heard_ms);
     Report { in_flight: 0, good: 3, bad: 0, overdue_odds: 1.0, reached_ms, heard_ms }
--- a/crates/leverstream-bench/src/capacity/suspects.rs
+++ b/crates/leverstream-bench/src/capacity/suspects.rs
@@ -1,4 +1,4 @@
-//! What is known of requests under which backend servers end: digests, state, messages.
+//! Measures suspects, which are requests during which backend servers crashed: digests, state and messages.
 
 use leverstream_peer::packet::Body;
 use leverstream_peer::{FleetKey, Packet, SuspectRequest, Suspects as Message};
@@ -7,10 +7,10 @@
     Suspects,
 };
 
-use super::{Allocated, growth, line, time_us};
+use super::{AllocatedBytes, measure_allocation, print_row, time_us};
 
-/// Measures them.
-pub(super) fn suspects(allocated: Allocated) {
+/// Measures the CPU time of digests and lookups, the memory per suspect and the size of a message.
+pub(super) fn measure_suspects(allocated: AllocatedBytes) {
     let hasher = RequestHasher::derive("a fleet's secret");
     let digest = |body: &[u8]| {
         let (host, target) = ("shop.example", "/stock/4711?size=17&page=3");
@@ -29,37 +29,37 @@
     let large_us = time_us(2_000, || {
         std::hint::black_box(digest(&large));
     });
-    line(
-        "the digest of a request of 1 kB; of 64 kB",
+    print_row(
+        "digest of a request of 1 kB; of 64 kB",
         &format!("{small_us:.1} us; {large_us:.0} us"),
-        "only while something is held against a request",
+        "only while any request is suspected",
     );
-    let (known, bytes) = growth(allocated, || {
-        let mut known = Suspects::open(ENDS_TO_REFUSE);
+    let (suspects, bytes) = measure_allocation(allocated, || {
+        let mut suspects = Suspects::open(ENDS_TO_REFUSE);
         for number in 0..MAX_SUSPECTS as u128 {
             (0..3).for_each(|end| {
-                known.record_end(RequestDigest(number), IncarnationDigest(end), 0);
+                suspects.record_end(RequestDigest(number), IncarnationDigest(end), 0);
             });
         }
-        known
+        suspects
     });
-    let each = bytes / MAX_SUSPECTS as f64;
-    line(
-        "state a request",
-        &format!("{each:.0} B"),
-        &format!("{MAX_SUSPECTS} at the most: {:.1} MB", bytes / 1e6),
+    let bytes_each = bytes / MAX_SUSPECTS as f64;
+    print_row(
+        "state per suspected request",
+        &format!("{bytes_each:.0} B"),
+        &format!("at most {MAX_SUSPECTS}: {:.1} MB", bytes / 1e6),
     );
-    let look_us = time_us(200_000, || {
-        std::hint::black_box(known.verdict(RequestDigest(77)));
+    let lookup_us = time_us(200_000, || {
+        std::hint::black_box(suspects.verdict(RequestDigest(77)));
     });
-    line("a look at one", &format!("{look_us:.2} us"), "four a request");
-    let told = SuspectRequest { high: 1, low: 2, cleared: 0, ends: vec![1, 2, 3], age_s: 5 };
-    let message = Message { requests: vec![told; 1], asks: false };
+    print_row("one lookup of a verdict", &format!("{lookup_us:.2} us"), "four per request");
+    let request = SuspectRequest { high: 1, low: 2, cleared: 0, ends: vec![1, 2, 3], age_s: 5 };
+    let message = Message { requests: vec![request; 1], asks: false };
     let packet = Packet { body: Some(Body::Suspects(message)), ..Packet::default() };
     let size = FleetKey::derive("a fleet's secret").seal(&packet).len();
-    line(
-        "a datagram of one request",
+    print_row(
+        "a datagram of one suspected request",
         &format!("{size} B"),
-        &format!("160 VMs, three times: {:.0} kB an end", 480.0 * size as f64 / 1e3),
+        &format!("160 VMs, three times: {:.0} kB per crash", 480.0 * size as f64 / 1e3),
     );
 }
