--- a/crates/leverstream-bench/src/decide.rs
+++ b/crates/leverstream-bench/src/decide.rs
@@ -1,34 +1,35 @@
-//! How well gateway VMs decide, in an event-driven model without sockets.
+//! Simulates how well gateway VMs choose backend servers, as discrete events without sockets.
 //!
-//! The model drives the very types that serve: each VM has a [`Fleet`](leverstream_core::Fleet) of its own,
-//! asks [`choose`](leverstream_core::choose) and [`hedge_gain`](leverstream_core::hedge_gain), and hears the
-//! others with a delay. Backend servers have slots and a queue and fail as a [`Fault`] says.
+//! The model drives the production types: each VM has its own [`Fleet`](leverstream_core::Fleet), calls
+//! [`choose`](leverstream_core::choose) and [`hedge_gain`](leverstream_core::hedge_gain), and receives the
+//! reports of the other VMs with a delay. Backend servers have slots and a queue and fail according to a
+//! [`Fault`].
 
 mod fault;
 mod figures;
 mod report;
 mod run;
-mod shape;
+mod service;
 mod state;
 
 pub use fault::{FAULTS, Fault};
 pub use figures::Figures;
 pub use report::table;
 pub use run::run;
-pub use shape::{SHAPES, Shape};
+pub use service::{SERVICES, Service};
 
-/// How a VM chooses a backend server in the model.
+/// The algorithm by which a VM chooses a backend server in the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// As gateway VMs do.
+    /// The algorithm of gateway VMs.
     Shipped,
-    /// In turn.
+    /// Round robin.
     RoundRobin,
-    /// The one with the fewest requests of this VM under way.
+    /// The backend server with the fewest in-flight requests of this VM.
     LeastInFlight,
-    /// The less loaded of two taken by chance.
+    /// The less loaded of two randomly chosen backend servers.
     TwoChoices,
-    /// The least loaded of those that have not failed three times in a row within ten seconds.
+    /// The least loaded of the backend servers that aren't ejected for ten seconds after three failures in a row.
     FailuresInARow,
 }
 
@@ -42,7 +43,7 @@
 ];
 
 impl Policy {
-    /// The name in tables.
+    /// Returns the name in tables.
     pub fn name(self) -> &'static str {
         match self {
             Policy::Shipped => "shipped",
--- a/crates/leverstream-bench/src/decide/shape.rs
+++ b/crates/leverstream-bench/src/decide/service.rs
@@ -1,31 +1,33 @@
-/// A service and the requests for it.
+//! Services in the model.
+
+/// A service and its load.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
-    /// The name.
+pub struct Service {
+    /// The name in tables.
     pub name: &'static str,
-    /// Its backend servers in each data hall.
+    /// Number of backend servers in each data hall.
     pub halls: [usize; 3],
-    /// How many requests each works on at once.
+    /// Slots of each backend server.
     pub slots: u32,
-    /// Requests a second, from all halls together.
+    /// Requests per second, from all halls together.
     pub rate_per_s: f64,
-    /// Half of the requests take no longer than this, in milliseconds.
+    /// Median work time, in milliseconds.
     pub median_ms: f64,
-    /// The spread of that: the standard deviation of its logarithm.
+    /// Standard deviation of the logarithm of the work time.
     pub spread: f64,
-    /// The time within which an answer is on time.
+    /// Time within which an answer counts as on time.
     pub objective_ms: u64,
-    /// The longest that a request is held.
+    /// Time after which a request fails.
     pub timeout_ms: u64,
-    /// Whether requests may run more than once.
+    /// Whether requests are repeatable.
     pub is_repeatable: bool,
-    /// The bytes of a request and its answer.
+    /// Bytes of a request and its answer.
     pub bytes: usize,
 }
 
-/// Services like those of the users of today, and two that nobody runs.
-pub const SHAPES: [Shape; 7] = [
-    Shape {
+/// Services like those in production, and two that aren't.
+pub const SERVICES: [Service; 7] = [
+    Service {
         name: "fitting bays: lookups",
         halls: [4, 3, 3],
         slots: 2,
@@ -37,7 +39,7 @@
         is_repeatable: true,
         bytes: 500,
     },
-    Shape {
+    Service {
         name: "fitting bays: bookings",
         halls: [5, 6, 4],
         slots: 2,
@@ -49,7 +51,7 @@
         is_repeatable: false,
         bytes: 4_900,
     },
-    Shape {
+    Service {
         name: "fitting bays: manuals",
         halls: [2, 3, 1],
         slots: 2,
@@ -61,7 +63,7 @@
         is_repeatable: true,
         bytes: 90_000,
     },
-    Shape {
+    Service {
         name: "chess host: seats",
         halls: [4, 4, 4],
         slots: 3,
@@ -73,7 +75,7 @@
         is_repeatable: false,
         bytes: 4_000,
     },
-    Shape {
+    Service {
         name: "porting: lookups",
         halls: [3, 3, 2],
         slots: 2,
@@ -85,7 +87,7 @@
         is_repeatable: true,
         bytes: 500,
     },
-    Shape {
+    Service {
         name: "nobody's: wide",
         halls: [20, 20, 20],
         slots: 4,
@@ -97,7 +99,7 @@
         is_repeatable: false,
         bytes: 2_000,
     },
-    Shape {
+    Service {
         name: "nobody's: tiny",
         halls: [1, 1, 1],
         slots: 1,
--- a/crates/leverstream-bench/src/decide/state.rs
+++ b/crates/leverstream-bench/src/decide/state.rs
@@ -1,61 +1,63 @@
+//! Events and state of the model: requests, exchanges, VMs and backend servers.
+
 use std::collections::{BTreeSet, VecDeque};
 
 use leverstream_core::{BackendReport, Demand, Fleet};
 use leverstream_health::BackendKey;
 
-use super::fault::Course;
+use super::fault::ExchangeResult;
 use super::figures::Onset;
 
-/// Something that is due.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
     /// A caller sends a request.
     Arrive,
-    /// A request looks for a slot.
-    Try(usize),
+    /// A request tries to get a slot.
+    TrySlot(usize),
     /// An exchange ends at its backend server.
-    Done(usize),
-    /// It is looked whether a hedge pays.
-    Look(usize),
-    /// A request's time is over.
+    ExchangeEnd(usize),
+    /// A VM checks whether a hedge of a request is worthwhile.
+    HedgeCheck(usize),
+    /// A request reaches its timeout.
     Deadline(usize),
-    /// VMs look what is due.
+    /// VMs do their periodic work.
     Tick,
-    /// A VM hears another.
-    Hear(usize, usize, Vec<BackendReport>),
+    /// A VM (first index) receives the reports of another VM (second index).
+    ReceiveReports(usize, usize, Vec<BackendReport>),
 }
 
 /// A caller's request.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
-    /// The VM that has it.
+    /// The VM that serves it.
     pub vm: usize,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived_ms: u64,
-    /// Its exchanges under way.
+    /// Its unfinished exchanges.
     pub exchanges: Vec<usize>,
-    /// Where it was sent.
+    /// Backend servers it was sent to.
     pub tried: Vec<BackendKey>,
-    /// At how many backend servers it may have run.
+    /// Number of backend servers at which it may have run.
     pub ran: usize,
-    /// How often it was turned away unrun.
+    /// Number of rejections without running.
     pub sheds: u32,
-    /// Whether it has been answered for good.
+    /// Whether it has ended.
     pub is_over: bool,
 }
 
-/// A request at a backend server.
+/// One attempt of a request at a backend server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Exchange {
     /// The request.
     pub request: usize,
     /// The backend server.
     pub key: BackendKey,
-    /// When it was sent off.
+    /// Time at which it was sent.
     pub since_ms: u64,
-    /// How it goes.
-    pub course: Course,
-    /// How long the work takes, in milliseconds.
+    /// Its result.
+    pub result: ExchangeResult,
+    /// Work time, in milliseconds.
     pub work_ms: u64,
     /// Whether it holds a slot.
     pub has_slot: bool,
@@ -65,19 +67,19 @@
 
 /// A VM.
 pub(super) struct Vm {
-    /// What it knows of the backend servers.
+    /// Its knowledge of the backend servers.
     pub fleet: Fleet,
-    /// How requests ended.
+    /// Request rate and recent request results.
     pub demand: Demand,
-    /// Of which backend servers the others have yet to hear.
+    /// Backend servers with changes not yet reported to the other VMs.
     pub unreported: BTreeSet<u32>,
-    /// When the others were last told.
-    pub told_ms: u64,
-    /// Its requests under way, by backend server.
+    /// Time of the last report to the other VMs.
+    pub reported_ms: u64,
+    /// Its in-flight requests by backend server.
     pub in_flight: Vec<u32>,
-    /// Failures in a row, by backend server, and until when it is left out; for the baseline.
-    pub rows: Vec<(u32, u64)>,
-    /// Which backend servers it avoided when that was last counted.
+    /// Failures in a row and end of ejection by backend server, for the baseline.
+    pub failure_runs: Vec<(u32, u64)>,
+    /// Whether it avoided each backend server at the last count.
     pub avoided: Vec<bool>,
 }
 
@@ -88,10 +90,10 @@
     pub hall: usize,
     /// Slots in use.
     pub busy: u32,
-    /// Exchanges that wait for one.
+    /// Exchanges that wait for a slot.
     pub queue: VecDeque<usize>,
-    /// Whether it was sick when that was last looked at.
+    /// Whether it was sick at the last tick.
     pub was_sick: bool,
-    /// Since when it is, and when it last got work.
+    /// Tracks the detection of its sickness.
     pub onset: Onset,
 }
--- a/crates/leverstream-bench/tests/decide.rs
+++ b/crates/leverstream-bench/tests/decide.rs
@@ -1,45 +1,45 @@
-//! The model of a gateway's decisions.
+//! Tests of the model of how gateway VMs choose backend servers.
 
-use leverstream_bench::decide::{FAULTS, Figures, POLICIES, Policy, SHAPES, run};
+use leverstream_bench::decide::{FAULTS, Figures, POLICIES, Policy, SERVICES, run};
 
-/// The figures of one run, by the names of the service and the fault.
-fn figures(shape: &str, fault: &str, policy: Policy) -> Figures {
-    let shape = SHAPES.iter().find(|one| one.name == shape).expect("it is listed");
+/// Returns the results of one run, given the names of the service and the fault.
+fn figures(service: &str, fault: &str, policy: Policy) -> Figures {
+    let service = SERVICES.iter().find(|one| one.name == service).expect("it is listed");
     let fault = FAULTS.iter().find(|one| one.name == fault).expect("it is listed");
-    run(shape, fault, policy, 1)
+    run(service, fault, policy, 1)
 }
 
 #[test]
-fn a_seed_gives_the_same_figures_each_time() {
+fn same_seed_gives_same_figures() {
     let one = || figures("fitting bays: lookups", "hangs, in turn every 9 s", Policy::Shipped);
     assert_eq!(one(), one());
 }
 
 #[test]
-fn hangs_cost_fewer_requests_than_with_any_baseline() {
-    for shape in ["fitting bays: lookups", "porting: lookups"] {
-        let missed = |policy| figures(shape, "hangs, in turn every 9 s", policy).missed_percent();
+fn rotating_hangs_miss_fewer_requests_than_with_any_baseline() {
+    for service in ["fitting bays: lookups", "porting: lookups"] {
+        let missed = |policy| figures(service, "hangs, in turn every 9 s", policy).missed_percent();
         let shipped = missed(Policy::Shipped);
         for baseline in &POLICIES[1..] {
-            assert!(shipped < missed(*baseline), "{shape}: {}", baseline.name());
+            assert!(shipped < missed(*baseline), "{service}: {}", baseline.name());
         }
     }
 }
 
 #[test]
-fn a_hang_is_found_out_within_a_few_answers() {
+fn hanging_backend_is_detected_within_1500_ms() {
     let run = figures("fitting bays: bookings", "one hangs", Policy::Shipped);
     assert!(run.detection_ms.iter().all(|ms| *ms < 1_500), "{:?}", run.detection_ms);
 }
 
 #[test]
-fn a_service_that_slows_as_a_whole_keeps_its_backend_servers() {
+fn whole_service_slowdown_keeps_most_backends_in_use() {
     let run = figures("nobody's: tiny", "whole service slow by 3", Policy::Shipped);
-    assert!(run.least_capacity > 0.9, "{}", run.least_capacity);
+    assert!(run.min_capacity > 0.9, "{}", run.min_capacity);
 }
 
 #[test]
-fn nothing_is_lost_where_nothing_fails_and_requests_may_run_again() {
+fn repeatable_requests_do_not_fail_without_a_fault() {
     let run = figures("nobody's: tiny", "none", Policy::Shipped);
     assert!(run.failed == 0 && run.missed_percent() < 1.0, "{run:?}");
 }
