--- a/crates/leverstream-bench/src/wide/run.rs
+++ b/crates/leverstream-bench/src/wide/run.rs
@@ -1,3 +1,5 @@
+//! Runs the model: requests, exchanges and reports between VMs.
+
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -11,96 +13,96 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::service::Stream;
+use super::service::Workload;
 use super::{Figures, Service};
 
-/// The data halls.
+/// The names of the data halls.
 const HALLS: [&str; 5] = ["h0", "h1", "h2", "h3", "h4"];
 
-/// How long the model warms up, and when requests cease, in milliseconds.
+/// Warm-up time, in milliseconds; earlier requests aren't counted.
 const WARM_UP_MS: u64 = 10_000;
 
-/// When requests cease.
+/// Time of the last arrivals, in milliseconds.
 const END_MS: u64 = 30_000;
 
-/// The share of the time in episodes, how long one lasts at least, in milliseconds, and the share that fails in it.
+/// Share of time in error episodes, their shortest duration in milliseconds, and the failure share in them.
 const EPISODES: (f64, u64, f64) = (0.3, 9_000, 0.9);
 
-/// How soon an error comes in an episode, in milliseconds.
-const SICK_MS: u64 = 2;
+/// Time until an error in an episode, in milliseconds.
+const ERROR_DELAY_MS: u64 = 2;
 
-/// The share of the answers of sound backend servers that are errors.
-const STRAY_ERRORS: f64 = 0.012;
+/// Share of errors among the answers of healthy backend servers.
+const HEALTHY_ERROR_SHARE: f64 = 0.012;
 
-/// How long news gather for VMs of the same data hall, in milliseconds.
-const NEAR_GATHER_MS: u64 = 8;
+/// Delay that batches reports to VMs of the same data hall, in milliseconds.
+const SAME_HALL_DELAY_MS: u64 = 8;
 
-/// The same for those of other halls; a failure does not wait.
-const FAR_GATHER_MS: u64 = 30;
+/// Delay that batches reports to VMs of other data halls, in milliseconds; failures aren't delayed.
+const OTHER_HALLS_DELAY_MS: u64 = 30;
 
-/// How long a datagram is under way.
-const TRAVEL_MS: u64 = 1;
+/// Transit time of a datagram, in milliseconds.
+const TRANSIT_MS: u64 = 1;
 
-/// The bytes of a datagram that do not tell of a backend server, and those that tell of one.
+/// Bytes of an empty datagram, and bytes per backend server reported in it.
 const DATAGRAM_BYTES: (u64, u64) = (80, 40);
 
-/// How long one that waits for a slot waits until it looks again.
-const WAIT_MS: u64 = 20;
+/// Interval at which a waiting request tries again to get a slot, in milliseconds.
+const SLOT_RETRY_INTERVAL_MS: u64 = 20;
 
-/// How many requests a backend server queues beyond its slots.
+/// Requests that a backend server queues beyond its slots.
 const QUEUE_LIMIT: usize = 12;
 
-/// How long an idle connection is used by a request that runs once, and by one that may run again, in milliseconds.
-const IDLE_MS: (u64, u64) = (1_000, 2_800);
+/// Longest idle time after which a non-repeatable and a repeatable request reuse a connection, in milliseconds.
+const MAX_IDLE_MS: (u64, u64) = (1_000, 2_800);
 
-/// Over which time it is counted how many backend servers get work.
-const IN_USE_MS: u64 = 2_000;
+/// Window before the end in which a backend server in use has received a request, in milliseconds.
+const IN_USE_WINDOW_MS: u64 = 2_000;
 
-/// The price of a megabyte between halls, in requests served.
-const REQUESTS_A_MB: f64 = 10.0;
+/// Cost of a megabyte between data halls, in requests served.
+const REQUESTS_PER_MB: f64 = 10.0;
 
-/// The share of sound backend servers that must have work.
-const FLOOR: f64 = 0.73;
+/// Share of the healthy backend servers that must stay in use.
+const FLOOR_SHARE: f64 = 0.73;
 
-/// The most backend servers that a request which may run again runs at.
-const ATTEMPTS: usize = 2;
+/// Most backend servers at which a repeatable request may run.
+const MAX_ATTEMPTS: usize = 2;
 
-/// Something that is due.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 enum Event {
-    /// A caller sends a request of a kind.
+    /// A caller sends a request, which is repeatable or not.
     Arrive(bool),
-    /// A request looks for a slot.
-    Try(usize),
-    /// It is looked whether a hedge pays.
-    Look(usize),
+    /// A request tries to get a slot.
+    TrySlot(usize),
+    /// A VM checks whether a hedge of a request is worthwhile.
+    HedgeCheck(usize),
     /// An exchange ends at its backend server.
-    Done(usize),
-    /// A request's time is over.
+    ExchangeEnd(usize),
+    /// A request reaches its timeout.
     Deadline(usize),
-    /// A VM tells those of its data hall what it has gathered.
-    TellNear(usize),
-    /// A VM tells those of other data halls.
-    TellFar(usize),
-    /// A VM hears another.
-    Hear(usize, usize, std::rc::Rc<Vec<BackendReport>>),
+    /// A VM sends its batch of reports to the VMs of its data hall.
+    ReportInHall(usize),
+    /// A VM sends its batch of reports to the VMs of other data halls.
+    ReportToOtherHalls(usize),
+    /// A VM (first index) receives the reports of another VM (second index).
+    ReceiveReports(usize, usize, std::rc::Rc<Vec<BackendReport>>),
 }
 
 /// A VM.
 struct Vm {
     /// Its data hall.
     hall: usize,
-    /// What it knows of the backend servers.
+    /// Its knowledge of the backend servers.
     fleet: Fleet,
-    /// How requests ended.
+    /// Request rate and recent request results.
     demand: Demand,
-    /// The routes of requests that run once and that may run again.
+    /// The routes of non-repeatable and of repeatable requests.
     routes: [RouteKey; 2],
-    /// What is to be told far.
-    for_far: HashSet<BackendKey>,
-    /// Whether telling near, and far, is due.
-    is_due: (bool, bool),
-    /// When it last got an answer from each backend server.
+    /// Backend servers with changes not yet reported to other data halls.
+    for_other_halls: HashSet<BackendKey>,
+    /// Whether a report to the same data hall, and to other data halls, is scheduled.
+    is_report_due: (bool, bool),
+    /// Time since which the connection to each backend server has been idle.
     idle_since_ms: Vec<Option<u64>>,
 }
 
@@ -109,39 +111,39 @@
 struct Server {
     /// Slots in use.
     busy: u32,
-    /// Exchanges that wait for one.
+    /// Exchanges that wait for a slot.
     queue: VecDeque<usize>,
-    /// When it last got work.
-    worked_ms: Option<u64>,
+    /// Time of the last request.
+    last_request_ms: Option<u64>,
 }
 
 /// A request.
 struct Request {
-    /// The VM that has it.
+    /// The VM that serves it.
     vm: usize,
-    /// Whether it may run again.
-    is_again: bool,
-    /// When it came.
+    /// Whether it is repeatable.
+    is_repeatable: bool,
+    /// Time of arrival.
     arrived_ms: u64,
-    /// Its exchanges under way.
+    /// Its unfinished exchanges.
     exchanges: Vec<usize>,
-    /// Where it was sent.
+    /// Backend servers it was sent to.
     tried: Vec<BackendKey>,
     /// Whether it has ended.
     is_over: bool,
 }
 
-/// A request at a backend server.
+/// One attempt of a request at a backend server.
 struct Exchange {
     /// The request.
     request: usize,
     /// The backend server.
     key: BackendKey,
-    /// When it was sent off.
+    /// Time at which it was sent.
     since_ms: u64,
     /// Whether it fails.
     fails: bool,
-    /// How long the work takes.
+    /// Work time, in milliseconds.
     work_ms: u64,
     /// Whether it holds a slot.
     has_slot: bool,
@@ -149,13 +151,13 @@
     is_over: bool,
 }
 
-/// A run under way.
+/// The state of a run.
 struct Model<'a> {
     /// The service.
     service: &'a Service,
-    /// What chance began with.
+    /// The seed of the run.
     seed: u64,
-    /// The source of chance.
+    /// The random number generator.
     rng: StdRng,
     /// The VMs.
     vms: Vec<Vm>,
@@ -165,52 +167,54 @@
     requests: Vec<Request>,
     /// All exchanges so far.
     exchanges: Vec<Exchange>,
-    /// When each event is due, the earliest first.
+    /// Due time and index of each event, the earliest first.
     due: BinaryHeap<Reverse<(u64, usize)>>,
-    /// The events.
+    /// The events; `None` once handled.
     events: Vec<Option<Event>>,
-    /// What has come of it.
+    /// The results so far.
     figures: Figures,
 }
 
-/// Runs the model once.
+/// Runs the model once and returns its results.
 pub fn run(service: &Service, seed: u64) -> Figures {
-    let mut model = Model::open(service, seed);
-    for is_again in [false, true] {
-        if model.stream(is_again).per_s > 0.0 {
-            model.push(0, Event::Arrive(is_again));
+    let mut model = Model::new(service, seed);
+    for is_repeatable in [false, true] {
+        if model.workload(is_repeatable).per_s > 0.0 {
+            model.schedule(0, Event::Arrive(is_repeatable));
         }
     }
     while let Some(Reverse((now_ms, index))) = model.due.pop() {
         if let Some(event) = model.events[index].take() {
-            model.step(event, now_ms);
+            model.handle(event, now_ms);
         }
     }
-    let is_used =
-        |server: &&Server| server.worked_ms.is_some_and(|at_ms| at_ms + IN_USE_MS >= END_MS);
+    let is_used = |server: &&Server| {
+        server.last_request_ms.is_some_and(|at_ms| at_ms + IN_USE_WINDOW_MS >= END_MS)
+    };
     model.figures.in_use = model.servers.iter().filter(is_used).count() as u64;
     model.figures
 }
 
 impl<'a> Model<'a> {
-    /// A service at rest.
-    fn open(service: &'a Service, seed: u64) -> Model<'a> {
-        let count = service.backends_a_hall * HALLS.len();
-        let vms = (0..service.vms_a_hall * HALLS.len()).map(|index| {
+    /// Creates a model without requests.
+    fn new(service: &'a Service, seed: u64) -> Model<'a> {
+        let count = service.backends_per_hall * HALLS.len();
+        let vms = (0..service.vms_per_hall * HALLS.len()).map(|index| {
             let mut fleet = Fleet::default();
             (0..count).for_each(|index| {
                 fleet.set(backend(index, service.slots), 1, 0);
             });
-            let routes = [service.once, service.again];
+            let routes = [service.non_repeatable, service.repeatable];
             let routes = [("once", routes[0]), ("again", routes[1])];
-            let routes = routes.map(|(name, stream)| fleet.route_key(name, stream.objective_ms));
+            let routes =
+                routes.map(|(name, workload)| fleet.route_key(name, workload.objective_ms));
             Vm {
                 hall: index % HALLS.len(),
                 fleet,
                 demand: Demand::default(),
                 routes,
-                for_far: HashSet::new(),
-                is_due: (false, false),
+                for_other_halls: HashSet::new(),
+                is_report_due: (false, false),
                 idle_since_ms: vec![None; count],
             }
         });
@@ -228,102 +232,102 @@
         }
     }
 
-    /// Requests of one kind.
-    fn stream(&self, is_again: bool) -> &'a Stream {
-        if is_again { &self.service.again } else { &self.service.once }
+    /// Returns the load of repeatable or of non-repeatable requests.
+    fn workload(&self, is_repeatable: bool) -> &'a Workload {
+        if is_repeatable { &self.service.repeatable } else { &self.service.non_repeatable }
     }
 
-    /// Makes an event due.
-    fn push(&mut self, at_ms: u64, event: Event) {
+    /// Schedules an event.
+    fn schedule(&mut self, at_ms: u64, event: Event) {
         self.due.push(Reverse((at_ms, self.events.len())));
         self.events.push(Some(event));
     }
 
-    /// Takes one event in.
-    fn step(&mut self, event: Event, now_ms: u64) {
+    /// Handles one event.
+    fn handle(&mut self, event: Event, now_ms: u64) {
         match event {
-            Event::Arrive(is_again) => self.arrive(is_again, now_ms),
-            Event::Try(request) => self.try_slot(request, now_ms),
-            Event::Look(request) => self.look(request, now_ms),
-            Event::Done(exchange) => self.done(exchange, now_ms),
-            Event::Deadline(request) => self.finish(request, false, now_ms),
-            Event::TellNear(vm) => self.tell_near(vm, now_ms),
-            Event::TellFar(vm) => self.tell_far(vm, false, now_ms),
-            Event::Hear(vm, from, reports) => {
+            Event::Arrive(is_repeatable) => self.arrive(is_repeatable, now_ms),
+            Event::TrySlot(request) => self.try_slot(request, now_ms),
+            Event::HedgeCheck(request) => self.check_hedge(request, now_ms),
+            Event::ExchangeEnd(exchange) => self.handle_exchange_end(exchange, now_ms),
+            Event::Deadline(request) => self.finish_request(request, false, now_ms),
+            Event::ReportInHall(vm) => self.report_in_hall(vm, now_ms),
+            Event::ReportToOtherHalls(vm) => self.report_to_other_halls(vm, false, now_ms),
+            Event::ReceiveReports(vm, from, reports) => {
                 for report in reports.iter() {
-                    let told = Report { heard_ms: now_ms, ..report.report };
-                    self.vms[vm].fleet.report(&report.of, from as u64, told);
+                    let received = Report { heard_ms: now_ms, ..report.report };
+                    self.vms[vm].fleet.report(&report.of, from as u64, received);
                 }
             }
         }
     }
 
-    /// Takes a request in, and makes the next one due.
-    fn arrive(&mut self, is_again: bool, now_ms: u64) {
-        let stream = self.stream(is_again);
-        let gap_ms = -(1.0 - self.rng.random::<f64>()).ln() * 1_000.0 / stream.per_s;
+    /// Handles the arrival of a request and schedules the next one.
+    fn arrive(&mut self, is_repeatable: bool, now_ms: u64) {
+        let workload = self.workload(is_repeatable);
+        let gap_ms = -(1.0 - self.rng.random::<f64>()).ln() * 1_000.0 / workload.per_s;
         if now_ms < END_MS {
-            // What is lost by rounding is made up for by chance.
-            let part = self.rng.random::<f64>();
-            self.push(now_ms + (gap_ms + part) as u64, Event::Arrive(is_again));
+            // Adding a random fraction before truncation keeps the mean gap exact.
+            let fraction = self.rng.random::<f64>();
+            self.schedule(now_ms + (gap_ms + fraction) as u64, Event::Arrive(is_repeatable));
         }
         let vm = self.rng.random_range(0..self.vms.len());
         self.vms[vm].demand.note_arrival(now_ms);
         let (exchanges, tried) = (Vec::new(), Vec::new());
         let request =
-            Request { vm, is_again, arrived_ms: now_ms, exchanges, tried, is_over: false };
+            Request { vm, is_repeatable, arrived_ms: now_ms, exchanges, tried, is_over: false };
         self.requests.push(request);
         let index = self.requests.len() - 1;
-        self.push(now_ms + stream.timeout_ms, Event::Deadline(index));
+        self.schedule(now_ms + workload.timeout_ms, Event::Deadline(index));
         self.try_slot(index, now_ms);
     }
 
-    /// Sends a request to a backend server, or lets it wait.
+    /// Sends a request to a backend server, or schedules another try if none has a slot.
     fn try_slot(&mut self, index: usize, now_ms: u64) {
         if self.requests[index].is_over {
             return;
         }
         match self.pick(index, now_ms) {
             Some(key) => self.send(index, key, now_ms),
-            None => self.push(now_ms + WAIT_MS, Event::Try(index)),
+            None => self.schedule(now_ms + SLOT_RETRY_INTERVAL_MS, Event::TrySlot(index)),
         }
     }
 
     /// Chooses a backend server.
     fn pick(&mut self, index: usize, now_ms: u64) -> Option<BackendKey> {
         let request = &self.requests[index];
-        let stream = self.stream(request.is_again);
-        let sharers = self.vms.len() as f64;
+        let workload = self.workload(request.is_repeatable);
+        let vm_count = self.vms.len() as f64;
         let vm = &self.vms[request.vm];
-        let is_repeatable = request.is_again && request.tried.len() + 1 < ATTEMPTS;
-        let want = PickRequest {
+        let is_repeatable = request.is_repeatable && request.tried.len() + 1 < MAX_ATTEMPTS;
+        let pick_request = PickRequest {
             service: "s",
             hall: HALLS[vm.hall],
             is_repeatable,
             tried: &request.tried,
             waited_ms: now_ms - request.arrived_ms,
-            far_bytes_cost: stream.bytes as f64 / 1e6 * REQUESTS_A_MB,
-            objective_ms: stream.objective_ms,
-            floor_share: FLOOR,
+            far_bytes_cost: workload.bytes as f64 / 1e6 * REQUESTS_PER_MB,
+            objective_ms: workload.objective_ms,
+            floor_share: FLOOR_SHARE,
             requests_fail: vm.demand.is_failing(is_repeatable, now_ms),
-            requests_per_s: vm.demand.per_s(now_ms).map(|per_s| per_s * sharers),
+            requests_per_s: vm.demand.per_s(now_ms).map(|per_s| per_s * vm_count),
         };
-        choose(&vm.fleet, &want, now_ms, &mut self.rng).map(|pick| pick.key)
+        choose(&vm.fleet, &pick_request, now_ms, &mut self.rng).map(|pick| pick.key)
     }
 
     /// Sends a request to a backend server.
     fn send(&mut self, index: usize, key: BackendKey, now_ms: u64) {
         let server = key.0 as usize;
-        let (vm, is_again) = (self.requests[index].vm, self.requests[index].is_again);
+        let (vm, is_repeatable) = (self.requests[index].vm, self.requests[index].is_repeatable);
         let is_sick = self.is_sick(server, now_ms);
-        let fails_at = if is_sick { EPISODES.2 } else { STRAY_ERRORS };
-        let fails = self.rng.random::<f64>() < fails_at;
-        let work_ms = if is_sick && fails { SICK_MS } else { self.work_ms(is_again) };
+        let failure_share = if is_sick { EPISODES.2 } else { HEALTHY_ERROR_SHARE };
+        let fails = self.rng.random::<f64>() < failure_share;
+        let work_ms = if is_sick && fails { ERROR_DELAY_MS } else { self.work_ms(is_repeatable) };
         if self.requests[index].arrived_ms >= WARM_UP_MS {
-            self.count_send(vm, server, is_again, now_ms);
+            self.count_send(vm, server, is_repeatable, now_ms);
         }
         self.vms[vm].idle_since_ms[server] = None;
-        self.servers[server].worked_ms = Some(now_ms);
+        self.servers[server].last_request_ms = Some(now_ms);
         let (since_ms, has_slot, is_over) = (now_ms, false, false);
         let exchange =
             Exchange { request: index, key, since_ms, fails, work_ms, has_slot, is_over };
@@ -332,155 +336,156 @@
         let request = &mut self.requests[index];
         request.exchanges.push(exchange);
         request.tried.push(key);
-        let route = self.vms[vm].routes[usize::from(is_again)];
+        let route = self.vms[vm].routes[usize::from(is_repeatable)];
         self.vms[vm].fleet.begin_request(key, route, now_ms);
         self.vms[vm].fleet.note_reached(key, now_ms);
-        self.gather(vm, now_ms);
-        self.enter(exchange, now_ms);
-        if is_again {
-            self.push_look(index, now_ms);
+        self.schedule_report(vm, now_ms);
+        self.start_exchange(exchange, now_ms);
+        if is_repeatable {
+            self.schedule_hedge_check(index, now_ms);
         }
     }
 
-    /// Counts a request that is sent.
-    fn count_send(&mut self, vm: usize, server: usize, is_again: bool, now_ms: u64) {
-        let keeps_ms = if is_again { IDLE_MS.1 } else { IDLE_MS.0 };
+    /// Counts a sent request, and whether it opens a connection or leaves the data hall.
+    fn count_send(&mut self, vm: usize, server: usize, is_repeatable: bool, now_ms: u64) {
+        let max_idle_ms = if is_repeatable { MAX_IDLE_MS.1 } else { MAX_IDLE_MS.0 };
         let idle = self.vms[vm].idle_since_ms[server];
-        let is_reused = idle.is_some_and(|since_ms| now_ms - since_ms < keeps_ms);
+        let is_reused = idle.is_some_and(|since_ms| now_ms - since_ms < max_idle_ms);
         self.figures.sends += 1;
         self.figures.opened += u64::from(!is_reused);
-        self.figures.far += u64::from(server % HALLS.len() != self.vms[vm].hall);
+        self.figures.sent_to_other_halls += u64::from(server % HALLS.len() != self.vms[vm].hall);
     }
 
-    /// Tells whether a backend server is in an episode.
+    /// Returns whether a backend server is in an episode of errors.
     fn is_sick(&self, server: usize, now_ms: u64) -> bool {
-        let (share, turn_ms, _) = EPISODES;
-        let chance = |of: u64| {
+        let (share, episode_ms, _) = EPISODES;
+        let draw = |index: u64| {
             let mut hasher = DefaultHasher::new();
-            (self.seed, server, of).hash(&mut hasher);
+            (self.seed, server, index).hash(&mut hasher);
             hasher.finish() as f64 / u64::MAX as f64
         };
-        let phase_ms = (chance(u64::MAX) * turn_ms as f64) as u64;
-        chance((now_ms + phase_ms) / turn_ms) < share
+        let phase_ms = (draw(u64::MAX) * episode_ms as f64) as u64;
+        draw((now_ms + phase_ms) / episode_ms) < share
     }
 
-    /// How long an exchange's work takes, in milliseconds.
-    fn work_ms(&mut self, is_again: bool) -> u64 {
-        // The sum of twelve draws is nearly normal, with a variance of one.
+    /// Draws the work time of an exchange, in milliseconds.
+    fn work_ms(&mut self, is_repeatable: bool) -> u64 {
+        // The sum of twelve uniform draws is nearly normal, with a variance of one.
         let normal = (0..12).map(|_| self.rng.random::<f64>()).sum::<f64>() - 6.0;
-        let stream = self.stream(is_again);
-        (stream.median_ms * (normal * stream.spread).exp()).max(1.0) as u64
+        let workload = self.workload(is_repeatable);
+        (workload.median_ms * (normal * workload.spread).exp()).max(1.0) as u64
     }
 
-    /// Has a backend server begin an exchange, or queue it.
-    fn enter(&mut self, exchange: usize, now_ms: u64) {
+    /// Starts, queues or rejects an exchange at its backend server.
+    fn start_exchange(&mut self, exchange: usize, now_ms: u64) {
         let Exchange { key, work_ms, .. } = self.exchanges[exchange];
         let server = &mut self.servers[key.0 as usize];
         if server.busy < self.service.slots {
             server.busy += 1;
             self.exchanges[exchange].has_slot = true;
-            self.push(now_ms + work_ms, Event::Done(exchange));
+            self.schedule(now_ms + work_ms, Event::ExchangeEnd(exchange));
         } else if server.queue.len() < QUEUE_LIMIT {
             server.queue.push_back(exchange);
         } else {
             self.exchanges[exchange].fails = true;
-            self.push(now_ms + 1, Event::Done(exchange));
+            self.schedule(now_ms + 1, Event::ExchangeEnd(exchange));
         }
     }
 
-    /// Ends an exchange, whose slot goes to the next one.
-    fn leave(&mut self, index: usize, outcome: Outcome, now_ms: u64) {
+    /// Ends an exchange and gives its slot to the next queued one.
+    fn end_exchange(&mut self, index: usize, outcome: Outcome, now_ms: u64) {
         let exchange = &mut self.exchanges[index];
         if std::mem::replace(&mut exchange.is_over, true) {
             return;
         }
         let Exchange { request, key, since_ms, has_slot, .. } = *exchange;
-        let Request { vm, is_again, .. } = self.requests[request];
-        let route = self.vms[vm].routes[usize::from(is_again)];
+        let Request { vm, is_repeatable, .. } = self.requests[request];
+        let route = self.vms[vm].routes[usize::from(is_repeatable)];
         self.vms[vm].fleet.end_request(key, since_ms, route, outcome, now_ms);
         self.vms[vm].idle_since_ms[key.0 as usize] = Some(now_ms);
-        self.gather(vm, now_ms);
+        self.schedule_report(vm, now_ms);
         self.requests[request].exchanges.retain(|other| *other != index);
         if outcome == Outcome::Bad {
-            self.tell_near(vm, now_ms);
+            self.report_in_hall(vm, now_ms);
         }
         let server = &mut self.servers[key.0 as usize];
         server.queue.retain(|other| *other != index);
         if has_slot {
             server.busy -= 1;
             if let Some(next) = server.queue.pop_front() {
-                self.enter(next, now_ms);
+                self.start_exchange(next, now_ms);
             }
         }
     }
 
-    /// Takes the end of an exchange in.
-    fn done(&mut self, index: usize, now_ms: u64) {
+    /// Handles the end of an exchange at its backend server.
+    fn handle_exchange_end(&mut self, index: usize, now_ms: u64) {
         let Exchange { request, since_ms, fails, is_over, .. } = self.exchanges[index];
         if is_over {
             return;
         }
         if !fails {
-            let bytes = self.stream(self.requests[request].is_again).bytes;
+            let bytes = self.workload(self.requests[request].is_repeatable).bytes;
             let time_ms = (now_ms - since_ms) as f64;
-            self.leave(index, Outcome::Good { time_ms, bytes }, now_ms);
-            self.finish(request, true, now_ms);
+            self.end_exchange(index, Outcome::Good { time_ms, bytes }, now_ms);
+            self.finish_request(request, true, now_ms);
             return;
         }
-        self.leave(index, Outcome::Bad, now_ms);
-        let Request { is_again, exchanges, tried, .. } = &self.requests[request];
+        self.end_exchange(index, Outcome::Bad, now_ms);
+        let Request { is_repeatable, exchanges, tried, .. } = &self.requests[request];
         if !exchanges.is_empty() {
             return;
         }
-        if *is_again && tried.len() < ATTEMPTS {
+        if *is_repeatable && tried.len() < MAX_ATTEMPTS {
             self.try_slot(request, now_ms);
         } else {
-            self.finish(request, false, now_ms);
+            self.finish_request(request, false, now_ms);
         }
     }
 
-    /// Ends a request for good.
-    fn finish(&mut self, index: usize, is_served: bool, now_ms: u64) {
+    /// Ends a request and its remaining exchanges and counts the result.
+    fn finish_request(&mut self, index: usize, is_served: bool, now_ms: u64) {
         let request = &mut self.requests[index];
         if std::mem::replace(&mut request.is_over, true) {
             return;
         }
-        let (vm, is_again, took_ms) = (request.vm, request.is_again, now_ms - request.arrived_ms);
+        let (vm, is_repeatable, took_ms) =
+            (request.vm, request.is_repeatable, now_ms - request.arrived_ms);
         let is_counted = request.arrived_ms >= WARM_UP_MS;
         for exchange in std::mem::take(&mut request.exchanges) {
             let outcome = if is_served { Outcome::Abandoned } else { Outcome::Expired };
-            self.leave(exchange, outcome, now_ms);
+            self.end_exchange(exchange, outcome, now_ms);
         }
         self.vms[vm].demand.note_end(is_served, now_ms);
         if !is_counted {
             return;
         }
-        let is_late = is_served && took_ms > self.stream(is_again).objective_ms;
+        let is_late = is_served && took_ms > self.workload(is_repeatable).objective_ms;
         let figures = &mut self.figures;
         figures.late += u64::from(is_late);
-        let (count, failed) = match is_again {
-            true => (&mut figures.again, &mut figures.again_failed),
-            false => (&mut figures.once, &mut figures.once_failed),
+        let (count, failed) = match is_repeatable {
+            true => (&mut figures.repeatable, &mut figures.repeatable_failed),
+            false => (&mut figures.non_repeatable, &mut figures.non_repeatable_failed),
         };
         *count += 1;
         *failed += u64::from(!is_served);
-        if is_served && !is_again {
-            figures.once_ms.push(took_ms);
+        if is_served && !is_repeatable {
+            figures.non_repeatable_ms.push(took_ms);
         }
     }
 
-    /// Makes the next look at a request due.
-    fn push_look(&mut self, index: usize, now_ms: u64) {
+    /// Schedules the next hedge check of a request.
+    fn schedule_hedge_check(&mut self, index: usize, now_ms: u64) {
         let flights = self.flights(index);
         let fleet = &self.vms[self.requests[index].vm].fleet;
         let wait_ms = next_hedge_check_ms(fleet, &self.pending(index, &flights), now_ms);
-        self.push(now_ms + wait_ms, Event::Look(index));
+        self.schedule(now_ms + wait_ms, Event::HedgeCheck(index));
     }
 
-    /// Asks a second backend server if that pays.
-    fn look(&mut self, index: usize, now_ms: u64) {
+    /// Sends a hedge if it is worthwhile.
+    fn check_hedge(&mut self, index: usize, now_ms: u64) {
         let request = &self.requests[index];
-        if request.is_over || request.exchanges.is_empty() || request.tried.len() >= ATTEMPTS {
+        if request.is_over || request.exchanges.is_empty() || request.tried.len() >= MAX_ATTEMPTS {
             return;
         }
         let flights = self.flights(index);
@@ -488,85 +493,87 @@
         let gain = hedge_gain(fleet, &self.pending(index, &flights), now_ms);
         match is_hedge_worthwhile(gain, 0.0).then(|| self.pick(index, now_ms)).flatten() {
             Some(key) => self.send(index, key, now_ms),
-            None => self.push_look(index, now_ms),
+            None => self.schedule_hedge_check(index, now_ms),
         }
     }
 
-    /// Where a request is under way, and since when.
+    /// Returns the backend server and the start time of each unfinished exchange of a request.
     fn flights(&self, index: usize) -> Vec<(BackendKey, u64)> {
         let exchanges = self.requests[index].exchanges.iter();
         exchanges.map(|at| (self.exchanges[*at].key, self.exchanges[*at].since_ms)).collect()
     }
 
-    /// A request as the rule of hedges sees it.
+    /// Returns the input of the hedge decision for a request.
     fn pending<'b>(&self, index: usize, flights: &'b [(BackendKey, u64)]) -> PendingRequest<'b> {
-        let Request { vm, is_again, arrived_ms, .. } = self.requests[index];
-        let stream = self.stream(is_again);
+        let Request { vm, is_repeatable, arrived_ms, .. } = self.requests[index];
+        let workload = self.workload(is_repeatable);
         PendingRequest {
-            route: self.vms[vm].routes[usize::from(is_again)],
+            route: self.vms[vm].routes[usize::from(is_repeatable)],
             flights,
-            on_time_ms: arrived_ms + stream.objective_ms,
-            deadline_ms: arrived_ms + stream.timeout_ms,
+            on_time_ms: arrived_ms + workload.objective_ms,
+            deadline_ms: arrived_ms + workload.timeout_ms,
         }
     }
 
-    /// Has a VM tell others soon.
-    fn gather(&mut self, vm: usize, now_ms: u64) {
-        if !std::mem::replace(&mut self.vms[vm].is_due.0, true) {
-            self.push(now_ms + NEAR_GATHER_MS, Event::TellNear(vm));
+    /// Schedules a report of a VM to the VMs of its data hall.
+    fn schedule_report(&mut self, vm: usize, now_ms: u64) {
+        if !std::mem::replace(&mut self.vms[vm].is_report_due.0, true) {
+            self.schedule(now_ms + SAME_HALL_DELAY_MS, Event::ReportInHall(vm));
         }
     }
 
-    /// Tells the VMs of the same data hall what is new, the others of failures.
-    fn tell_near(&mut self, vm: usize, now_ms: u64) {
-        self.vms[vm].is_due.0 = false;
+    /// Sends the new reports of a VM to its data hall, and immediately to the other data halls if they include a failure.
+    fn report_in_hall(&mut self, vm: usize, now_ms: u64) {
+        self.vms[vm].is_report_due.0 = false;
         let (keys, has_failure) = self.vms[vm].fleet.take_unreported();
         let hall = self.vms[vm].hall;
-        self.tell(vm, &keys, |other| other == hall, now_ms);
-        self.vms[vm].for_far.extend(keys);
+        self.send_reports(vm, &keys, |other| other == hall, now_ms);
+        self.vms[vm].for_other_halls.extend(keys);
         if has_failure {
-            self.tell_far(vm, true, now_ms);
-        } else if !std::mem::replace(&mut self.vms[vm].is_due.1, true) {
-            self.push(now_ms + FAR_GATHER_MS, Event::TellFar(vm));
+            self.report_to_other_halls(vm, true, now_ms);
+        } else if !std::mem::replace(&mut self.vms[vm].is_report_due.1, true) {
+            self.schedule(now_ms + OTHER_HALLS_DELAY_MS, Event::ReportToOtherHalls(vm));
         }
     }
 
-    /// Tells the VMs of other data halls what is new: each itself of a failure, else one of each hall, which tells the others.
-    fn tell_far(&mut self, vm: usize, is_direct: bool, now_ms: u64) {
-        self.vms[vm].is_due.1 = false;
-        let mut keys: Vec<BackendKey> = self.vms[vm].for_far.drain().collect();
+    /// Sends the collected reports to the VMs of other data halls.
+    ///
+    /// A failure goes directly to each VM; other reports go to one VM of each data hall, which relays them.
+    fn report_to_other_halls(&mut self, vm: usize, is_direct: bool, now_ms: u64) {
+        self.vms[vm].is_report_due.1 = false;
+        let mut keys: Vec<BackendKey> = self.vms[vm].for_other_halls.drain().collect();
         keys.sort_unstable();
         let hall = self.vms[vm].hall;
-        let told = self.tell(vm, &keys, |other| other != hall, now_ms);
-        let datagrams = if is_direct { told } else { told.min(HALLS.len() as u64 - 1) };
+        let receivers = self.send_reports(vm, &keys, |other| other != hall, now_ms);
+        let datagrams = if is_direct { receivers } else { receivers.min(HALLS.len() as u64 - 1) };
         let (head, each) = DATAGRAM_BYTES;
-        self.figures.told_bytes += datagrams * (head + each * keys.len() as u64);
+        self.figures.report_bytes += datagrams * (head + each * keys.len() as u64);
     }
 
-    /// Tells VMs of some data halls of backend servers; returns how many.
-    fn tell(
+    /// Sends reports on backend servers to the VMs of some data halls and returns the number of receivers.
+    fn send_reports(
         &mut self,
         vm: usize,
         keys: &[BackendKey],
-        is_told: impl Fn(usize) -> bool,
+        is_receiver_hall: impl Fn(usize) -> bool,
         now_ms: u64,
     ) -> u64 {
         if keys.is_empty() {
             return 0;
         }
         let reports = std::rc::Rc::new(self.vms[vm].fleet.reports(keys, now_ms));
-        let others =
-            (0..self.vms.len()).filter(|other| *other != vm && is_told(self.vms[*other].hall));
+        let others = (0..self.vms.len())
+            .filter(|other| *other != vm && is_receiver_hall(self.vms[*other].hall));
         let others: Vec<usize> = others.collect();
         for other in &others {
-            let hear = Event::Hear(*other, vm, std::rc::Rc::clone(&reports));
-            self.push(now_ms + TRAVEL_MS, hear);
+            let event = Event::ReceiveReports(*other, vm, std::rc::Rc::clone(&reports));
+            self.schedule(now_ms + TRANSIT_MS, event);
         }
         others.len() as u64
     }
 }
 
-/// A backend server of the modelled service.
+/// Returns a backend server of the modeled service.
 fn backend(index: usize, slots: u32) -> Backend {
     Backend {
         instance: format!("b{index}"),
--- a/crates/leverstream-bench/src/wide/service.rs
+++ b/crates/leverstream-bench/src/wide/service.rs
@@ -1,39 +1,41 @@
-/// A service and the requests for it.
+//! Services in the model.
+
+/// A service and its load.
 #[derive(Clone, Copy, Debug)]
 pub struct Service {
-    /// The name.
+    /// The name in tables.
     pub name: &'static str,
-    /// How many backend servers stand in each data hall.
-    pub backends_a_hall: usize,
-    /// How many requests each works on at once.
+    /// Number of backend servers in each data hall.
+    pub backends_per_hall: usize,
+    /// Slots of each backend server.
     pub slots: u32,
-    /// How many VMs of each data hall take callers.
-    pub vms_a_hall: usize,
-    /// Requests a second that run once, to all VMs together.
-    pub once: Stream,
-    /// The same of those that may run again.
-    pub again: Stream,
+    /// Number of VMs in each data hall that serve callers.
+    pub vms_per_hall: usize,
+    /// Non-repeatable requests, to all VMs together.
+    pub non_repeatable: Workload,
+    /// Repeatable requests, to all VMs together.
+    pub repeatable: Workload,
 }
 
-/// Requests of one kind.
+/// Load and work of the requests of one kind.
 #[derive(Clone, Copy, Debug)]
-pub struct Stream {
-    /// How many come in a second.
+pub struct Workload {
+    /// Requests per second.
     pub per_s: f64,
-    /// How long half of them work at most, in milliseconds.
+    /// Median work time, in milliseconds.
     pub median_ms: f64,
-    /// The standard deviation of the logarithm of that.
+    /// Standard deviation of the logarithm of the work time.
     pub spread: f64,
-    /// The time within which an answer is on time.
+    /// Time within which an answer counts as on time.
     pub objective_ms: u64,
-    /// The longest that one is held.
+    /// Time after which a request fails.
     pub timeout_ms: u64,
-    /// The bytes of one and its answer.
+    /// Bytes of a request and its answer.
     pub bytes: usize,
 }
 
 /// No requests.
-const NONE: Stream = Stream {
+const NO_REQUESTS: Workload = Workload {
     per_s: 0.0,
     median_ms: 1.0,
     spread: 0.0,
@@ -42,8 +44,8 @@
     bytes: 0,
 };
 
-/// Requests for paid seats.
-const SEATS: Stream = Stream {
+/// Bookings of paid seats.
+const SEAT_BOOKINGS: Workload = Workload {
     per_s: 832.0,
     median_ms: 196.0,
     spread: 0.8,
@@ -52,22 +54,22 @@
     bytes: 5_300,
 };
 
-/// Services of a fleet, and two that are small.
+/// Services of a large fleet, and two small ones.
 pub const SERVICES: [Service; 5] = [
     Service {
         name: "seats, 3,650 backend servers",
-        backends_a_hall: 730,
+        backends_per_hall: 730,
         slots: 3,
-        vms_a_hall: 7,
-        once: SEATS,
-        again: NONE,
+        vms_per_hall: 7,
+        non_repeatable: SEAT_BOOKINGS,
+        repeatable: NO_REQUESTS,
     },
     Service {
         name: "play and puzzles, 4,100",
-        backends_a_hall: 820,
+        backends_per_hall: 820,
         slots: 3,
-        vms_a_hall: 7,
-        once: Stream {
+        vms_per_hall: 7,
+        non_repeatable: Workload {
             per_s: 257.0,
             median_ms: 168.0,
             spread: 0.5,
@@ -75,7 +77,7 @@
             timeout_ms: 1_000,
             bytes: 1_600,
         },
-        again: Stream {
+        repeatable: Workload {
             per_s: 188.0,
             median_ms: 1_050.0,
             spread: 0.3,
@@ -86,11 +88,11 @@
     },
     Service {
         name: "records, 2,260",
-        backends_a_hall: 452,
+        backends_per_hall: 452,
         slots: 3,
-        vms_a_hall: 7,
-        once: NONE,
-        again: Stream {
+        vms_per_hall: 7,
+        non_repeatable: NO_REQUESTS,
+        repeatable: Workload {
             per_s: 396.0,
             median_ms: 309.0,
             spread: 0.5,
@@ -101,18 +103,18 @@
     },
     Service {
         name: "seats, 80",
-        backends_a_hall: 16,
+        backends_per_hall: 16,
         slots: 3,
-        vms_a_hall: 2,
-        once: Stream { per_s: 309.0, ..SEATS },
-        again: NONE,
+        vms_per_hall: 2,
+        non_repeatable: Workload { per_s: 309.0, ..SEAT_BOOKINGS },
+        repeatable: NO_REQUESTS,
     },
     Service {
         name: "seats, 15",
-        backends_a_hall: 3,
+        backends_per_hall: 3,
         slots: 3,
-        vms_a_hall: 1,
-        once: Stream { per_s: 59.0, ..SEATS },
-        again: NONE,
+        vms_per_hall: 1,
+        non_repeatable: Workload { per_s: 59.0, ..SEAT_BOOKINGS },
+        repeatable: NO_REQUESTS,
     },
 ];
--- a/crates/leverstream-bench/tests/wide.rs
+++ b/crates/leverstream-bench/tests/wide.rs
@@ -1,22 +1,29 @@
-//! The model of a service whose requests cannot reach all of its backend servers.
+//! Tests of the model of services whose requests reach only a part of the backend servers.
 
-use leverstream_bench::wide::{SERVICES, Service, Stream, run};
+use leverstream_bench::wide::{SERVICES, Service, Workload, run};
 
-/// A tenth of the widest service, with a tenth of its requests: each backend server could get one in four seconds.
+/// Returns a tenth of the largest service with a tenth of its requests, about one per backend server in four seconds.
 fn tenth() -> Service {
-    let widest = SERVICES[0];
-    let once = Stream { per_s: widest.once.per_s / 10.0, ..widest.once };
-    Service { backends_a_hall: widest.backends_a_hall / 10, vms_a_hall: 2, once, ..widest }
+    let largest = SERVICES[0];
+    let non_repeatable =
+        Workload { per_s: largest.non_repeatable.per_s / 10.0, ..largest.non_repeatable };
+    Service {
+        backends_per_hall: largest.backends_per_hall / 10,
+        vms_per_hall: 2,
+        non_repeatable,
+        ..largest
+    }
 }
 
 #[test]
-fn a_seed_gives_the_same_figures_each_time() {
+fn same_seed_gives_same_figures() {
     assert_eq!(run(&tenth(), 1), run(&tenth(), 1));
 }
 
 #[test]
-fn requests_stay_where_answers_were_good_of_late() {
-    // Three in ten of those of which nothing is known fail; where they are looked for, each request meets one.
+fn requests_stay_at_backends_with_recent_good_answers() {
+    // Of the backend servers without recent reports, 3 in 10 fail. If requests went there often, far more of them
+    // would fail.
     let figures = run(&tenth(), 1);
     assert!(figures.failed_share() < 0.04, "{}", figures.failed_share());
     assert!(figures.in_use < 60, "{}", figures.in_use);
