--- a/crates/leverstream-bench/src/gray.rs
+++ b/crates/leverstream-bench/src/gray.rs
@@ -1,7 +1,8 @@
-//! Gray failures: the real health and picking code, fed by fakes, over a matrix of faults.
+//! Simulates gray failures: runs the production health and picking code against a matrix of faults.
 //!
-//! Time is an argument and chance is seeded, so that a run gives the same figures each time. This is
-//! no model of a cluster: a few VMs of one service, its backend servers as queues, and a fault.
+//! Time is an argument and the random number generator is seeded, so a run always gives the same figures.
+//! The simulation covers a few VMs of one service, its backend servers as queues, and one fault, not a
+//! whole cluster.
 
 mod cell;
 mod deployment;
@@ -16,7 +17,7 @@
 pub use figures::Figures;
 pub use report::{Summary, matrix, plot, tables};
 
-/// The chosen policy, a part of it alone, and the baselines it is measured against.
+/// The policy of leverstream, its load shifting without ejection, and the baselines.
 pub const POLICIES: [Policy; 7] = [
     Policy { name: "leverstream", rule: "evidence", picker: "least-load" },
     Policy { name: "shift only", rule: "shift-only", picker: "least-load" },
--- a/crates/leverstream-bench/src/gray/deployment.rs
+++ b/crates/leverstream-bench/src/gray/deployment.rs
@@ -1,26 +1,29 @@
-/// A service with its sizes and its users' settings.
+//! Services in the simulation.
+
+/// A service: its size, load and settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
     /// The name in reports.
     pub name: &'static str,
-    /// How many backend servers there are.
+    /// Number of backend servers.
     pub backends: usize,
-    /// The slots of each.
+    /// Slots of each backend server.
     pub slots: u32,
-    /// Requests a second.
+    /// Requests per second.
     pub rate_per_s: f64,
-    /// The score from which a backend server is ejected.
+    /// Lowest score at which a backend server is ejected.
     pub eject_score: u16,
-    /// The share of the weight that ejection must leave.
+    /// Share of the weight that ejection must leave in service, in percent.
     pub floor_percent: u8,
-    /// How long a backend server stays ejected the first time.
+    /// Duration of the first ejection, in milliseconds.
     pub holdoff_ms: u64,
 }
 
-/// The users' services by day, when busy, and by night.
+/// Services of two operators: by day, under high load and by night.
 ///
-/// Bishop & Stone weighs detection time more, the porting operator false ejections. The day's rates
-/// fill two fifths of the slots with work of 20 ms, the busy ones three quarters.
+/// Bishop & Stone (`archive`) gives more weight to detection time, the porting operator (`lookups`) to
+/// false ejections. With work of 20 ms, the rates by day fill two fifths of the slots, the high ones
+/// three quarters.
 pub const DEPLOYMENTS: [Deployment; 6] = [
     Deployment {
         name: "archive, day",
@@ -79,7 +82,7 @@
 ];
 
 impl Deployment {
-    /// Tells whether so little work arrives that probes are most of what is seen.
+    /// Returns whether requests are so rare that health checks give most of the evidence.
     pub fn is_quiet(&self) -> bool {
         self.rate_per_s < 1.0
     }
--- a/crates/leverstream-bench/src/gray/driver.rs
+++ b/crates/leverstream-bench/src/gray/driver.rs
@@ -1,3 +1,5 @@
+//! The simulation: arrivals, attempts, retries and hedges.
+
 mod health;
 mod outcome;
 
@@ -10,122 +12,127 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use self::health::PROBE_MS;
+use self::health::PROBE_INTERVAL_MS;
 use super::cell::{Effect, Fault};
 use super::deployment::Deployment;
 use super::figures::Figures;
-use super::parts::{Asked, Attempt, Event, Server, Vm};
+use super::parts::{Attempt, CallerRequest, Event, Server, Vm};
 
-/// How many VMs serve the service.
+/// Number of VMs that serve the service.
 const VMS: usize = 6;
 
-/// How long the service runs well before the fault.
-const WARM_MS: u64 = 20_000;
+/// Time that the service runs before the fault by day, in milliseconds.
+const WARM_UP_MS: u64 = 20_000;
 
-/// How long the fault is watched by day.
+/// Duration of the fault by day, in milliseconds.
 const FAULT_MS: u64 = 40_000;
 
-/// The least rate of requests before a night.
-const DAY_PER_S: f64 = 290.0;
+/// Lowest request rate in the day before a night, in requests per second.
+const MIN_DAY_RATE_PER_S: f64 = 290.0;
 
-/// How long the service runs well before the fault, by night.
-const QUIET_WARM_MS: u64 = 600_000;
+/// Time that the service runs before the fault by night, in milliseconds.
+const QUIET_WARM_UP_MS: u64 = 600_000;
 
-/// How long the fault is watched by night.
+/// Duration of the fault by night, in milliseconds.
 const QUIET_FAULT_MS: u64 = 900_000;
 
-/// The middle of the time that work takes.
-const WORK_MS: f64 = 20.0;
+/// Median work time, in milliseconds.
+const MEDIAN_WORK_MS: f64 = 20.0;
 
-/// The spread of the logarithm of that time.
+/// Standard deviation of the logarithm of the work time.
 const WORK_SPREAD: f64 = 0.4;
 
-/// The time between two ticks of the health code.
+/// Interval of the ticks of the health code, in milliseconds.
 const TICK_MS: u64 = 50;
 
-/// How many VMs check one backend server.
+/// Number of VMs that check one backend server.
 const PROBERS: usize = 2;
 
-/// The time that a request may take.
+/// Time after which a request fails, in milliseconds.
 const DEADLINE_MS: u64 = 3_000;
 
-/// An answer later than this is late.
-const LATE_MS: u64 = 1_000;
+/// Time after which an answer counts as late, in milliseconds.
+const LATE_AFTER_MS: u64 = 1_000;
 
-/// The retries for each hundred requests.
-const BUDGET_PERCENT: u8 = 10;
+/// Retries allowed per hundred requests.
+const RETRY_BUDGET_PERCENT: u8 = 10;
 
-/// The most attempts of one request.
-const ATTEMPTS: usize = 3;
+/// Most attempts of one request.
+const MAX_ATTEMPTS: usize = 3;
 
-/// A way to eject and to pick.
+/// A combination of ejection rule and picker.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
     /// The name in reports.
     pub name: &'static str,
-    /// The rule for ejection.
+    /// The name of the ejection rule.
     pub rule: &'static str,
-    /// The picker.
+    /// The name of the picker.
     pub picker: &'static str,
 }
 
-/// The whole run.
-struct World<'a> {
+/// The state of a run.
+struct Simulation<'a> {
     /// The service.
     deployment: &'a Deployment,
     /// The fault.
     fault: &'a Fault,
     /// The picker.
     pick: &'static Picker,
-    /// Chance.
+    /// The random number generator.
     rng: StdRng,
-    /// The present.
+    /// The current time.
     now_ms: u64,
-    /// When the fault begins.
+    /// Onset of the fault.
     onset_ms: u64,
-    /// When the run ends.
+    /// End of the run.
     end_ms: u64,
-    /// What is to come.
+    /// Scheduled events with their due time and sequence number, the earliest first.
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    /// Tells events of one time apart.
+    /// Sequence number of the last event, which orders events with the same due time.
     sequence: u64,
     /// The VMs.
     vms: Vec<Vm>,
     /// The backend servers.
     servers: Vec<Server>,
     /// The requests.
-    requests: Vec<Asked>,
+    requests: Vec<CallerRequest>,
     /// The attempts.
     attempts: Vec<Attempt>,
-    /// When sick backend servers got routine work after the onset, and from which VM.
-    routine: Vec<(u64, usize)>,
+    /// Time since the onset, and VM, of each request other than a trial to a sick backend server.
+    non_trial_sends: Vec<(u64, usize)>,
     /// The figures so far.
     figures: Figures,
     /// Requests answered late.
     late: u64,
     /// Requests without a good answer.
     failed: u64,
-    /// Slot time of checks.
+    /// Slot time used by health checks.
     probe_ms: u64,
 }
 
 /// Runs one cell of the matrix with one seed.
 pub fn run(deployment: &Deployment, fault: &Fault, policy: Policy, seed: u64) -> Figures {
-    let mut world = World::open(deployment, fault, policy, seed);
-    world.start();
-    while let Some(Reverse((at_ms, _, event))) = world.events.pop() {
-        if at_ms > world.end_ms {
+    let mut simulation = Simulation::new(deployment, fault, policy, seed);
+    simulation.schedule_first();
+    while let Some(Reverse((at_ms, _, event))) = simulation.events.pop() {
+        if at_ms > simulation.end_ms {
             break;
         }
-        world.now_ms = at_ms;
-        world.step(event);
+        simulation.now_ms = at_ms;
+        simulation.handle(event);
     }
-    world.finish()
+    simulation.into_figures()
 }
 
-impl<'a> World<'a> {
-    /// Sets a run up.
-    fn open(deployment: &'a Deployment, fault: &'a Fault, policy: Policy, seed: u64) -> World<'a> {
+impl<'a> Simulation<'a> {
+    /// Creates the state of a run.
+    fn new(
+        deployment: &'a Deployment,
+        fault: &'a Fault,
+        policy: Policy,
+        seed: u64,
+    ) -> Simulation<'a> {
         let row = ServiceRow {
             eject_score: deployment.eject_score,
             floor_percent: deployment.floor_percent,
@@ -133,8 +140,10 @@
             deadline_ms: DEADLINE_MS,
             ..ServiceRow::default()
         };
-        let rule = eject_rule(policy.rule).unwrap_or_else(|| panic!("no rule {}", policy.rule));
-        let pick = picker(policy.picker).unwrap_or_else(|| panic!("no picker {}", policy.picker));
+        let rule = eject_rule(policy.rule)
+            .unwrap_or_else(|| panic!("unknown ejection rule {}", policy.rule));
+        let pick =
+            picker(policy.picker).unwrap_or_else(|| panic!("unknown picker {}", policy.picker));
         let vms = (0..VMS).map(|_| {
             let mut health = Health::open(HealthSettings::from(&row), rule, 0);
             for index in 0..deployment.backends {
@@ -142,19 +151,19 @@
             }
             Vm {
                 health,
-                turn: 0,
+                pick_count: 0,
                 budget: RetryBudget::open(0),
                 waiting: VecDeque::new(),
-                flights: vec![Vec::new(); deployment.backends],
-                stood_ejected: vec![false; deployment.backends],
+                in_flight: vec![Vec::new(); deployment.backends],
+                was_ejected: vec![false; deployment.backends],
             }
         });
         let (warm_ms, fault_ms) = if deployment.is_quiet() {
-            (QUIET_WARM_MS, QUIET_FAULT_MS)
+            (QUIET_WARM_UP_MS, QUIET_FAULT_MS)
         } else {
-            (WARM_MS, FAULT_MS)
+            (WARM_UP_MS, FAULT_MS)
         };
-        World {
+        Simulation {
             deployment,
             fault,
             pick,
@@ -168,51 +177,51 @@
             servers: (0..deployment.backends).map(|_| Server::default()).collect(),
             requests: Vec::new(),
             attempts: Vec::new(),
-            routine: Vec::new(),
-            figures: Figures { capacity: 1.0, ..Figures::default() },
+            non_trial_sends: Vec::new(),
+            figures: Figures { min_capacity: 1.0, ..Figures::default() },
             late: 0,
             failed: 0,
             probe_ms: 0,
         }
     }
 
-    /// Plans the first events.
-    fn start(&mut self) {
-        self.plan(0, Event::Arrive);
-        self.plan(0, Event::Tick);
-        self.plan(0, Event::Exchange);
+    /// Schedules the first events.
+    fn schedule_first(&mut self) {
+        self.schedule(0, Event::Arrive);
+        self.schedule(0, Event::Tick);
+        self.schedule(0, Event::Exchange);
         for backend in 0..self.deployment.backends {
             for prober in 0..PROBERS {
                 let vm = (backend + prober * 2) % VMS;
-                let delay_ms = self.rng.random_range(0..PROBE_MS);
-                self.plan(delay_ms, Event::Check { vm, backend });
+                let delay_ms = self.rng.random_range(0..PROBE_INTERVAL_MS);
+                self.schedule(delay_ms, Event::Check { vm, backend });
             }
         }
     }
 
-    /// Plans an event so many milliseconds from now.
-    fn plan(&mut self, delay_ms: u64, event: Event) {
+    /// Schedules an event `delay_ms` from now.
+    fn schedule(&mut self, delay_ms: u64, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((self.now_ms + delay_ms, self.sequence, event)));
     }
 
-    /// Lets one event happen.
-    fn step(&mut self, event: Event) {
+    /// Handles one event.
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive => self.arrive(),
-            Event::Done { attempt } => self.done(attempt),
-            Event::Broken { attempt, refused } => {
-                let work =
-                    if refused { RequestOutcome::ConnectFailed } else { RequestOutcome::Failed };
-                self.end(attempt, work);
+            Event::AttemptDone { attempt } => self.finish_work(attempt),
+            Event::AttemptFailed { attempt, is_refused } => {
+                let outcome =
+                    if is_refused { RequestOutcome::ConnectFailed } else { RequestOutcome::Failed };
+                self.end_attempt(attempt, outcome);
             }
             Event::Hedge { request } => self.hedge(request),
             Event::Deadline { request } => self.expire(request),
             Event::Tick => self.tick(),
-            Event::Exchange => self.exchange(),
+            Event::Exchange => self.exchange_evidence(),
             Event::Check { vm, backend } => self.check(vm, backend),
-            Event::Checked { vm, backend, well, refused } => {
-                let probe = match (well, refused) {
+            Event::CheckDone { vm, backend, is_good, is_refused } => {
+                let probe = match (is_good, is_refused) {
                     (_, true) => Probe::Refused,
                     (true, _) => Probe::Good,
                     (false, _) => Probe::Bad,
@@ -222,27 +231,33 @@
         }
     }
 
-    /// Takes a request in and plans the next.
+    /// Handles the arrival of a request and schedules the next one.
     fn arrive(&mut self) {
-        // A night follows a day, from which the VMs still know what is usual.
-        let is_day = self.now_ms < WARM_MS;
+        // A night run starts with requests at the rate of a day, so the VMs have a baseline of work times.
+        let is_day = self.now_ms < WARM_UP_MS;
         let rate_per_s = if is_day {
-            self.deployment.rate_per_s.max(DAY_PER_S)
+            self.deployment.rate_per_s.max(MIN_DAY_RATE_PER_S)
         } else {
             self.deployment.rate_per_s
         };
         let gap_ms = -self.rng.random::<f64>().max(1e-12).ln() * 1000.0 / rate_per_s;
-        self.plan((gap_ms.round() as u64).max(1), Event::Arrive);
+        self.schedule((gap_ms.round() as u64).max(1), Event::Arrive);
         let vm = self.rng.random_range(0..VMS);
         let request = self.requests.len();
-        let at_ms = self.now_ms;
-        self.requests.push(Asked { vm, at_ms, is_settled: false, tried: Vec::new(), running: 0 });
-        self.vms[vm].budget.earn(BUDGET_PERCENT);
-        self.plan(DEADLINE_MS, Event::Deadline { request });
+        let arrived_ms = self.now_ms;
+        self.requests.push(CallerRequest {
+            vm,
+            arrived_ms,
+            is_ended: false,
+            tried: Vec::new(),
+            running: 0,
+        });
+        self.vms[vm].budget.earn(RETRY_BUDGET_PERCENT);
+        self.schedule(DEADLINE_MS, Event::Deadline { request });
         self.send_or_wait(request);
     }
 
-    /// Sends a request off, or lets it wait for a slot.
+    /// Sends a request, or queues it at its VM if no backend server has a free slot.
     fn send_or_wait(&mut self, request: usize) {
         if !self.send(request) {
             let vm = self.requests[request].vm;
@@ -250,7 +265,7 @@
         }
     }
 
-    /// Sends a request to a backend server that the picker chooses.
+    /// Sends a request to the backend server that the picker chooses; returns false if there is none.
     fn send(&mut self, request: usize) -> bool {
         let vm_index = self.requests[request].vm;
         let now_ms = self.now_ms;
@@ -260,7 +275,7 @@
             .keys()
             .map(|key| {
                 let fitness = vm.health.fitness(key, now_ms);
-                let own = vm.flights[key.0 as usize].len() as u32;
+                let own = vm.in_flight[key.0 as usize].len() as u32;
                 Candidate {
                     key,
                     load: own + fitness.others_in_flight,
@@ -271,16 +286,18 @@
                 }
             })
             .collect();
-        vm.turn += 1;
-        let mut turn = PickContext { count: vm.turn, rng: &mut self.rng };
+        vm.pick_count += 1;
+        let mut context = PickContext { count: vm.pick_count, rng: &mut self.rng };
         let tried = &self.requests[request].tried;
-        let asked = Request { is_repeatable: true, tried };
-        let Some(key) = choose(self.pick, &candidates, asked, &mut turn) else { return false };
+        let pick_request = Request { is_repeatable: true, tried };
+        let Some(key) = choose(self.pick, &candidates, pick_request, &mut context) else {
+            return false;
+        };
         let slow_ms = vm.health.fitness(key, now_ms).slow_ms;
         let is_trial = candidates[key.0 as usize].is_trial;
         let attempt = self.attempts.len();
         let backend = key.0 as usize;
-        vm.flights[backend].push(attempt);
+        vm.in_flight[backend].push(attempt);
         self.requests[request].tried.push(key);
         self.requests[request].running += 1;
         self.attempts.push(Attempt {
@@ -290,26 +307,26 @@
             sent_ms: now_ms,
             charged: 0,
             is_trial,
-            is_witness: false,
+            is_detached: false,
             is_over: false,
         });
-        self.note_given(vm_index, backend, is_trial);
-        self.plan(slow_ms.ceil() as u64, Event::Hedge { request });
+        self.count_sent_to_sick(vm_index, backend, is_trial);
+        self.schedule(slow_ms.ceil() as u64, Event::Hedge { request });
         self.serve(attempt);
         true
     }
 
-    /// Counts work given to a sick backend server.
-    fn note_given(&mut self, vm: usize, backend: usize, is_trial: bool) {
+    /// Counts a request sent to a sick backend server.
+    fn count_sent_to_sick(&mut self, vm: usize, backend: usize, is_trial: bool) {
         if self.now_ms >= self.onset_ms && (self.fault.sick)(backend) {
-            self.figures.given += 1.0;
+            self.figures.sent_to_sick += 1.0;
             if !is_trial {
-                self.routine.push((self.now_ms - self.onset_ms, vm));
+                self.non_trial_sends.push((self.now_ms - self.onset_ms, vm));
             }
         }
     }
 
-    /// What the fault does to work now.
+    /// Returns the effect of the fault on a request that is sent now.
     fn effect(&mut self, vm: usize, backend: usize) -> Effect {
         let chance = self.rng.random();
         match self.now_ms.checked_sub(self.onset_ms) {
@@ -318,55 +335,55 @@
         }
     }
 
-    /// Hands an attempt to its backend server.
+    /// Delivers an attempt to its backend server.
     fn serve(&mut self, attempt: usize) {
         let Attempt { vm, backend, .. } = self.attempts[attempt];
         let work_ms = self.work_ms();
         match self.effect(vm, backend) {
-            Effect::Refuse => self.plan(1, Event::Broken { attempt, refused: true }),
+            Effect::Refuse => self.schedule(1, Event::AttemptFailed { attempt, is_refused: true }),
             Effect::Error => {
-                self.plan(work_ms as u64, Event::Broken { attempt, refused: false });
+                self.schedule(work_ms as u64, Event::AttemptFailed { attempt, is_refused: false });
             }
-            // A stalled request holds no slot here; the VM's own count bounds what is sent.
+            // A stalled request holds no slot at the backend server; the in-flight limit of the VM bounds what is sent.
             Effect::Stall => {}
             Effect::Slow(factor) => self.enqueue(attempt, work_ms * factor),
             Effect::None => self.enqueue(attempt, work_ms),
         }
     }
 
-    /// How long a piece of work takes.
+    /// Draws a work time, in milliseconds.
     fn work_ms(&mut self) -> f64 {
         let (a, b): (f64, f64) = (self.rng.random::<f64>().max(1e-12), self.rng.random());
         let normal = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
-        WORK_MS * (WORK_SPREAD * normal).exp()
+        MEDIAN_WORK_MS * (WORK_SPREAD * normal).exp()
     }
 
-    /// Puts an attempt into a backend server's queue.
+    /// Adds an attempt to the queue of its backend server.
     fn enqueue(&mut self, attempt: usize, work_ms: f64) {
         let backend = self.attempts[attempt].backend;
         self.servers[backend].queue.push_back((attempt, work_ms.round().max(1.0) as u64));
         self.start_work(backend);
     }
 
-    /// Starts queued work while slots are free.
+    /// Starts queued attempts while slots are free.
     fn start_work(&mut self, backend: usize) {
         while self.servers[backend].busy < self.deployment.slots {
             let Some((attempt, work_ms)) = self.servers[backend].queue.pop_front() else { return };
             self.servers[backend].busy += 1;
-            self.plan(work_ms, Event::Done { attempt });
+            self.schedule(work_ms, Event::AttemptDone { attempt });
         }
     }
 
-    /// Ends work at a backend server.
-    fn done(&mut self, attempt: usize) {
+    /// Ends the work of an attempt at its backend server.
+    fn finish_work(&mut self, attempt: usize) {
         let backend = self.attempts[attempt].backend;
         self.servers[backend].busy -= 1;
         self.start_work(backend);
-        self.end(attempt, RequestOutcome::Good);
+        self.end_attempt(attempt, RequestOutcome::Good);
     }
 
-    /// Ends an attempt at its VM.
-    fn end(&mut self, attempt: usize, work: RequestOutcome) {
+    /// Ends an attempt at its VM and records its outcome.
+    fn end_attempt(&mut self, attempt: usize, outcome: RequestOutcome) {
         let now_ms = self.now_ms;
         let ended = &mut self.attempts[attempt];
         if std::mem::replace(&mut ended.is_over, true) {
@@ -376,37 +393,37 @@
         let (charged, is_trial) = (ended.charged, ended.is_trial);
         let time_ms = (now_ms - ended.sent_ms) as f64;
         let vm = &mut self.vms[vm_index];
-        vm.flights[backend].retain(|flight| *flight != attempt);
+        vm.in_flight[backend].retain(|flight| *flight != attempt);
         let key = BackendKey(backend as u32);
-        vm.health.finish(key, work, time_ms, charged);
+        vm.health.finish(key, outcome, time_ms, charged);
         if is_trial {
-            vm.health.finish_trial(key, work, time_ms, now_ms);
+            vm.health.finish_trial(key, outcome, time_ms, now_ms);
         }
         self.requests[request].running -= 1;
-        if work == RequestOutcome::Good {
-            self.settle(request, true);
-        } else if work != RequestOutcome::NoEvidence {
+        if outcome == RequestOutcome::Good {
+            self.end_request(request, true);
+        } else if outcome != RequestOutcome::NoEvidence {
             self.retry(request);
         }
-        self.wake(vm_index);
+        self.send_waiting(vm_index);
     }
 
-    /// Settles a request and calls its other attempts off.
-    fn settle(&mut self, request: usize, is_good: bool) {
-        if std::mem::replace(&mut self.requests[request].is_settled, true) {
+    /// Ends a request and cancels its other attempts.
+    fn end_request(&mut self, request: usize, is_good: bool) {
+        if std::mem::replace(&mut self.requests[request].is_ended, true) {
             return;
         }
-        let asked = &self.requests[request];
-        let (vm, took_ms) = (asked.vm, self.now_ms - asked.at_ms);
+        let caller_request = &self.requests[request];
+        let (vm, took_ms) = (caller_request.vm, self.now_ms - caller_request.arrived_ms);
         if self.now_ms >= self.onset_ms {
             self.failed += u64::from(!is_good);
-            self.late += u64::from(is_good && took_ms > LATE_MS);
+            self.late += u64::from(is_good && took_ms > LATE_AFTER_MS);
         }
-        let running: Vec<usize> = self.vms[vm].flights.iter().flatten().copied().collect();
+        let running: Vec<usize> = self.vms[vm].in_flight.iter().flatten().copied().collect();
         for attempt in running {
             let is_its_own = self.attempts[attempt].request == request;
-            if is_its_own && !(is_good && self.becomes_witness(attempt)) {
-                self.end(
+            if is_its_own && !(is_good && self.try_detach(attempt)) {
+                self.end_attempt(
                     attempt,
                     if is_good { RequestOutcome::NoEvidence } else { RequestOutcome::Failed },
                 );
@@ -414,56 +431,61 @@
         }
     }
 
-    /// Lets one slow attempt a VM and backend server go on after its request is answered.
-    fn becomes_witness(&mut self, attempt: usize) -> bool {
+    /// Detaches an attempt from its answered request so that it continues as evidence; returns whether it did.
+    ///
+    /// Each VM has at most one detached attempt per backend server.
+    fn try_detach(&mut self, attempt: usize) -> bool {
         let Attempt { vm, backend, .. } = self.attempts[attempt];
         let has_one =
-            self.vms[vm].flights[backend].iter().any(|other| self.attempts[*other].is_witness);
-        self.attempts[attempt].is_witness = !has_one;
+            self.vms[vm].in_flight[backend].iter().any(|other| self.attempts[*other].is_detached);
+        self.attempts[attempt].is_detached = !has_one;
         !has_one
     }
 
-    /// Tries a request again whose last attempt failed, within the budget.
+    /// Retries a request after its last attempt failed, within the retry budget.
     fn retry(&mut self, request: usize) {
-        let asked = &self.requests[request];
-        if asked.is_settled || asked.running > 0 {
+        let caller_request = &self.requests[request];
+        if caller_request.is_ended || caller_request.running > 0 {
             return;
         }
-        let (vm, now_ms) = (asked.vm, self.now_ms);
-        let may = asked.tried.len() < ATTEMPTS && self.vms[vm].budget.take(BUDGET_PERCENT, now_ms);
-        if may {
+        let (vm, now_ms) = (caller_request.vm, self.now_ms);
+        let may_retry = caller_request.tried.len() < MAX_ATTEMPTS
+            && self.vms[vm].budget.take(RETRY_BUDGET_PERCENT, now_ms);
+        if may_retry {
             self.send_or_wait(request);
         } else {
-            self.settle(request, false);
+            self.end_request(request, false);
         }
     }
 
-    /// Tries a request beside a slow attempt, within the budget.
+    /// Sends a hedge beside a slow attempt, within the retry budget.
     fn hedge(&mut self, request: usize) {
-        let asked = &self.requests[request];
-        let (vm, now_ms) = (asked.vm, self.now_ms);
-        let is_due = !asked.is_settled && asked.running == 1 && asked.tried.len() < ATTEMPTS;
-        if is_due && self.vms[vm].budget.take(BUDGET_PERCENT, now_ms) {
+        let caller_request = &self.requests[request];
+        let (vm, now_ms) = (caller_request.vm, self.now_ms);
+        let is_due = !caller_request.is_ended
+            && caller_request.running == 1
+            && caller_request.tried.len() < MAX_ATTEMPTS;
+        if is_due && self.vms[vm].budget.take(RETRY_BUDGET_PERCENT, now_ms) {
             self.send(request);
         }
     }
 
-    /// Ends a request whose time is over, and what still witnesses for it.
+    /// Fails a request at its deadline and ends its detached attempts.
     fn expire(&mut self, request: usize) {
-        self.settle(request, false);
+        self.end_request(request, false);
         let vm = self.requests[request].vm;
-        let running: Vec<usize> = self.vms[vm].flights.iter().flatten().copied().collect();
+        let running: Vec<usize> = self.vms[vm].in_flight.iter().flatten().copied().collect();
         for attempt in running {
             if self.attempts[attempt].request == request {
-                self.end(attempt, RequestOutcome::Failed);
+                self.end_attempt(attempt, RequestOutcome::Failed);
             }
         }
     }
 
-    /// Lets requests that wait at a VM try again.
-    fn wake(&mut self, vm: usize) {
+    /// Sends requests that wait at a VM until no slot is free.
+    fn send_waiting(&mut self, vm: usize) {
         while let Some(request) = self.vms[vm].waiting.pop_front() {
-            if !self.requests[request].is_settled && !self.send(request) {
+            if !self.requests[request].is_ended && !self.send(request) {
                 self.vms[vm].waiting.push_front(request);
                 return;
             }
--- a/crates/leverstream-bench/src/gray/driver/outcome.rs
+++ b/crates/leverstream-bench/src/gray/driver/outcome.rs
@@ -1,17 +1,18 @@
-//! What a run came to.
+//! Computes the figures of a run.
 
-use super::{VMS, World};
+use super::{Simulation, VMS};
 use crate::gray::figures::Figures;
 
-/// A stretch without work, after which a backend server counts as out.
-const OUT_MS: u64 = 1_000;
+/// Time without requests after which a sick backend server counts as detected, in milliseconds.
+const DETECTION_PAUSE_MS: u64 = 1_000;
 
-impl World<'_> {
-    /// Works the figures out.
-    pub(super) fn finish(mut self) -> Figures {
+impl Simulation<'_> {
+    /// Ends the run and returns its figures.
+    pub(super) fn into_figures(mut self) -> Figures {
         let onset_ms = self.onset_ms;
-        let asked = self.requests.iter().filter(|request| request.at_ms >= onset_ms).count();
-        let percent = |count: u64| 100.0 * count as f64 / asked.max(1) as f64;
+        let request_count =
+            self.requests.iter().filter(|request| request.arrived_ms >= onset_ms).count();
+        let percent = |count: u64| 100.0 * count as f64 / request_count.max(1) as f64;
         self.figures.late_percent = percent(self.late);
         self.figures.failed_percent = percent(self.failed);
         let slots = u64::from(self.deployment.slots) * self.deployment.backends as u64;
@@ -22,17 +23,17 @@
         self.figures
     }
 
-    /// When routine work to sick backend servers first paused for long.
+    /// Returns the time from the onset to the last request before the first long pause, not counting trials.
     ///
-    /// By night work is rare; there it is how long a VM went on giving it, the median over the VMs
-    /// that gave any.
+    /// By night requests are rare, so it is the median time over which a VM sent them to sick backend
+    /// servers, over the VMs that sent any.
     fn detection_ms(&self) -> f64 {
         if self.deployment.is_quiet() {
             return self.quiet_detection_ms();
         }
         let mut last_ms = 0;
-        for (at_ms, _) in &self.routine {
-            if at_ms - last_ms > OUT_MS && last_ms > 0 {
+        for (at_ms, _) in &self.non_trial_sends {
+            if at_ms - last_ms > DETECTION_PAUSE_MS && last_ms > 0 {
                 break;
             }
             last_ms = *at_ms;
@@ -40,11 +41,12 @@
         last_ms as f64
     }
 
-    /// From a VM's first to its last routine work, the median over the VMs.
+    /// Returns the median over the VMs of the time from first to last request to sick backend servers.
     fn quiet_detection_ms(&self) -> f64 {
         let mut spans: Vec<u64> = (0..VMS)
             .filter_map(|vm| {
-                let times = || self.routine.iter().filter(|(_, by)| *by == vm).map(|(at, _)| *at);
+                let times =
+                    || self.non_trial_sends.iter().filter(|(_, by)| *by == vm).map(|(at, _)| *at);
                 Some(times().max()? - times().min()?)
             })
             .collect();
--- a/crates/leverstream-bench/src/gray/parts.rs
+++ b/crates/leverstream-bench/src/gray/parts.rs
@@ -1,44 +1,44 @@
-//! What a run is made of: events, requests, attempts, VMs, backend servers.
+//! State of a run: events, requests, attempts, VMs and backend servers.
 
 use std::collections::VecDeque;
 
 use leverstream_health::{BackendKey, Health};
 use leverstream_route::RetryBudget;
 
-/// Something that happens at a time.
+/// A scheduled event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Event {
     /// A request arrives.
     Arrive,
-    /// A backend server has done a piece of work.
-    Done { attempt: usize },
-    /// An attempt is refused or answered with a fault.
-    Broken { attempt: usize, refused: bool },
-    /// It may be time for a hedge of a request.
+    /// A backend server has finished the work of an attempt.
+    AttemptDone { attempt: usize },
+    /// An attempt is refused or answered with an error.
+    AttemptFailed { attempt: usize, is_refused: bool },
+    /// A hedge of a request may be due.
     Hedge { request: usize },
-    /// A request's time is over.
+    /// A request reaches its deadline.
     Deadline { request: usize },
-    /// The health code decides.
+    /// The health code runs its periodic decisions.
     Tick,
-    /// Evidence is exchanged.
+    /// VMs exchange evidence.
     Exchange,
-    /// A VM checks a backend server.
+    /// A VM starts a health check of a backend server.
     Check { vm: usize, backend: usize },
-    /// A check has ended.
-    Checked { vm: usize, backend: usize, well: bool, refused: bool },
+    /// A health check has ended.
+    CheckDone { vm: usize, backend: usize, is_good: bool, is_refused: bool },
 }
 
-/// A request.
-pub(super) struct Asked {
+/// A request from a caller.
+pub(super) struct CallerRequest {
     /// The VM at which it arrived.
     pub vm: usize,
-    /// When.
-    pub at_ms: u64,
-    /// Whether it is settled.
-    pub is_settled: bool,
-    /// Where it was tried.
+    /// Time of arrival, in milliseconds.
+    pub arrived_ms: u64,
+    /// Whether it has been answered or has failed.
+    pub is_ended: bool,
+    /// Backend servers it was sent to.
     pub tried: Vec<BackendKey>,
-    /// Attempts under way.
+    /// Number of attempts in progress.
     pub running: usize,
 }
 
@@ -50,38 +50,38 @@
     pub vm: usize,
     /// The backend server.
     pub backend: usize,
-    /// When it was sent.
+    /// Time at which it was sent, in milliseconds.
     pub sent_ms: u64,
-    /// Units of bad evidence charged.
+    /// Units of bad evidence already charged for it.
     pub charged: u8,
     /// Whether it is a trial.
     pub is_trial: bool,
-    /// Whether it goes on only to show whether it ends.
-    pub is_witness: bool,
-    /// Whether it ended.
+    /// Whether it continues after its request was answered, only to collect evidence.
+    pub is_detached: bool,
+    /// Whether it has ended.
     pub is_over: bool,
 }
 
 /// A VM.
 pub(super) struct Vm {
-    /// Its view.
+    /// Its health state.
     pub health: Health,
-    /// Its picker's turn.
-    pub turn: u64,
-    /// Its retries.
+    /// Number of picks so far.
+    pub pick_count: u64,
+    /// Its retry budget.
     pub budget: RetryBudget,
     /// Requests that wait for a slot.
     pub waiting: VecDeque<usize>,
-    /// Attempts under way, by backend server.
-    pub flights: Vec<Vec<usize>>,
-    /// Where backend servers stood at the last tick.
-    pub stood_ejected: Vec<bool>,
+    /// Attempts in progress by backend server.
+    pub in_flight: Vec<Vec<usize>>,
+    /// Whether each backend server was ejected at the last tick.
+    pub was_ejected: Vec<bool>,
 }
 
-/// A backend server: slots and a queue before them.
+/// A backend server: slots with a queue.
 #[derive(Default)]
 pub(super) struct Server {
-    /// Attempts that wait, with how long their work takes.
+    /// Waiting attempts with their work time in milliseconds.
     pub queue: VecDeque<(usize, u64)>,
     /// Slots in use.
     pub busy: u32,
--- a/crates/leverstream-bench/src/gray/report.rs
+++ b/crates/leverstream-bench/src/gray/report.rs
@@ -1,3 +1,5 @@
+//! Runs the matrix and reports it as tables and plots.
+
 use std::fmt::Write;
 use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,29 +15,29 @@
 use super::driver::{Policy, run};
 use super::figures::Figures;
 
-/// One cell's figures over all seeds.
+/// The figures of one cell of the matrix over all seeds.
 #[derive(Clone, Debug)]
 pub struct Summary {
-    /// The deployment's place in the list.
+    /// Index in [`DEPLOYMENTS`].
     pub deployment: usize,
-    /// The fault's place in the list.
+    /// Index in [`FAULTS`].
     pub fault: usize,
-    /// The policy's place in the list.
+    /// Index in the list of policies.
     pub policy: usize,
-    /// The figures of each seed.
+    /// The figures for each seed.
     pub figures: Vec<Figures>,
 }
 
 impl Summary {
-    /// The median and the worst of a figure, where higher is worse.
-    fn spread(&self, figure: impl Fn(&Figures) -> Option<f64>) -> Option<(f64, f64)> {
+    /// Returns the median and the maximum of a figure, for figures where higher is worse.
+    fn median_and_worst(&self, figure: impl Fn(&Figures) -> Option<f64>) -> Option<(f64, f64)> {
         let mut values: Vec<f64> = self.figures.iter().filter_map(figure).collect();
         values.sort_unstable_by(f64::total_cmp);
         Some((*values.get(values.len() / 2)?, *values.last()?))
     }
 }
 
-/// Runs the whole matrix, on all processors.
+/// Runs the whole matrix on `threads` threads.
 pub fn matrix(seeds: u64, threads: usize, policies: &[Policy]) -> Vec<Summary> {
     let mut cells: Vec<(usize, usize, usize)> = Vec::new();
     for deployment in 0..DEPLOYMENTS.len() {
@@ -44,7 +46,7 @@
         }
     }
     let next = AtomicUsize::new(0);
-    let work = || {
+    let run_cells = || {
         let mut done = Vec::new();
         while let Some((deployment, fault, policy)) =
             cells.get(next.fetch_add(1, Ordering::Relaxed)).copied()
@@ -57,14 +59,14 @@
         done
     };
     let mut summaries: Vec<Summary> = std::thread::scope(|scope| {
-        let workers: Vec<_> = (0..threads).map(|_| scope.spawn(work)).collect();
+        let workers: Vec<_> = (0..threads).map(|_| scope.spawn(run_cells)).collect();
         workers.into_iter().flat_map(|worker| worker.join().unwrap_or_default()).collect()
     });
     summaries.sort_by_key(|cell| (cell.deployment, cell.fault, cell.policy));
     summaries
 }
 
-/// Writes the figures as Markdown tables, median and worst of each.
+/// Returns Markdown tables with the median and the worst value of each figure.
 pub fn tables(summaries: &[Summary], policies: &[Policy]) -> String {
     let mut text = String::new();
     for (index, deployment) in DEPLOYMENTS.iter().enumerate() {
@@ -73,48 +75,50 @@
         text.push_str("least capacity | late (%) | failed (%) | probes (%) |\n");
         text.push_str("|---|---|---|---|---|---|---|---|---|\n");
         for cell in summaries.iter().filter(|cell| cell.deployment == index) {
-            line(&mut text, cell, policies);
+            write_row(&mut text, cell, policies);
         }
     }
     text
 }
 
-/// Writes one line of a table.
-fn line(text: &mut String, cell: &Summary, policies: &[Policy]) {
+/// Writes one row of a table.
+fn write_row(text: &mut String, cell: &Summary, policies: &[Policy]) {
     let pair = |spread: Option<(f64, f64)>, digits: usize| match spread {
         Some((median, worst)) => format!("{median:.digits$} / {worst:.digits$}"),
         None => "-".to_owned(),
     };
-    let breaks = cell.figures.iter().any(|figures| figures.breaks_floor);
-    let capacity = cell.spread(|f| Some(-f.capacity)).map(|(median, worst)| (-median, -worst));
+    let breaks = cell.figures.iter().any(|figures| figures.is_floor_broken);
+    let capacity =
+        cell.median_and_worst(|f| Some(-f.min_capacity)).map(|(median, worst)| (-median, -worst));
     let _ = writeln!(
         text,
         "| {} | {} | {} | {} | {} | {}{} | {} | {} | {} |",
         FAULTS[cell.fault].name,
         policies[cell.policy].name,
-        pair(cell.spread(|f| f.detection_ms), 0),
-        pair(cell.spread(|f| Some(f.given)), 0),
-        pair(cell.spread(|f| Some(f.false_ejections)), 0),
+        pair(cell.median_and_worst(|f| f.detection_ms), 0),
+        pair(cell.median_and_worst(|f| Some(f.sent_to_sick)), 0),
+        pair(cell.median_and_worst(|f| Some(f.false_ejections)), 0),
         pair(capacity, 2),
         if breaks { " BROKEN" } else { "" },
-        pair(cell.spread(|f| Some(f.late_percent)), 2),
-        pair(cell.spread(|f| Some(f.failed_percent)), 2),
-        pair(cell.spread(|f| Some(f.probe_percent)), 2),
+        pair(cell.median_and_worst(|f| Some(f.late_percent)), 2),
+        pair(cell.median_and_worst(|f| Some(f.failed_percent)), 2),
+        pair(cell.median_and_worst(|f| Some(f.probe_percent)), 2),
     );
 }
 
-/// Draws failed requests of the chosen policy and the best baseline, fault by fault.
+/// Plots the late and failed requests of leverstream and of the best baseline for each fault.
 pub fn plot(summaries: &[Summary], deployment: usize, file: &Path) -> Result<(), String> {
-    let failed = |fault: usize, policy: usize| {
+    let missed_percent = |fault: usize, policy: usize| {
         let cell = summaries
             .iter()
             .find(|cell| (cell.deployment, cell.fault, cell.policy) == (deployment, fault, policy));
-        let spread = cell.and_then(|c| c.spread(|f| Some(f.late_percent + f.failed_percent)));
+        let spread =
+            cell.and_then(|c| c.median_and_worst(|f| Some(f.late_percent + f.failed_percent)));
         spread.map_or(0.0, |(median, _)| median) + 0.01
     };
-    let wrap = |error: &dyn std::fmt::Display| error.to_string();
+    let to_text = |error: &dyn std::fmt::Display| error.to_string();
     let root = SVGBackend::new(file, (960, 480)).into_drawing_area();
-    root.fill(&WHITE).map_err(|error| wrap(&error))?;
+    root.fill(&WHITE).map_err(|error| to_text(&error))?;
     let count = FAULTS.len() as f64;
     let mut chart = ChartBuilder::on(&root)
         .caption(
@@ -125,19 +129,21 @@
         .x_label_area_size(28)
         .y_label_area_size(56)
         .build_cartesian_2d(0.0..count, (0.01..120.0).log_scale())
-        .map_err(|error| wrap(&error))?;
+        .map_err(|error| to_text(&error))?;
     chart
         .configure_mesh()
         .x_desc("fault, in the order of the tables (blue: leverstream, red: best baseline)")
         .draw()
-        .map_err(|error| wrap(&error))?;
+        .map_err(|error| to_text(&error))?;
     for fault in 0..FAULTS.len() {
-        let best = (2..POLICIES.len()).map(|policy| failed(fault, policy)).fold(f64::MAX, f64::min);
+        let best = (2..POLICIES.len())
+            .map(|policy| missed_percent(fault, policy))
+            .fold(f64::MAX, f64::min);
         let x = fault as f64 + 0.5;
-        let points = [(best, RED.filled()), (failed(fault, 0), BLUE.filled())];
+        let points = [(best, RED.filled()), (missed_percent(fault, 0), BLUE.filled())];
         chart
             .draw_series(points.into_iter().map(|(y, style)| Circle::new((x, y), 5, style)))
-            .map_err(|error| wrap(&error))?;
+            .map_err(|error| to_text(&error))?;
     }
-    root.present().map_err(|error| wrap(&error))
+    root.present().map_err(|error| to_text(&error))
 }
--- a/crates/leverstream-bench/tests/wide.rs
+++ b/crates/leverstream-bench/tests/wide.rs
@@ -22,8 +22,8 @@
 
 #[test]
 fn requests_stay_at_backends_with_recent_good_answers() {
-    // Of the backend servers without recent reports, 3 in 10 fail. If requests went there often, far more of them
-    // would fail.
+    // Of the backend servers without recent reports, 3 in 10 fail requests. A policy that prefers such backend
+    // servers sends every request to one of them.
     let figures = run(&tenth(), 1);
     assert!(figures.failed_share() < 0.04, "{}", figures.failed_share());
     assert!(figures.in_use < 60, "{}", figures.in_use);
