--- a/crates/leverstream-bench/src/bin/leverbench.rs
+++ b/crates/leverstream-bench/src/bin/leverbench.rs
@@ -1,86 +1,86 @@
-//! Measures: gray failures, load, slopes.
+//! Runs the simulations and load tests of leverstream.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use bpaf::Bpaf;
-use leverstream_bench::load::Way;
+use leverstream_bench::load::Endpoint;
 use leverstream_bench::{decide, gray, load, wide};
 
-/// Measures leverstream.
+/// Runs simulations and load tests of leverstream.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 enum Command {
-    /// Runs the matrix of gray failures and prints its tables
+    /// Simulates the matrix of gray failures and prints its tables
     #[bpaf(command)]
     Gray {
-        /// How many seeds
+        /// Number of seeds
         #[bpaf(argument("COUNT"), fallback(5))]
         seeds: u64,
-        /// How many threads
+        /// Number of threads
         #[bpaf(argument("COUNT"), fallback(4))]
         threads: usize,
-        /// Only the chosen policy and the shift of work alone
+        /// Only the leverstream policy and load shifting without ejection
         chosen: bool,
-        /// Where to draw the plots
+        /// Folder for the plots
         #[bpaf(argument("FOLDER"), optional)]
         plots: Option<PathBuf>,
     },
-    /// Runs the matrix of a gateway's decisions and prints its tables
+    /// Simulates how gateway VMs choose backend servers and prints the tables
     #[bpaf(command)]
     Decide {
-        /// How many seeds
+        /// Number of seeds
         #[bpaf(argument("COUNT"), fallback(5))]
         seeds: u64,
     },
-    /// Runs services of thousands of backend servers and prints a table
+    /// Simulates services with thousands of backend servers and prints a table
     #[bpaf(command)]
     Wide {
-        /// How many seeds
+        /// Number of seeds
         #[bpaf(argument("COUNT"), fallback(2))]
         seeds: u64,
     },
-    /// Compares requests through a daemon with the same requests straight to a backend server
+    /// Compares requests via a daemon with requests directly to a backend server
     #[bpaf(command)]
     Load {
-        /// The backend server
+        /// Address of the backend server
         #[bpaf(argument("ADDRESS"))]
         direct: SocketAddr,
-        /// The daemon
+        /// Address of the daemon
         #[bpaf(argument("ADDRESS"))]
         via: SocketAddr,
-        /// The service
+        /// Name of the service
         #[bpaf(argument("SERVICE"))]
         service: String,
-        /// The path
+        /// Path of the requests
         #[bpaf(argument("PATH"), fallback("/".to_owned()))]
         path: String,
-        /// Requests a second, several with commas between
+        /// Request rates per second, separated by commas
         #[bpaf(argument("RATES"), fallback("500".to_owned()))]
         rates: String,
-        /// How long to send at each rate
+        /// Duration at each rate, in seconds
         #[bpaf(argument("COUNT"), fallback(5))]
         seconds: u64,
-        /// The daemon's process, to count its processor time
+        /// Process ID of the daemon, to measure its CPU time
         #[bpaf(argument("PID"), optional)]
         pid: Option<u32>,
     },
-    /// Opens idle connections and tells their cost in memory
+    /// Opens idle connections and prints their memory cost
     #[bpaf(command)]
     Idle {
-        /// The daemon
+        /// Address of the daemon
         #[bpaf(argument("ADDRESS"))]
         at: SocketAddr,
-        /// How many
+        /// Number of connections
         #[bpaf(argument("COUNT"), fallback(10_000))]
         count: usize,
-        /// The daemon's process
+        /// Process ID of the daemon
         #[bpaf(argument("PID"))]
         pid: u32,
     },
 }
 
-/// Runs one measurement.
+/// Runs one subcommand.
 fn main() {
     match command().run() {
         Command::Gray { seeds, threads, chosen, plots } => {
@@ -99,14 +99,18 @@
         Command::Decide { seeds } => println!("{}", decide::table(seeds)),
         Command::Wide { seeds } => println!("{}", wide::table(seeds)),
         Command::Load { direct, via, service, path, rates, seconds, pid } => {
-            let way =
-                |name, address| Way { name, address, service: service.clone(), path: path.clone() };
+            let endpoint = |name, address| Endpoint {
+                name,
+                address,
+                service: service.clone(),
+                path: path.clone(),
+            };
             let rates: Vec<f64> = rates.split(',').filter_map(|rate| rate.parse().ok()).collect();
-            let (direct, via) = (way("direct", direct), way("leverstream", via));
+            let (direct, via) = (endpoint("direct", direct), endpoint("leverstream", via));
             actix_rt::System::new().block_on(load::compare(&direct, &via, &rates, seconds, pid));
         }
         Command::Idle { at, count, pid } => {
-            actix_rt::System::new().block_on(load::idle(at, count, pid));
+            actix_rt::System::new().block_on(load::measure_idle(at, count, pid));
         }
     }
 }
--- a/crates/leverstream-bench/src/bin/leverslopes.rs
+++ b/crates/leverstream-bench/src/bin/leverslopes.rs
@@ -1,13 +1,13 @@
-//! Measures the slopes of the capacity page, with an allocator that counts.
+//! Prints the capacity measurements, using an allocator that counts allocated bytes.
 
 use leverstream_bench::capacity;
 use peak_alloc::PeakAlloc;
 
-/// Counts the bytes that are allocated.
+/// Counts the allocated bytes.
 #[global_allocator]
 static ALLOCATED: PeakAlloc = PeakAlloc;
 
-/// Prints the slopes.
+/// Runs the capacity measurements.
 fn main() {
     capacity::run(|| ALLOCATED.current_usage());
 }
--- a/crates/leverstream-bench/src/lib.rs
+++ b/crates/leverstream-bench/src/lib.rs
@@ -1,4 +1,5 @@
-//! Measurements: gray failures and gateway decisions against the real decision code, load on real processes, slopes.
+//! Benchmarks: simulations of gray failures and gateway decisions with the production code, load tests of running
+//! processes, and capacity measurements.
 
 pub mod capacity;
 pub mod decide;
