--- a/crates/leverstream-bench/src/gray/driver.rs
+++ b/crates/leverstream-bench/src/gray/driver.rs
@@ -289,8 +289,8 @@
         vm.pick_count += 1;
         let mut context = PickContext { count: vm.pick_count, rng: &mut self.rng };
         let tried = &self.requests[request].tried;
-        let pick_request = Request { is_repeatable: true, tried };
-        let Some(key) = choose(self.pick, &candidates, pick_request, &mut context) else {
+        let criteria = Request { is_repeatable: true, tried };
+        let Some(key) = choose(self.pick, &candidates, criteria, &mut context) else {
             return false;
         };
         let slow_ms = vm.health.fitness(key, now_ms).slow_ms;
