--- a/crates/leverstream-bench/src/gray/driver.rs
+++ b/crates/leverstream-bench/src/gray/driver.rs
@@ -289,8 +289,8 @@
         vm.pick_count += 1;
         let mut context = PickContext { count: vm.pick_count, rng: &mut self.rng };
         let tried = &self.requests[request].tried;
-        let criteria = Request { is_repeatable: true, tried };
-        let Some(key) = choose(self.pick, &candidates, criteria, &mut context) else {
+        let query = Request { is_repeatable: true, tried };
+        let Some(key) = choose(self.pick, &candidates, query, &mut context) else {
             return false;
         };
         let slow_ms = vm.health.fitness(key, now_ms).slow_ms;
--- a/crates/leverstream-bench/src/gray/driver/health.rs
+++ b/crates/leverstream-bench/src/gray/driver/health.rs
@@ -58,9 +58,9 @@
             let is_ejected = matches!(standing, Standing::Ejected { .. });
             let is_new = is_ejected && !vm.was_ejected[index];
             vm.was_ejected[index] = is_ejected;
-            let is_right = now_ms >= self.onset_ms
+            let is_justified = now_ms >= self.onset_ms
                 && ((self.fault.sick)(index) || (self.fault.is_cut)(vm_index, index));
-            if is_new && !is_right {
+            if is_new && !is_justified {
                 self.figures.false_ejections += 1.0;
             }
         }
--- a/crates/leverstream-bench/src/wide/run.rs
+++ b/crates/leverstream-bench/src/wide/run.rs
@@ -522,7 +522,7 @@
         }
     }
 
-    /// Sends the new reports of a VM to its data hall, and immediately to the other data halls if they include a failure.
+    /// Sends the new reports of a VM to its data hall, and to the other data halls at once if one is a failure.
     fn report_in_hall(&mut self, vm: usize, now_ms: u64) {
         self.vms[vm].is_report_due.0 = false;
         let (keys, has_failure) = self.vms[vm].fleet.take_unreported();
