--- a/crates/leverstream-bench/src/gray/driver.rs
+++ b/crates/leverstream-bench/src/gray/driver.rs
@@ -287,12 +287,10 @@
             })
             .collect();
         vm.pick_count += 1;
-        let mut context = PickContext { count: vm.pick_count, rng: &mut self.rng };
+        let mut pick = PickContext { count: vm.pick_count, rng: &mut self.rng };
         let tried = &self.requests[request].tried;
         let query = Request { is_repeatable: true, tried };
-        let Some(key) = choose(self.pick, &candidates, query, &mut context) else {
-            return false;
-        };
+        let Some(key) = choose(self.pick, &candidates, query, &mut pick) else { return false };
         let slow_ms = vm.health.fitness(key, now_ms).slow_ms;
         let is_trial = candidates[key.0 as usize].is_trial;
         let attempt = self.attempts.len();
