--- a/crates/leverstream-core/src/fleet/backend_state.rs
+++ b/crates/leverstream-core/src/fleet/backend_state.rs
@@ -86,7 +86,7 @@
     /// The VMs whose latest report has requests in flight or overdue ones.
     busy_vms: Vec<u64>,
     /// The probability that it is in a failure episode, from the recent outcomes.
-    suspicion: FailureEstimate,
+    failure_estimate: FailureEstimate,
     /// Its latency as a multiple of the route's median, as a moving average.
     slowness: f64,
     /// When `slowness` was last updated.
@@ -197,7 +197,7 @@
             reported_overdue_odds: 1.0,
             reports: HashMap::new(),
             busy_vms: Vec::new(),
-            suspicion: FailureEstimate::open(now_ms),
+            failure_estimate: FailureEstimate::open(now_ms),
             slowness: 1.0,
             slowness_at_ms: now_ms,
             good: 0,
@@ -214,11 +214,14 @@
         key: BackendKey,
         origin: &RequestOrigin<'_>,
         routes: &Slab<RouteProfile>,
-        episodes: &EpisodeModel,
+        episode_model: &EpisodeModel,
         now_ms: u64,
     ) -> Choice {
-        let failure_chance =
-            self.suspicion.failure_chance(self.overdue_odds(routes, now_ms), episodes, now_ms);
+        let failure_chance = self.failure_estimate.failure_chance(
+            self.overdue_odds(routes, now_ms),
+            episode_model,
+            now_ms,
+        );
         Choice {
             load: self.load(now_ms),
             slots: self.backend.slots,
@@ -226,7 +229,7 @@
             is_cold: now_ms < self.cold_until_ms,
             failure_chance,
             slowness: self.decayed_slowness(now_ms),
-            unobserved_failure_chance: episodes.unseen_failure_chance(),
+            unobserved_failure_chance: episode_model.unobserved_failure_chance(),
             standing: self.floor_standing(now_ms),
             claim: Claim::None,
             is_tried: origin.tried.contains(&key),
@@ -237,7 +240,7 @@
     /// Returns its state with respect to the floor.
     fn floor_standing(&self, now_ms: u64) -> FloorStanding {
         let is_sound =
-            self.suspicion.bad_age_ms(now_ms).is_none_or(|age_ms| age_ms >= SOUND_AFTER_MS);
+            self.failure_estimate.bad_age_ms(now_ms).is_none_or(|age_ms| age_ms >= SOUND_AFTER_MS);
         let is_steady = self.decayed_slowness(now_ms) < SLOW_FACTOR
             && now_ms.saturating_sub(self.listed_ms) >= NEW_FOR_MS;
         FloorStanding { is_sound, is_steady, unused_ms: self.unused_ms(now_ms) }
@@ -279,7 +282,7 @@
         route: RouteKey,
         outcome: Outcome,
         routes: &Slab<RouteProfile>,
-        episodes: &mut EpisodeModel,
+        episode_model: &mut EpisodeModel,
         now_ms: u64,
     ) -> bool {
         let request = RequestInFlight { since_ms, route };
@@ -294,40 +297,45 @@
             Outcome::Neutral => false,
             Outcome::Good { time_ms, .. } => {
                 self.good += 1;
-                self.suspicion.good(1, episodes, now_ms);
+                self.failure_estimate.good(1, episode_model, now_ms);
                 self.note_latency(time_ms / routes[route.0 as usize].latency.median_ms(), now_ms);
                 false
             }
             Outcome::Expired => {
                 let share = slower_share.max(routes[route.0 as usize].expired_share());
                 match share >= EXPIRES_EVERYWHERE_SHARE {
-                    true => self.note_unanswered(share, episodes, now_ms),
-                    false => self.note_bad(episodes, now_ms),
+                    true => self.note_unanswered(share, episode_model, now_ms),
+                    false => self.note_bad(episode_model, now_ms),
                 }
             }
-            Outcome::Bad => self.note_bad(episodes, now_ms),
-            Outcome::Abandoned => self.note_unanswered(slower_share, episodes, now_ms),
+            Outcome::Bad => self.note_bad(episode_model, now_ms),
+            Outcome::Abandoned => self.note_unanswered(slower_share, episode_model, now_ms),
         }
     }
 
     /// Records a failure.
-    fn note_bad(&mut self, episodes: &mut EpisodeModel, now_ms: u64) -> bool {
+    fn note_bad(&mut self, episode_model: &mut EpisodeModel, now_ms: u64) -> bool {
         self.bad += 1;
-        self.suspicion.bad(1, episodes, now_ms);
+        self.failure_estimate.bad(1, episode_model, now_ms);
         true
     }
 
     /// Records an attempt without an answer; `slower_share` is the share of sound answers that take
     /// longer. Returns whether it counts as a failure.
-    fn note_unanswered(&mut self, slower_share: f64, episodes: &EpisodeModel, now_ms: u64) -> bool {
-        let is_bad = self.suspicion.unanswered(slower_share, episodes, now_ms);
+    fn note_unanswered(
+        &mut self,
+        slower_share: f64,
+        episode_model: &EpisodeModel,
+        now_ms: u64,
+    ) -> bool {
+        let is_bad = self.failure_estimate.unanswered(slower_share, episode_model, now_ms);
         self.bad += u64::from(is_bad);
         is_bad
     }
 
     /// Tells whether its recent outcomes suggested that it was sound.
-    pub fn was_sound(&self, episodes: &EpisodeModel, now_ms: u64) -> bool {
-        self.suspicion.failure_chance(1.0, episodes, now_ms) < SOUND_FAILURE_CHANCE
+    pub fn was_sound(&self, episode_model: &EpisodeModel, now_ms: u64) -> bool {
+        self.failure_estimate.failure_chance(1.0, episode_model, now_ms) < SOUND_FAILURE_CHANCE
     }
 
     /// Returns the share of sound answers that take longer than a request has been in flight.
@@ -364,14 +372,14 @@
         route: RouteKey,
         until_ms: u64,
         routes: &Slab<RouteProfile>,
-        episodes: &EpisodeModel,
+        episode_model: &EpisodeModel,
         now_ms: u64,
     ) -> f64 {
         let request = RequestInFlight { since_ms, route };
         let by_now = self.slower_share(&request, routes, now_ms);
         let by_then = self.slower_share(&request, routes, until_ms);
         let odds = self.overdue_odds(routes, now_ms);
-        let silent = self.suspicion.no_answer_chance(odds, by_now, episodes, now_ms);
+        let silent = self.failure_estimate.no_answer_chance(odds, by_now, episode_model, now_ms);
         silent + (1.0 - silent) * (by_then / by_now).min(1.0)
     }
 
@@ -385,7 +393,7 @@
     ///
     /// The first report of a VM is only a baseline, as its counts may be old. A first report with a
     /// single outcome counts, as that outcome triggered it.
-    pub fn report(&mut self, vm: u64, report: Report, episodes: &mut EpisodeModel) -> bool {
+    pub fn report(&mut self, vm: u64, report: Report, episode_model: &mut EpisodeModel) -> bool {
         if self.reports.len() >= REPORTS_LIMIT {
             let now_ms = report.heard_ms;
             self.reports
@@ -402,8 +410,8 @@
         self.reached_ms = self.reached_ms.max(report.reached_ms.unwrap_or(0));
         let (good, bad) =
             (report.good.saturating_sub(before.good), report.bad.saturating_sub(before.bad));
-        self.suspicion.good(good, episodes, report.heard_ms);
-        self.suspicion.bad(bad, episodes, report.heard_ms);
+        self.failure_estimate.good(good, episode_model, report.heard_ms);
+        self.failure_estimate.bad(bad, episode_model, report.heard_ms);
         report.in_flight < before.in_flight
     }
 
--- a/crates/leverstream-core/src/fleet/leaving.rs
+++ b/crates/leverstream-core/src/fleet/leaving.rs
@@ -99,7 +99,7 @@
     pub fn candidates(&self, service: &str, now_ms: u64, rng: &mut impl Rng) -> Candidates {
         let last_resorts = || {
             let keys: Vec<BackendKey> = self.last_resorts(service, now_ms).collect();
-            Candidates { known: keys.len(), keys, stands_for: 1.0 }
+            Candidates { known: keys.len(), keys, sample_weight: 1.0 }
         };
         let roster = self.rosters.get(service).filter(|roster| !roster.keys().is_empty());
         let mut candidates = roster.map_or_else(last_resorts, |roster| roster.candidates(rng));
--- a/crates/leverstream-core/src/fleet/roster.rs
+++ b/crates/leverstream-core/src/fleet/roster.rs
@@ -54,7 +54,7 @@
     /// The number of keys considered individually.
     pub known: usize,
     /// The number of backend servers that each sampled key represents.
-    pub stands_for: f64,
+    pub sample_weight: f64,
 }
 
 impl Candidates {
@@ -113,7 +113,7 @@
     pub fn candidates(&self, rng: &mut impl Rng) -> Candidates {
         if self.keys.len() <= FULL_SCAN_LIMIT {
             let known = self.keys.len();
-            return Candidates { keys: self.keys.clone(), known, stands_for: 1.0 };
+            return Candidates { keys: self.keys.clone(), known, sample_weight: 1.0 };
         }
         let recent = self.recent.iter().rev().take(RECENT_LIMIT);
         let (observations, mut keys): (Vec<u64>, Vec<BackendKey>) = recent.unzip();
@@ -124,7 +124,7 @@
         let sample = sample.iter().map(|index| self.keys[index]);
         keys.extend(sample.filter(|key| !is_known(key)));
         let rest = self.keys.len() - known;
-        let stands_for = rest as f64 / (keys.len() - known).max(1) as f64;
-        Candidates { keys, known, stands_for }
+        let sample_weight = rest as f64 / (keys.len() - known).max(1) as f64;
+        Candidates { keys, known, sample_weight }
     }
 }
--- a/crates/leverstream-core/src/select.rs
+++ b/crates/leverstream-core/src/select.rs
@@ -71,7 +71,7 @@
     now_ms: u64,
     rng: &mut impl Rng,
 ) -> Option<Pick> {
-    let Candidates { keys, known, stands_for } = fleet.candidates(request.service, now_ms, rng);
+    let Candidates { keys, known, sample_weight } = fleet.candidates(request.service, now_ms, rng);
     let origin = RequestOrigin {
         hall: request.hall,
         far_cost: FAR_COST + FAILURE_COST * request.far_bytes_cost,
@@ -79,7 +79,7 @@
     };
     let mut choices: Vec<Choice> =
         keys.iter().map(|key| fleet.choice(*key, &origin, now_ms)).collect();
-    choices.iter_mut().skip(known).for_each(|choice| choice.sample_weight = stands_for);
+    choices.iter_mut().skip(known).for_each(|choice| choice.sample_weight = sample_weight);
     let floor = Floor {
         share: request.floor_share,
         requests_fail: request.requests_fail,
--- a/crates/leverstream-core/tests/roster.rs
+++ b/crates/leverstream-core/tests/roster.rs
@@ -76,12 +76,12 @@
     let report = Report { good: 1, overdue_odds: 1.0, heard_ms: 700, ..Report::default() };
     assert!(!fleet.report(&Incarnation { instance: "b3999".into(), born_ms: 0 }, 7, report));
     for seed in 0..20 {
-        let Candidates { keys: considered, known, stands_for } = candidates(&fleet, seed);
+        let Candidates { keys: considered, known, sample_weight } = candidates(&fleet, seed);
         let distinct: BTreeSet<&BackendKey> = considered.iter().collect();
         assert_eq!(distinct.len(), considered.len(), "no duplicates");
         assert!(considered[..known].contains(&keys[3_999]));
         assert!(keys[120..300].iter().all(|key| considered[..known].contains(key)));
-        let all = known as f64 + stands_for * (considered.len() - known) as f64;
+        let all = known as f64 + sample_weight * (considered.len() - known) as f64;
         assert!((all - 4_000.0).abs() < 1e-6, "{all}");
     }
 }
--- a/crates/leverstream-health/src/episodes.rs
+++ b/crates/leverstream-health/src/episodes.rs
@@ -135,7 +135,7 @@
     }
 
     /// The chance that a request fails at a backend server without recent outcomes.
-    pub fn unseen_failure_chance(&self) -> f64 {
+    pub fn unobserved_failure_chance(&self) -> f64 {
         self.failure_chance(self.share)
     }
 
--- a/crates/leverstream-health/tests/suspicion.rs
+++ b/crates/leverstream-health/tests/suspicion.rs
@@ -216,5 +216,9 @@
         failing.iter_mut().for_each(|estimate| estimate.bad(1, &mut model, now_ms));
         others_answer(&mut model, now_ms);
     }
-    assert!(model.unseen_failure_chance() < AVOID_FROM, "{}", model.unseen_failure_chance());
+    assert!(
+        model.unobserved_failure_chance() < AVOID_FROM,
+        "{}",
+        model.unobserved_failure_chance()
+    );
 }
