--- a/crates/leverstream-bench/src/capacity/choosing.rs
+++ b/crates/leverstream-bench/src/capacity/choosing.rs
@@ -6,7 +6,7 @@
 use super::{Allocated, growth, line, time_us};
 
 /// How many VMs share the traffic.
-const SHARERS: u64 = 35;
+const ENTRY_VMS: u64 = 35;
 
 /// The data halls.
 const HALLS: usize = 5;
@@ -39,7 +39,7 @@
     for (at, key) in keys.iter().take(count / 2).enumerate() {
         let now_ms = 1_000 + at as u64 * 500 / count as u64;
         let of = fleet.incarnation(*key);
-        (0..SHARERS).for_each(|vm| {
+        (0..ENTRY_VMS).for_each(|vm| {
             fleet.report(&of, vm, report(now_ms));
         });
         fleet.begin_request(*key, route, now_ms);
--- a/crates/leverstream-bench/src/decide/run.rs
+++ b/crates/leverstream-bench/src/decide/run.rs
@@ -454,11 +454,15 @@
     }
 
     /// A request as the rule of hedges sees it.
-    fn pending<'b>(&self, index: usize, flights: &'b [(BackendKey, u64)]) -> PendingRequest<'b> {
+    fn pending<'b>(
+        &self,
+        index: usize,
+        sends_in_flight: &'b [(BackendKey, u64)],
+    ) -> PendingRequest<'b> {
         let arrived_ms = self.requests[index].arrived_ms;
         PendingRequest {
             route: self.route,
-            flights,
+            sends_in_flight,
             on_time_ms: arrived_ms + self.shape.objective_ms,
             deadline_ms: arrived_ms + self.shape.timeout_ms,
         }
--- a/crates/leverstream-bench/src/wide/run.rs
+++ b/crates/leverstream-bench/src/wide/run.rs
@@ -293,7 +293,7 @@
     fn pick(&mut self, index: usize, now_ms: u64) -> Option<BackendKey> {
         let request = &self.requests[index];
         let stream = self.stream(request.is_again);
-        let sharers = self.vms.len() as f64;
+        let entry_vms = self.vms.len() as f64;
         let vm = &self.vms[request.vm];
         let is_repeatable = request.is_again && request.tried.len() + 1 < ATTEMPTS;
         let want = PickRequest {
@@ -306,7 +306,7 @@
             objective_ms: stream.objective_ms,
             floor_share: FLOOR,
             requests_fail: vm.demand.is_failing(is_repeatable, now_ms),
-            requests_per_s: vm.demand.per_s(now_ms).map(|per_s| per_s * sharers),
+            requests_per_s: vm.demand.per_s(now_ms).map(|per_s| per_s * entry_vms),
         };
         choose(&vm.fleet, &want, now_ms, &mut self.rng).map(|pick| pick.key)
     }
@@ -499,12 +499,16 @@
     }
 
     /// A request as the rule of hedges sees it.
-    fn pending<'b>(&self, index: usize, flights: &'b [(BackendKey, u64)]) -> PendingRequest<'b> {
+    fn pending<'b>(
+        &self,
+        index: usize,
+        sends_in_flight: &'b [(BackendKey, u64)],
+    ) -> PendingRequest<'b> {
         let Request { vm, is_again, arrived_ms, .. } = self.requests[index];
         let stream = self.stream(is_again);
         PendingRequest {
             route: self.vms[vm].routes[usize::from(is_again)],
-            flights,
+            sends_in_flight,
             on_time_ms: arrived_ms + stream.objective_ms,
             deadline_ms: arrived_ms + stream.timeout_ms,
         }
--- a/crates/leverstream-core/src/hedge.rs
+++ b/crates/leverstream-core/src/hedge.rs
@@ -27,7 +27,7 @@
     /// Its route.
     pub route: RouteKey,
     /// The backend servers that it was sent to, with the send times.
-    pub flights: &'a [(BackendKey, u64)],
+    pub sends_in_flight: &'a [(BackendKey, u64)],
     /// The time by which the answer meets the objective.
     pub on_time_ms: u64,
     /// The time after which the answer is useless.
@@ -44,7 +44,7 @@
     let miss = |(key, since_ms): &(BackendKey, u64)| {
         fleet.miss_chance(*key, pending.route, *since_ms, until_ms, now_ms)
     };
-    let miss_chance: f64 = pending.flights.iter().map(miss).product();
+    let miss_chance: f64 = pending.sends_in_flight.iter().map(miss).product();
     let left_ms = until_ms.saturating_sub(now_ms) as f64;
     miss_chance * (1.0 - latency.slower_share(left_ms))
 }
@@ -68,7 +68,8 @@
     if hedge_gain(fleet, pending, now_ms) >= MIN_GAIN {
         return interval_ms;
     }
-    let last_ms = pending.flights.iter().map(|(_, since_ms)| *since_ms).max().unwrap_or(now_ms);
+    let last_ms =
+        pending.sends_in_flight.iter().map(|(_, since_ms)| *since_ms).max().unwrap_or(now_ms);
     let first_ms = (last_ms + median_ms as u64).saturating_sub(now_ms);
     first_ms.max(interval_ms)
 }
--- a/crates/leverstream-core/src/words.rs
+++ b/crates/leverstream-core/src/words.rs
@@ -16,7 +16,7 @@
 
 /// The minimum time between two comparisons at other VMs, in milliseconds: they get few callers,
 /// and a list of a hundred notices takes 5 kB.
-const NON_SHARER_COMPARE_PAUSE_MS: u64 = 1_000;
+const NON_ENTRY_VM_COMPARE_PAUSE_MS: u64 = 1_000;
 
 /// The state of the comparisons with other VMs.
 #[derive(Clone, Copy, Debug, Default)]
@@ -54,13 +54,13 @@
         &mut self,
         theirs: u64,
         fleet: &Fleet,
-        is_sharer: bool,
+        is_entry_vm: bool,
         now_ms: u64,
     ) -> Option<Notices> {
         if theirs == fleet.notices_fingerprint() {
             return None;
         }
-        let pause_ms = if is_sharer { COMPARE_PAUSE_MS } else { NON_SHARER_COMPARE_PAUSE_MS };
+        let pause_ms = if is_entry_vm { COMPARE_PAUSE_MS } else { NON_ENTRY_VM_COMPARE_PAUSE_MS };
         let is_recent = |at_ms: u64| now_ms.saturating_sub(at_ms) < pause_ms;
         if self.compared_ms.is_some_and(is_recent) {
             return None;
--- a/crates/leverstream-core/tests/hedge.rs
+++ b/crates/leverstream-core/tests/hedge.rs
@@ -34,9 +34,13 @@
 fn gain(answer_ms: f64, under_way_ms: u64) -> f64 {
     let (mut fleet, key, route) = fleet(answer_ms);
     fleet.begin_request(key, route, 1_000);
-    let flights = [(key, 1_000)];
-    let pending =
-        PendingRequest { route, flights: &flights, on_time_ms: 1_600, deadline_ms: 2_000 };
+    let sends_in_flight = [(key, 1_000)];
+    let pending = PendingRequest {
+        route,
+        sends_in_flight: &sends_in_flight,
+        on_time_ms: 1_600,
+        deadline_ms: 2_000,
+    };
     hedge_gain(&fleet, &pending, 1_000 + under_way_ms)
 }
 
@@ -64,9 +68,13 @@
 fn the_first_hedge_check_is_at_the_median_latency() {
     let (mut fleet, key, route) = fleet(200.0);
     fleet.begin_request(key, route, 1_000);
-    let flights = [(key, 1_000)];
-    let pending =
-        PendingRequest { route, flights: &flights, on_time_ms: 1_600, deadline_ms: 2_000 };
+    let sends_in_flight = [(key, 1_000)];
+    let pending = PendingRequest {
+        route,
+        sends_in_flight: &sends_in_flight,
+        on_time_ms: 1_600,
+        deadline_ms: 2_000,
+    };
     let first_ms = next_hedge_check_ms(&fleet, &pending, 1_000);
     assert!((180..=220).contains(&first_ms), "{first_ms}");
     let next_ms = next_hedge_check_ms(&fleet, &pending, 1_300);
@@ -81,9 +89,13 @@
         fleet.end_request(key, 1_000 + at, route, Outcome::Bad, 1_000 + at);
     }
     fleet.begin_request(key, route, 1_010);
-    let flights = [(key, 1_010)];
-    let pending =
-        PendingRequest { route, flights: &flights, on_time_ms: 1_610, deadline_ms: 2_010 };
+    let sends_in_flight = [(key, 1_010)];
+    let pending = PendingRequest {
+        route,
+        sends_in_flight: &sends_in_flight,
+        on_time_ms: 1_610,
+        deadline_ms: 2_010,
+    };
     assert!(next_hedge_check_ms(&fleet, &pending, 1_010) < 60);
 }
 
--- a/crates/leverstream-core/tests/leaving/mod.rs
+++ b/crates/leverstream-core/tests/leaving/mod.rs
@@ -26,7 +26,7 @@
 const OTHERS_NOTIFIED: usize = 48;
 
 /// One request in this many goes to a random VM.
-const NON_SHARER_ONE_IN: u32 = 20;
+const NON_ENTRY_VM_ONE_IN: u32 = 20;
 
 /// The size of a datagram without incarnations, and of each incarnation, in bytes.
 const DATAGRAM_BYTES: (u64, u64) = (30, 45);
@@ -37,7 +37,7 @@
     /// The number of VMs.
     pub vms: usize,
     /// The number of VMs that share the traffic.
-    pub sharers: usize,
+    pub entry_vms: usize,
     /// The number of backend servers.
     pub servers: usize,
     /// The number of backend servers that leave, from one second on.
@@ -127,7 +127,7 @@
 struct Simulation {
     /// The parameters.
     scenario: Scenario,
-    /// The VMs; the first `sharers` share the traffic.
+    /// The VMs; the first `entry_vms` share the traffic.
     vms: Vec<Vm>,
     /// When each backend server first announced to any VM that it leaves.
     first_announced_ms: HashMap<usize, u64>,
@@ -262,15 +262,15 @@
         if self.rng.random_range(0..1_000) < self.scenario.requests_per_s {
             self.request(now_ms);
         }
-        let sharers = self.scenario.sharers;
+        let entry_vms = self.scenario.entry_vms;
         for vm in 0..self.scenario.vms {
             if (now_ms + vm as u64).is_multiple_of(PING_MS) {
                 let to = self.rng.random_range(0..self.scenario.vms);
                 self.send_fingerprint(vm, to, now_ms);
                 self.send_fingerprint(to, vm, now_ms);
             }
-            if vm < sharers && (now_ms + vm as u64).is_multiple_of(EVIDENCE_MS) {
-                (0..sharers).for_each(|to| self.send_fingerprint(vm, to, now_ms));
+            if vm < entry_vms && (now_ms + vm as u64).is_multiple_of(EVIDENCE_MS) {
+                (0..entry_vms).for_each(|to| self.send_fingerprint(vm, to, now_ms));
             }
         }
         let available_ms = self.scenario.store_available_ms;
@@ -297,10 +297,10 @@
 
     /// Sends a caller's request to a VM.
     fn request(&mut self, now_ms: u64) {
-        let is_any_vm = self.rng.random_range(0..NON_SHARER_ONE_IN) == 0;
+        let is_any_vm = self.rng.random_range(0..NON_ENTRY_VM_ONE_IN) == 0;
         let at = self
             .rng
-            .random_range(0..if is_any_vm { self.scenario.vms } else { self.scenario.sharers });
+            .random_range(0..if is_any_vm { self.scenario.vms } else { self.scenario.entry_vms });
         if self.vms[at].down_until_ms > now_ms {
             return;
         }
@@ -364,10 +364,10 @@
             self.first_announced_ms.entry(server).or_insert(now_ms);
         }
         if is_news {
-            let mut others: Vec<usize> = (self.scenario.sharers..self.scenario.vms).collect();
+            let mut others: Vec<usize> = (self.scenario.entry_vms..self.scenario.vms).collect();
             others.truncate(OTHERS_NOTIFIED);
-            let sharers = 0..self.scenario.sharers;
-            sharers
+            let entry_vms = 0..self.scenario.entry_vms;
+            entry_vms
                 .chain(others)
                 .for_each(|to| self.send_notices(at, to, vec![server], false, now_ms));
         }
@@ -391,9 +391,9 @@
 
     /// Handles another VM's fingerprint.
     fn compare(&mut self, from: usize, to: usize, fingerprint: u64, now_ms: u64) {
-        let is_sharer = to < self.scenario.sharers;
+        let is_entry_vm = to < self.scenario.entry_vms;
         let vm = &mut self.vms[to];
-        if let Some(notices) = vm.notice_sync.compare(fingerprint, &vm.fleet, is_sharer, now_ms) {
+        if let Some(notices) = vm.notice_sync.compare(fingerprint, &vm.fleet, is_entry_vm, now_ms) {
             self.send_notices(
                 to,
                 from,
--- a/crates/leverstream-core/tests/leaving_fleet.rs
+++ b/crates/leverstream-core/tests/leaving_fleet.rs
@@ -16,7 +16,7 @@
 fn scenario(vms: usize, seed: u64) -> Scenario {
     Scenario {
         vms,
-        sharers: 3,
+        entry_vms: 3,
         servers: 12,
         leaving: 4,
         over_ms: 3_000,
@@ -94,7 +94,7 @@
 /// several hundred VMs.
 fn rolling_replacement(vms: usize, servers: usize, over_ms: u64) -> Observations {
     simulate(Scenario {
-        sharers: 6,
+        entry_vms: 6,
         servers,
         leaving: servers / 3,
         over_ms,
@@ -139,7 +139,7 @@
         });
     }
     Scenario {
-        sharers: rng.random_range(1..=3),
+        entry_vms: rng.random_range(1..=3),
         servers: rng.random_range(4..14),
         leaving: rng.random_range(1..4),
         store_available_ms: rng.random_range(2_000..10_000),
--- a/crates/leverstream-gateway/src/forward.rs
+++ b/crates/leverstream-gateway/src/forward.rs
@@ -84,7 +84,7 @@
     /// The backend servers that the request was sent to.
     tried: RefCell<Vec<BackendKey>>,
     /// The sends in flight, with their start times.
-    flights: RefCell<Vec<(BackendKey, u64)>>,
+    sends_in_flight: RefCell<Vec<(BackendKey, u64)>>,
 }
 
 impl Sends {
@@ -186,7 +186,7 @@
         sends.tried.borrow_mut().push(slot.key);
         sends.count.set(sends.count.get() + 1);
         let in_flight = (slot.key, slot.since_ms);
-        sends.flights.borrow_mut().push(in_flight);
+        sends.sends_in_flight.borrow_mut().push(in_flight);
         sends.pick.set(Some(slot.pick));
         let instance = self.inner.fleet.borrow().target(slot.key).1.to_owned();
         sends.backend.replace(instance);
@@ -196,7 +196,7 @@
         let result =
             attempt(self.inner, slot, self.request, is_repeatable, self.deadline_ms, may_send)
                 .await;
-        sends.flights.borrow_mut().retain(|other| *other != in_flight);
+        sends.sends_in_flight.borrow_mut().retain(|other| *other != in_flight);
         sends
             .unsent
             .set(sends.unsent.get() + u32::from(matches!(result, AttemptResult::NotSent(_))));
@@ -325,19 +325,19 @@
 
     /// Returns the time until the next check whether a hedge is due.
     fn next_hedge_check_ms(&self, sends: &Sends) -> u64 {
-        let flights = sends.flights.borrow();
-        if flights.is_empty() {
+        let sends_in_flight = sends.sends_in_flight.borrow();
+        if sends_in_flight.is_empty() {
             return SLOT_CHECK_INTERVAL_MS;
         }
         let fleet = self.inner.fleet.borrow();
-        next_hedge_check_ms(&fleet, &self.pending(&flights), self.inner.now_ms())
+        next_hedge_check_ms(&fleet, &self.pending(&sends_in_flight), self.inner.now_ms())
     }
 
     /// Returns the sends in flight in the form that the hedging rules use.
-    fn pending<'b>(&self, flights: &'b [(BackendKey, u64)]) -> PendingRequest<'b> {
+    fn pending<'b>(&self, sends_in_flight: &'b [(BackendKey, u64)]) -> PendingRequest<'b> {
         PendingRequest {
             route: self.route_key,
-            flights,
+            sends_in_flight,
             on_time_ms: self.arrived_ms + self.route.objective_ms,
             deadline_ms: self.deadline_ms,
         }
@@ -347,20 +347,20 @@
     /// allows it.
     fn hedge_slot(&self, summary: &SendSummary, sends: &Sends) -> Option<Slot> {
         let now_ms = self.inner.now_ms();
-        let flights = sends.flights.borrow();
-        if now_ms < sends.no_hedge_until_ms.get() || flights.is_empty() {
+        let sends_in_flight = sends.sends_in_flight.borrow();
+        if now_ms < sends.no_hedge_until_ms.get() || sends_in_flight.is_empty() {
             return None;
         }
-        if summary.ran + flights.len() as u32 >= self.route.attempts {
+        if summary.ran + sends_in_flight.len() as u32 >= self.route.attempts {
             return None;
         }
         // A request that may end a backend server is in flight at one backend server at a time.
         if self.inner.suspect_tracker.verdict(self.request) != Verdict::Free {
             return None;
         }
-        let gain = hedge_gain(&self.inner.fleet.borrow(), &self.pending(&flights), now_ms);
-        let sharers = self.inner.mesh.entry_set.count();
-        let used_share = self.inner.repeats.used_share(self.service, sharers, now_ms);
+        let gain = hedge_gain(&self.inner.fleet.borrow(), &self.pending(&sends_in_flight), now_ms);
+        let entry_vms = self.inner.mesh.entry_set.count();
+        let used_share = self.inner.repeats.used_share(self.service, entry_vms, now_ms);
         if !is_hedge_worthwhile(gain, used_share) {
             return None;
         }
@@ -372,7 +372,7 @@
         }
         let id = self.request.id.as_deref().unwrap_or("-");
         let gain = (gain * 100.0).round() / 100.0;
-        info!(id, route = self.route.name, under_way = flights.len(), gain, "hedge");
+        info!(id, route = self.route.name, under_way = sends_in_flight.len(), gain, "hedge");
         Some(slot)
     }
 
--- a/crates/leverstream-gateway/src/slot.rs
+++ b/crates/leverstream-gateway/src/slot.rs
@@ -137,7 +137,7 @@
     let mut fleet = inner.fleet.borrow_mut();
     let demand = &inner.services.borrow()[request.service].demand;
     let requests_fail = demand.is_failing(request.is_repeatable, now_ms);
-    let sharers = inner.mesh.entry_set.count() as f64;
+    let entry_vms = inner.mesh.entry_set.count() as f64;
     let bytes = request.bytes as f64 + fleet.route(request.route).answer_bytes();
     let pick_request = PickRequest {
         service: request.service,
@@ -149,7 +149,7 @@
         objective_ms: request.objective_ms,
         floor_share: inner.settings.floor.aim(),
         requests_fail,
-        requests_per_s: demand.per_s(now_ms).map(|per_s| per_s * sharers),
+        requests_per_s: demand.per_s(now_ms).map(|per_s| per_s * entry_vms),
     };
     let pick = choose(&fleet, &pick_request, now_ms, &mut rand::rng())?;
     fleet.begin_request(pick.key, request.route, now_ms);
