--- a/crates/leverstream-core/src/fleet/backend_state.rs
+++ b/crates/leverstream-core/src/fleet/backend_state.rs
@@ -5,7 +5,7 @@
 
 use leverstream_catalog::{Backend, Incarnation};
 use leverstream_health::{BackendKey, EpisodeModel, FailureEstimate};
-use leverstream_route::{Choice, Claim, FloorStanding};
+use leverstream_route::{Choice, Claim, FloorState};
 use slab::Slab;
 
 use crate::RouteProfile;
@@ -230,7 +230,7 @@
             failure_chance,
             slowness: self.decayed_slowness(now_ms),
             unobserved_failure_chance: episode_model.unobserved_failure_chance(),
-            standing: self.floor_standing(now_ms),
+            floor_state: self.floor_state(now_ms),
             claim: Claim::None,
             is_tried: origin.tried.contains(&key),
             sample_weight: 1.0,
@@ -238,12 +238,12 @@
     }
 
     /// Returns its state with respect to the floor.
-    fn floor_standing(&self, now_ms: u64) -> FloorStanding {
+    fn floor_state(&self, now_ms: u64) -> FloorState {
         let is_sound =
             self.failure_estimate.bad_age_ms(now_ms).is_none_or(|age_ms| age_ms >= SOUND_AFTER_MS);
         let is_steady = self.decayed_slowness(now_ms) < SLOW_FACTOR
             && now_ms.saturating_sub(self.listed_ms) >= NEW_FOR_MS;
-        FloorStanding { is_sound, is_steady, unused_ms: self.unused_ms(now_ms) }
+        FloorState { is_sound, is_steady, unused_ms: self.unused_ms(now_ms) }
     }
 
     /// Returns the time since a request last reached it, in milliseconds; 0 if one is on its way.
--- a/crates/leverstream-core/src/floor.rs
+++ b/crates/leverstream-core/src/floor.rs
@@ -5,7 +5,7 @@
 //! [`NON_REPEATABLE_CLAIM_IDLE_MS`]. [`assign_claims`] marks the unused ones that the next request
 //! must or should go to.
 
-use leverstream_route::{Choice, Claim, FloorStanding};
+use leverstream_route::{Choice, Claim, FloorState};
 
 /// The idle time after which a repeatable request may claim a backend server, in milliseconds. It
 /// is shorter than for other requests, which lose more by a failure.
@@ -70,11 +70,11 @@
     };
     let is_low = used_share(choices) < share;
     for choice in choices.iter_mut() {
-        let is_idle = choice.standing.is_sound && choice.standing.unused_ms >= claim_idle_ms;
+        let is_idle = choice.floor_state.is_sound && choice.floor_state.unused_ms >= claim_idle_ms;
         let is_clear =
             !choice.is_in_doubt(is_repeatable) && (is_repeatable || choice.is_likely_sound());
         choice.claim = match is_idle {
-            true if fails && (is_clear || is_low) => Claim::Owed,
+            true if fails && (is_clear || is_low) => Claim::Required,
             true if is_low => Claim::Preferred,
             _ => Claim::None,
         };
@@ -88,11 +88,11 @@
 /// work, the share among all would hide that the others are idle.
 pub fn used_share(choices: &[Choice]) -> f64 {
     let share = |steady_only: bool| {
-        let is_counted = |standing: &FloorStanding| standing.is_steady || !steady_only;
+        let is_counted = |floor_state: &FloorState| floor_state.is_steady || !steady_only;
         let (mut used, mut counted) = (0.0, 0.0);
-        for choice in sound(choices).filter(|choice| is_counted(&choice.standing)) {
+        for choice in sound(choices).filter(|choice| is_counted(&choice.floor_state)) {
             counted += choice.sample_weight;
-            if choice.standing.unused_ms < NON_REPEATABLE_CLAIM_IDLE_MS {
+            if choice.floor_state.unused_ms < NON_REPEATABLE_CLAIM_IDLE_MS {
                 used += choice.sample_weight;
             }
         }
@@ -108,5 +108,5 @@
 
 /// Iterates over the sound backend servers.
 fn sound(choices: &[Choice]) -> impl Iterator<Item = &Choice> {
-    choices.iter().filter(|choice| choice.standing.is_sound)
+    choices.iter().filter(|choice| choice.floor_state.is_sound)
 }
--- a/crates/leverstream-core/tests/fleet.rs
+++ b/crates/leverstream-core/tests/fleet.rs
@@ -208,7 +208,7 @@
     assert!(evaluate(&fleet, key, true, 2_500).is_avoided(false), "its last failure is recent");
     assert!(evaluate(&fleet, key, false, 3_000).is_avoided(false), "the floor does not apply");
     let by_floor = evaluate(&fleet, key, true, 3_000);
-    assert!(!by_floor.is_avoided(false) && by_floor.claim == Claim::Owed);
+    assert!(!by_floor.is_avoided(false) && by_floor.claim == Claim::Required);
     fleet.begin_request(key, route, 3_000);
     fleet.note_reached(key, 3_001);
     assert!(
--- a/crates/leverstream-core/tests/floor.rs
+++ b/crates/leverstream-core/tests/floor.rs
@@ -4,7 +4,7 @@
 //! and many failing, with 170 requests a second.
 
 use leverstream_core::{Demand, Floor, assign_claims, used_share};
-use leverstream_route::{Choice, Claim, FloorStanding, choose_by_cost};
+use leverstream_route::{Choice, Claim, FloorState, choose_by_cost};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -17,7 +17,7 @@
     failure_chance: 0.03,
     slowness: 1.0,
     unobserved_failure_chance: 0.3,
-    standing: FloorStanding { is_sound: true, is_steady: true, unused_ms: 100 },
+    floor_state: FloorState { is_sound: true, is_steady: true, unused_ms: 100 },
     claim: Claim::None,
     is_tried: false,
     sample_weight: 1.0,
@@ -25,7 +25,7 @@
 
 /// A backend server that a request last reached `unused_ms` ago.
 fn unused(unused_ms: u64) -> Choice {
-    Choice { standing: FloorStanding { unused_ms, ..USED.standing }, ..USED }
+    Choice { floor_state: FloorState { unused_ms, ..USED.floor_state }, ..USED }
 }
 
 /// The floor of a failing service.
@@ -50,17 +50,17 @@
     // It is busy and slow, and its first request reached it 1.8 s ago; the share among all is above
     // the floor.
     let mut new = Choice { load: 1, slowness: 5.0, is_cold: true, ..unused(1_800) };
-    new.standing.is_steady = false;
+    new.floor_state.is_steady = false;
     let mut all = vec![USED; 20];
     all.push(new);
-    assert_eq!(claimed(&all, FAILING, false), Claim::Owed);
+    assert_eq!(claimed(&all, FAILING, false), Claim::Required);
     assert_eq!(claimed(&all, QUIET, false), Claim::None);
 }
 
 #[test]
 fn repeatable_requests_claim_earlier() {
     let all = [USED, USED, USED, unused(1_300)];
-    assert_eq!(claimed(&all, FAILING, true), Claim::Owed);
+    assert_eq!(claimed(&all, FAILING, true), Claim::Required);
     assert_eq!(claimed(&all, FAILING, false), Claim::None);
 }
 
@@ -69,8 +69,8 @@
     let doubtful = Choice { failure_chance: 0.7, ..unused(3_000) };
     assert_eq!(claimed(&[USED, USED, USED, doubtful], FAILING, false), Claim::None);
     assert_eq!(claimed(&[USED, USED, USED, doubtful], ATTEMPTS, true), Claim::None);
-    assert_eq!(claimed(&[USED, USED, doubtful, doubtful], FAILING, true), Claim::Owed);
-    assert_eq!(claimed(&[USED, USED, doubtful, doubtful], FAILING, false), Claim::Owed);
+    assert_eq!(claimed(&[USED, USED, doubtful, doubtful], FAILING, true), Claim::Required);
+    assert_eq!(claimed(&[USED, USED, doubtful, doubtful], FAILING, false), Claim::Required);
 }
 
 #[test]
@@ -79,7 +79,7 @@
     // subset.
     let doubtful = Choice { failure_chance: 0.7, ..unused(3_000) };
     let nine_in_ten = [vec![USED; 9], vec![doubtful]].concat();
-    assert_eq!(claimed(&nine_in_ten, FAILING, true), Claim::Owed);
+    assert_eq!(claimed(&nine_in_ten, FAILING, true), Claim::Required);
     assert_eq!(claimed(&nine_in_ten, FAILING, false), Claim::None);
     let nearly_all = [vec![USED; 24], vec![doubtful]].concat();
     assert_eq!(claimed(&nearly_all, FAILING, true), Claim::None);
@@ -89,12 +89,12 @@
 fn non_repeatable_requests_avoid_doubtful_backend_servers_while_only_attempts_fail() {
     let doubtful = Choice { failure_chance: 0.6, ..unused(3_000) };
     let below = [USED, USED, doubtful, doubtful];
-    assert_eq!(claimed(&below, ATTEMPTS, true), Claim::Owed);
+    assert_eq!(claimed(&below, ATTEMPTS, true), Claim::Required);
     assert_eq!(claimed(&below, ATTEMPTS, false), Claim::Preferred);
     // Such claims would make a failing service worse: three of ten unobserved backend servers fail
     // again.
     let in_question = Choice { failure_chance: 0.3, ..unused(3_000) };
-    assert_eq!(claimed(&[USED, USED, USED, USED, in_question], FAILING, true), Claim::Owed);
+    assert_eq!(claimed(&[USED, USED, USED, USED, in_question], FAILING, true), Claim::Required);
     assert_eq!(claimed(&[USED, USED, USED, USED, in_question], FAILING, false), Claim::None);
     // It has no observations, and most of the others fail.
     let unseen = Choice { unobserved_failure_chance: 0.6, ..doubtful };
@@ -104,7 +104,7 @@
 #[test]
 fn a_backend_server_that_failed_recently_is_not_claimed() {
     let mut failed = unused(5_000);
-    failed.standing.is_sound = false;
+    failed.floor_state.is_sound = false;
     assert_eq!(claimed(&[failed, failed], FAILING, true), Claim::None);
 }
 
@@ -157,7 +157,7 @@
                 works[at].retain(|end_ms| *end_ms > now_ms);
                 let mut choice = unused(now_ms - reached_ms[at]);
                 choice.load = works[at].len() as u32;
-                choice.standing.is_steady = !is_new(at);
+                choice.floor_state.is_steady = !is_new(at);
                 choice.slowness = if is_new(at) { 5.0 } else { 1.0 };
                 choice.failure_chance = if is_doubtful(at) { 0.7 } else { 0.05 };
                 choice
--- a/crates/leverstream-gateway/src/attempt.rs
+++ b/crates/leverstream-gateway/src/attempt.rs
@@ -360,7 +360,7 @@
         let id = request.id.as_deref().unwrap_or("-");
         let choice = slot.pick.choice;
         let (load, slots) = (choice.load, choice.slots);
-        let (is_far, is_owed) = (choice.is_far(), choice.claim == Claim::Owed);
+        let (is_far, is_owed) = (choice.is_far(), choice.claim == Claim::Required);
         let failure_chance = slot.pick.failure_chance();
         info!(
             id,
--- a/crates/leverstream-gateway/src/serve.rs
+++ b/crates/leverstream-gateway/src/serve.rs
@@ -194,7 +194,7 @@
         let failure_chance = pick.map_or(0.0, |pick| pick.failure_chance());
         let among = pick.map_or(0, |pick| pick.among);
         let avoided = pick.map_or(0, |pick| pick.avoided);
-        let is_owed = pick.is_some_and(|pick| pick.choice.claim == Claim::Owed);
+        let is_owed = pick.is_some_and(|pick| pick.choice.claim == Claim::Required);
         let is_far = pick.is_some_and(|pick| pick.choice.is_far());
         info!(
             id,
--- a/crates/leverstream-route/src/cost.rs
+++ b/crates/leverstream-route/src/cost.rs
@@ -31,7 +31,7 @@
 /// The cost reduction for a backend server that the floor requires to get work. It outweighs the
 /// cost of any doubt, so of several such servers the one with the lowest chance of failure gets the
 /// request, unless it is full.
-const OWED_CREDIT: f64 = 10.0;
+const REQUIRED_CREDIT: f64 = 10.0;
 
 /// The cost reduction for an idle backend server while too few sound ones have work: about as much
 /// as its rising chance of failure adds after some seconds without observations, when a third of
@@ -60,7 +60,7 @@
     /// observed for long.
     pub unobserved_failure_chance: f64,
     /// Its state with regard to the floor.
-    pub standing: FloorStanding,
+    pub floor_state: FloorState,
     /// What the floor requires for it.
     pub claim: Claim,
     /// Whether this request was already sent there.
@@ -72,7 +72,7 @@
 /// The state of a backend server with regard to the floor, the share of sound backend servers that
 /// must have work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FloorStanding {
+pub struct FloorState {
     /// Whether it counts as sound, that is, has not failed recently.
     pub is_sound: bool,
     /// Whether it is neither slow nor new.
@@ -89,7 +89,7 @@
     /// It is idle while too few sound ones have work, so it is preferred.
     Preferred,
     /// It must get work, even if it is in doubt.
-    Owed,
+    Required,
 }
 
 impl Choice {
@@ -103,14 +103,14 @@
         let credit = match self.claim {
             Claim::None => 0.0,
             Claim::Preferred => IDLE_CREDIT,
-            Claim::Owed => OWED_CREDIT,
+            Claim::Required => REQUIRED_CREDIT,
         };
         load * self.slowness + self.far_cost + cold + failure_cost * self.failure_chance - credit
     }
 
     /// Returns whether it is avoided while others can take the request.
     pub fn is_avoided(&self, is_repeatable: bool) -> bool {
-        self.claim != Claim::Owed && self.is_in_doubt(is_repeatable)
+        self.claim != Claim::Required && self.is_in_doubt(is_repeatable)
     }
 
     /// Returns whether its chance of failure is low enough for a request that can't be repeated,
--- a/crates/leverstream-route/src/lib.rs
+++ b/crates/leverstream-route/src/lib.rs
@@ -15,7 +15,7 @@
 
 pub use asking::LoanRequests;
 pub use budget::RetryBudget;
-pub use cost::{Choice, Claim, FloorStanding, choose_by_cost};
+pub use cost::{Choice, Claim, FloorState, choose_by_cost};
 pub use fleet_budget::{FleetBudget, Headroom, LOAN_TTL_MS, MAX_WINDOW_MS, RetryAllowance};
 pub use pick::{Candidate, PickContext, Picker, Request, choose, picker, pickers};
 pub use queue::{Arrival, Queue, QueuePosition};
--- a/crates/leverstream-route/tests/cost.rs
+++ b/crates/leverstream-route/tests/cost.rs
@@ -1,6 +1,6 @@
 //! Tests of the choice of a backend server by cost.
 
-use leverstream_route::{Choice, Claim, FloorStanding, choose_by_cost};
+use leverstream_route::{Choice, Claim, FloorState, choose_by_cost};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use yare::parameterized;
@@ -14,7 +14,7 @@
     failure_chance: 0.02,
     slowness: 1.0,
     unobserved_failure_chance: 0.1,
-    standing: FloorStanding { is_sound: true, is_steady: true, unused_ms: 0 },
+    floor_state: FloorState { is_sound: true, is_steady: true, unused_ms: 0 },
     claim: Claim::None,
     is_tried: false,
     sample_weight: 1.0,
@@ -39,8 +39,8 @@
     failing_if_none_is_sound = { &[FAILING], Some(0) },
     preferred_by_the_floor = { &[SOUND, Choice { claim: Claim::Preferred, failure_chance: 0.1, ..SOUND }], Some(1) },
     preferred_but_failing = { &[SOUND, Choice { claim: Claim::Preferred, ..FAILING }], Some(0) },
-    owed = { &[SOUND, Choice { claim: Claim::Owed, far_cost: 0.4, ..SOUND }], Some(1) },
-    owed_but_full = { &[SOUND, Choice { claim: Claim::Owed, ..FULL }], Some(0) },
+    required = { &[SOUND, Choice { claim: Claim::Required, far_cost: 0.4, ..SOUND }], Some(1) },
+    required_but_full = { &[SOUND, Choice { claim: Claim::Required, ..FULL }], Some(0) },
     no_choices = { &[], None },
 )]
 fn choice_with_lowest_cost_is_chosen(choices: &[Choice], expected: Option<usize>) {
