--- a/crates/leverstream-bench/src/capacity.rs
+++ b/crates/leverstream-bench/src/capacity.rs
@@ -108,7 +108,7 @@
 /// A process's view of a fleet that all know.
 fn swim(number: usize, nodes: usize, halls: usize) -> Swim {
     let rng = StdRng::seed_from_u64(number as u64);
-    let mut swim = Swim::open(identity(number, halls), SwimSettings::default(), rng, 0);
+    let mut swim = Swim::new(identity(number, halls), SwimSettings::default(), rng, 0);
     let others = (0..nodes).filter(|other| *other != number);
     let updates: Vec<_> = others.map(|other| member(other, halls).to_update()).collect();
     swim.merge(&updates, 0);
@@ -389,7 +389,7 @@
     let rule = eject_rule("evidence").unwrap_or_else(|| panic!("the rule is built in"));
     let settings = HealthSettings::from(&ServiceRow::default());
     let open = || {
-        let mut health = Health::open(settings, rule, 0);
+        let mut health = Health::new(settings, rule, 0);
         for backend in 0..each {
             health.add(&format!("backend-{backend}"), 100, false, 0);
         }
--- a/crates/leverstream-bench/src/gray/driver.rs
+++ b/crates/leverstream-bench/src/gray/driver.rs
@@ -136,7 +136,7 @@
         let rule = eject_rule(policy.rule).unwrap_or_else(|| panic!("no rule {}", policy.rule));
         let pick = picker(policy.picker).unwrap_or_else(|| panic!("no picker {}", policy.picker));
         let vms = (0..VMS).map(|_| {
-            let mut health = Health::open(HealthSettings::from(&row), rule, 0);
+            let mut health = Health::new(HealthSettings::from(&row), rule, 0);
             for index in 0..deployment.backends {
                 health.add(&format!("b{index}"), 100, false, 0);
             }
--- a/crates/leverstream-core/src/fleet/backend_state.rs
+++ b/crates/leverstream-core/src/fleet/backend_state.rs
@@ -197,7 +197,7 @@
             reported_overdue_odds: 1.0,
             reports: HashMap::new(),
             busy_vms: Vec::new(),
-            failure_estimate: FailureEstimate::open(now_ms),
+            failure_estimate: FailureEstimate::new(now_ms),
             slowness: 1.0,
             slowness_at_ms: now_ms,
             good: 0,
--- a/crates/leverstream-gateway/src/mesh.rs
+++ b/crates/leverstream-gateway/src/mesh.rs
@@ -99,7 +99,7 @@
             far_one_in: FAR_PING_ONE_IN,
             ..SwimSettings::default()
         };
-        let mut swim = Swim::open(identity, swim_settings, rng, now_ms);
+        let mut swim = Swim::new(identity, swim_settings, rng, now_ms);
         swim.set_seeds(settings.peers.seeds.clone());
         Ok(Mesh {
             swim: RefCell::new(swim),
--- a/crates/leverstream-health/src/health.rs
+++ b/crates/leverstream-health/src/health.rs
@@ -142,7 +142,7 @@
 
 impl Health {
     /// Creates a view without backend servers.
-    pub fn open(settings: HealthSettings, rule: &'static EjectRule, now_ms: u64) -> Health {
+    pub fn new(settings: HealthSettings, rule: &'static EjectRule, now_ms: u64) -> Health {
         Health { settings, rule, backends: Vec::new(), ticked_ms: now_ms, typical_ms: 0.0 }
     }
 
--- a/crates/leverstream-health/src/suspicion.rs
+++ b/crates/leverstream-health/src/suspicion.rs
@@ -37,7 +37,7 @@
 impl FailureEstimate {
     /// Creates the estimate for a backend server without outcomes. It has just appeared, so it is
     /// assumed to be healthy.
-    pub fn open(now_ms: u64) -> FailureEstimate {
+    pub fn new(now_ms: u64) -> FailureEstimate {
         FailureEstimate {
             by_hypothesis: [MIN_EPISODE_CHANCE as f32; HYPOTHESES],
             chance: MIN_EPISODE_CHANCE,
--- a/crates/leverstream-health/tests/health.rs
+++ b/crates/leverstream-health/tests/health.rs
@@ -14,7 +14,7 @@
 fn warm(backends: usize, floor_percent: u8) -> Health {
     let row = ServiceRow { floor_percent, ..ServiceRow::default() };
     let rule = eject_rule("evidence").expect("the rule is built in");
-    let mut health = Health::open(HealthSettings::from(&row), rule, 0);
+    let mut health = Health::new(HealthSettings::from(&row), rule, 0);
     for index in 0..backends {
         let key = health.add(&format!("b{index}"), 100, false, 0);
         for _ in 0..100 {
@@ -101,7 +101,7 @@
     let row = ServiceRow::default();
     let rule = eject_rule("evidence").expect("the rule is built in");
     let fresh = || {
-        let mut health = Health::open(HealthSettings::from(&row), rule, 0);
+        let mut health = Health::new(HealthSettings::from(&row), rule, 0);
         for index in 0..4 {
             health.add(&format!("b{index}"), 100, false, 0);
         }
--- a/crates/leverstream-health/tests/suspicion.rs
+++ b/crates/leverstream-health/tests/suspicion.rs
@@ -15,13 +15,13 @@
 /// Records good answers of the service's other backend servers, so that its failures stay rare.
 fn others_answer(model: &mut EpisodeModel, now_ms: u64) {
     for _ in 0..25 {
-        FailureEstimate::open(now_ms).good(8, model, now_ms);
+        FailureEstimate::new(now_ms).good(8, model, now_ms);
     }
 }
 
 /// A backend server that has answered well until `now_ms`.
 fn healthy(model: &mut EpisodeModel, now_ms: u64) -> FailureEstimate {
-    let mut estimate = FailureEstimate::open(0);
+    let mut estimate = FailureEstimate::new(0);
     estimate.good(20, model, now_ms);
     estimate
 }
@@ -68,7 +68,7 @@
 #[test]
 fn a_good_answer_after_failures_does_not_clear_them() {
     let mut model = EpisodeModel::default();
-    let mut estimate = FailureEstimate::open(0);
+    let mut estimate = FailureEstimate::new(0);
     estimate.bad(4, &mut model, 1_000);
     others_answer(&mut model, 1_005);
     estimate.good(1, &mut model, 1_010);
@@ -80,7 +80,7 @@
 
 #[test]
 fn a_backend_without_outcomes_is_nearly_healthy() {
-    let (estimate, model) = (FailureEstimate::open(5_000), EpisodeModel::default());
+    let (estimate, model) = (FailureEstimate::new(5_000), EpisodeModel::default());
     assert!(estimate.failure_chance(1.0, &model, 5_000) < 0.05);
     assert_eq!(estimate.bad_age_ms(5_000), None);
 }
@@ -111,7 +111,7 @@
 #[test]
 fn a_long_episode_is_forgotten_within_seconds_of_good_answers() {
     let mut model = EpisodeModel::default();
-    let mut estimate = FailureEstimate::open(0);
+    let mut estimate = FailureEstimate::new(0);
     (0..100).for_each(|at| estimate.bad(1, &mut model, 10_000 + at * 100));
     assert!(is_avoided(&estimate, &model, 24_000), "an episode of ten seconds may continue");
     // The others of the service have answered in the meantime.
@@ -131,7 +131,7 @@
 /// every `period_ms` in turn, with requests every 200 ms unless they are avoided.
 fn learned(period_ms: u64, episode_ms: u64) -> EpisodeModel {
     let mut model = EpisodeModel::default();
-    let mut all = vec![FailureEstimate::open(0); 10];
+    let mut all = vec![FailureEstimate::new(0); 10];
     for now_ms in (0..300_000_u64).step_by(200) {
         for (index, estimate) in all.iter_mut().enumerate() {
             let phase_ms = (now_ms + index as u64 * period_ms / 10) % period_ms;
@@ -159,7 +159,7 @@
 #[test]
 fn few_backends_are_avoided_where_a_whole_service_fails_a_third_of_its_requests() {
     let mut model = EpisodeModel::default();
-    let mut all = vec![FailureEstimate::open(0); 10];
+    let mut all = vec![FailureEstimate::new(0); 10];
     let mut avoided = 0;
     // Every third request fails, at whichever backend server.
     for at in 0..3_000_u64 {
@@ -181,7 +181,7 @@
 fn learned_at_rate(observations_per_s: f64) -> EpisodeModel {
     let mut rng = StdRng::seed_from_u64(7);
     let mut model = EpisodeModel::default();
-    let mut all = vec![(FailureEstimate::open(0), false); 40];
+    let mut all = vec![(FailureEstimate::new(0), false); 40];
     for now_ms in (10..300_000_u64).step_by(10) {
         for (estimate, is_in_episode) in &mut all {
             let change_per_s = if *is_in_episode { 1.0 / 9.0 } else { 3.0 / 7.0 / 9.0 };
@@ -211,7 +211,7 @@
 fn a_backend_without_recent_outcomes_is_not_avoided() {
     // Seven in ten fail as soon as they are observed, and the other three are not observed again.
     let mut model = EpisodeModel::default();
-    let mut failing = vec![FailureEstimate::open(0); 70];
+    let mut failing = vec![FailureEstimate::new(0); 70];
     for now_ms in (1_000..60_000).step_by(500) {
         failing.iter_mut().for_each(|estimate| estimate.bad(1, &mut model, now_ms));
         others_answer(&mut model, now_ms);
--- a/crates/leverstream-member/src/swim.rs
+++ b/crates/leverstream-member/src/swim.rs
@@ -175,7 +175,7 @@
 
 impl Swim {
     /// Creates the view of a process that has just started and knows no other member.
-    pub fn open(identity: Identity, settings: SwimSettings, rng: StdRng, now_ms: u64) -> Swim {
+    pub fn new(identity: Identity, settings: SwimSettings, rng: StdRng, now_ms: u64) -> Swim {
         let me = Member::new(identity, now_ms);
         Swim {
             members: Slab::new(),
--- a/crates/leverstream-member/tests/growth.rs
+++ b/crates/leverstream-member/tests/growth.rs
@@ -93,7 +93,7 @@
         let settings =
             SwimSettings { period_ms: 400, ack_ms: 133, far_one_in: 4, ..SwimSettings::default() };
         let rng = StdRng::seed_from_u64(self.starts);
-        let mut node = Swim::open(identity, settings, rng, self.now_ms);
+        let mut node = Swim::new(identity, settings, rng, self.now_ms);
         node.set_seeds((0..SEEDS).map(address).collect());
         node
     }
--- a/crates/leverstream-member/tests/swim.rs
+++ b/crates/leverstream-member/tests/swim.rs
@@ -27,7 +27,7 @@
         hall: format!("hall-{}", number % 3),
         capacity_per_s: 0,
     };
-    Swim::open(identity, settings, StdRng::seed_from_u64(id), now_ms)
+    Swim::new(identity, settings, StdRng::seed_from_u64(id), now_ms)
 }
 
 /// A simulated network whose packets take one millisecond.
--- a/crates/leverstream-node/src/node.rs
+++ b/crates/leverstream-node/src/node.rs
@@ -139,7 +139,7 @@
         let rule = eject_rule(&settings.traffic.eject_rule);
         let control = Control::new(ControlParts {
             proxy: proxy.clone(),
-            swim: Swim::open(identity, swim_settings, rng, clock.now_ms()),
+            swim: Swim::new(identity, swim_settings, rng, clock.now_ms()),
             eject_rule: rule.ok_or(NodeError::UnsupportedSetting("traffic.eject_rule"))?,
             platform: platform.clone(),
             channels: channels.clone(),
--- a/crates/leverstream-node/src/service.rs
+++ b/crates/leverstream-node/src/service.rs
@@ -66,7 +66,7 @@
             key,
             doc: Arc::clone(doc),
             entry_vms: Vec::new(),
-            health: Health::open(settings, rule, now_ms),
+            health: Health::new(settings, rule, now_ms),
             live: ServiceState::new(key, now_ms),
             serves_until_ms: None,
             backends: Vec::new(),
