--- a/crates/leverstream-node/src/build_reports.rs
+++ b/crates/leverstream-node/src/build_reports.rs
@@ -120,7 +120,7 @@
         service: service.doc.service.clone(),
         capacity: service.health.capacity(now_ms),
         floor: f64::from(service.doc.row.floor_percent) / 100.0,
-        queued: service.live.queued(),
+        queued: service.state.queued(),
         backends,
     }
 }
--- a/crates/leverstream-node/src/control.rs
+++ b/crates/leverstream-node/src/control.rs
@@ -223,7 +223,7 @@
         probe::start_checks(checks, &context.address().recipient());
         self.publish_snapshot(now_ms);
         for service in self.services.values() {
-            service.live.wake(WAKES_PER_TICK);
+            service.state.wake(WAKES_PER_TICK);
         }
         self.proxy.ledger.remove_expired(now_ms);
         self.update_gauges(now_ms);
--- a/crates/leverstream-node/src/peers.rs
+++ b/crates/leverstream-node/src/peers.rs
@@ -246,7 +246,7 @@
     let reply = answer.into_inner();
     let stem = Stem::from_bytes(&reply.stem).filter(|stem| stem.home == vm.id);
     if let Some(stem) = stem {
-        let held = CachedStem { stem, ttl_ms: reply.holds_ms, fetched_ms: requested_ms };
-        proxy.stems.lock().insert(vm.id, held);
+        let cached = CachedStem { stem, ttl_ms: reply.holds_ms, fetched_ms: requested_ms };
+        proxy.stems.lock().insert(vm.id, cached);
     }
 }
--- a/crates/leverstream-node/src/service.rs
+++ b/crates/leverstream-node/src/service.rs
@@ -30,7 +30,7 @@
     /// The health of its backend servers.
     pub health: Health,
     /// The counters that traffic threads update.
-    pub live: Arc<ServiceState>,
+    pub state: Arc<ServiceState>,
     /// Until when this VM serves the service although it is not among its entry VMs.
     pub serves_until_ms: Option<u64>,
     /// All backend servers since the start, indexed by key.
@@ -46,7 +46,7 @@
     /// The row, as long as the table has one.
     row: Option<BackendRow>,
     /// The counters that traffic threads update.
-    live: Arc<BackendState>,
+    state: Arc<BackendState>,
     /// The digest for other VMs.
     digest: BackendDigest,
     /// When the digest last changed.
@@ -67,7 +67,7 @@
             doc: Arc::clone(doc),
             entry_vms: Vec::new(),
             health: Health::new(settings, rule, now_ms),
-            live: ServiceState::new(key, now_ms),
+            state: ServiceState::new(key, now_ms),
             serves_until_ms: None,
             backends: Vec::new(),
             by_name: HashMap::new(),
@@ -113,8 +113,8 @@
 
     /// Returns whether no request is queued or in flight.
     pub fn is_idle(&self) -> bool {
-        let has_in_flight = self.backends.iter().any(|backend| backend.live.in_flight() > 0);
-        self.live.queued() == 0 && !has_in_flight
+        let has_in_flight = self.backends.iter().any(|backend| backend.state.in_flight() > 0);
+        self.state.queued() == 0 && !has_in_flight
     }
 
     /// Counts overdue requests in flight as bad evidence, then updates the health.
@@ -122,7 +122,7 @@
         for (index, backend) in self.backends.iter().enumerate() {
             let key = BackendKey(index as u32);
             let slow_ms = self.health.slow_ms(key);
-            for units in backend.live.charge(now_ms, |age_ms| evidence_units(age_ms, slow_ms)) {
+            for units in backend.state.charge(now_ms, |age_ms| evidence_units(age_ms, slow_ms)) {
                 self.health.charge(key, units);
             }
         }
@@ -146,12 +146,12 @@
                     is_trial: fitness.is_trial && row.accepts_requests(),
                     others_in_flight: fitness.others_in_flight,
                     slow_ms: fitness.slow_ms,
-                    state: Arc::clone(&self.backends[key.0 as usize].live),
+                    state: Arc::clone(&self.backends[key.0 as usize].state),
                 }
             })
             .collect();
         let serving = Serving {
-            state: Arc::clone(&self.live),
+            state: Arc::clone(&self.state),
             backends,
             typical_ms: self.health.typical_ms(),
         };
@@ -175,7 +175,7 @@
                 backend: backend.name.clone(),
                 good: count.good,
                 bad: count.bad,
-                in_flight: backend.live.in_flight(),
+                in_flight: backend.state.in_flight(),
                 draining: self.health.is_draining(key, now_ms),
                 overdue_odds: 0.0,
                 reached_age_ms: None,
@@ -228,7 +228,7 @@
                     self.backends.push(Backend {
                         name: name.clone(),
                         row: None,
-                        live: Arc::default(),
+                        state: Arc::default(),
                         digest: BackendDigest::default(),
                         changed_ms: now_ms,
                     });
