--- a/crates/leverstream-core/src/lib.rs
+++ b/crates/leverstream-core/src/lib.rs
@@ -11,9 +11,9 @@
 mod floor;
 mod hedge;
 mod latency;
+mod notices;
 mod profile;
 mod select;
-mod words;
 
 pub use demand::Demand;
 pub use entry::choose_entry_vms;
@@ -24,6 +24,6 @@
 pub use floor::{Floor, assign_claims, used_share};
 pub use hedge::{PendingRequest, hedge_gain, is_hedge_worthwhile, next_hedge_check_ms};
 pub use latency::LatencyHistogram;
+pub use notices::{AppliedNotices, NoticeSync, Notices};
 pub use profile::RouteProfile;
 pub use select::{Pick, PickRequest, choose};
-pub use words::{AppliedNotices, NoticeSync, Notices};
