--- a/crates/leverstream-gateway/src/mesh.rs
+++ b/crates/leverstream-gateway/src/mesh.rs
@@ -21,9 +21,9 @@
 use tracing::{info, warn};
 
 use crate::duty::Duty;
+use crate::entry_set::EntrySet;
 use crate::gateway::Inner;
 use crate::meters::{FarCause, Meters};
-use crate::sharing::EntrySet;
 use crate::{Settings, emptied, news};
 
 pub(crate) use inbox::{receive, tick};
