--- a/crates/leverstream-suspect/src/lib.rs
+++ b/crates/leverstream-suspect/src/lib.rs
@@ -6,10 +6,10 @@
 //! [`RequestHasher`] computes the digests that identify requests and incarnations. This crate reads
 //! no clock and does no I/O: the present time is an argument.
 
+mod abandoned_requests;
 mod digest;
-mod runs;
 mod suspects;
 
+pub use abandoned_requests::AbandonedRequests;
 pub use digest::{IncarnationDigest, RequestDigest, RequestHasher, RequestIdentity};
-pub use runs::AbandonedRequests;
 pub use suspects::{ENDS_TO_REFUSE, MAX_SUSPECTS, RETENTION_MS, SuspectReport, Suspects, Verdict};
