--- a/crates/leverstream-workspace/src/allotment.rs
+++ b/crates/leverstream-workspace/src/allotment.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::level::TokenBucket;
+use crate::token_bucket::TokenBucket;
 use crate::{Allotment, PeerVisibility, WorkspaceId};
 
 /// The fraction of the slack that is added to the burst. The rest covers what VMs admit before they
--- a/crates/leverstream-workspace/src/lib.rs
+++ b/crates/leverstream-workspace/src/lib.rs
@@ -10,7 +10,7 @@
 mod digest;
 mod hearing;
 mod lease;
-mod level;
+mod token_bucket;
 mod workspaces;
 
 pub use allotment::{Allotments, Denied, EntryMembership, Granted, STARTUP_WINDOW_MS, UsageReport};
