--- a/crates/leverstream-workspace/src/lib.rs
+++ b/crates/leverstream-workspace/src/lib.rs
@@ -8,16 +8,16 @@
 mod allotment;
 mod credentials;
 mod digest;
-mod hearing;
 mod lease;
+mod peer_visibility;
 mod token_bucket;
 mod workspaces;
 
 pub use allotment::{Allotments, Denied, EntryMembership, Granted, STARTUP_WINDOW_MS, UsageReport};
 pub use credentials::{Credentials, CredentialsError};
 pub use digest::{KeyDigest, KeyHasher};
-pub use hearing::PeerVisibility;
 pub use lease::Lease;
+pub use peer_visibility::PeerVisibility;
 pub use workspaces::{
     Allotment, Workspace, WorkspaceError, WorkspaceId, WorkspaceIndex, Workspaces,
 };
