--- a/crates/leverstream-bench/src/decide/run.rs
+++ b/crates/leverstream-bench/src/decide/run.rs
@@ -460,11 +460,15 @@
     }
 
     /// Returns the input of the hedge decision for a request.
-    fn pending<'b>(&self, index: usize, flights: &'b [(BackendKey, u64)]) -> PendingRequest<'b> {
+    fn pending<'b>(
+        &self,
+        index: usize,
+        sends_in_flight: &'b [(BackendKey, u64)],
+    ) -> PendingRequest<'b> {
         let arrived_ms = self.requests[index].arrived_ms;
         PendingRequest {
             route: self.route,
-            flights,
+            sends_in_flight,
             on_time_ms: arrived_ms + self.service.objective_ms,
             deadline_ms: arrived_ms + self.service.timeout_ms,
         }
--- a/crates/leverstream-bench/src/gray/driver.rs
+++ b/crates/leverstream-bench/src/gray/driver.rs
@@ -145,7 +145,7 @@
         let pick =
             picker(policy.picker).unwrap_or_else(|| panic!("unknown picker {}", policy.picker));
         let vms = (0..VMS).map(|_| {
-            let mut health = Health::open(HealthSettings::from(&row), rule, 0);
+            let mut health = Health::new(HealthSettings::from(&row), rule, 0);
             for index in 0..deployment.backends {
                 health.add(&format!("b{index}"), 100, false, 0);
             }
--- a/crates/leverstream-bench/src/wide/run.rs
+++ b/crates/leverstream-bench/src/wide/run.rs
@@ -504,12 +504,16 @@
     }
 
     /// Returns the input of the hedge decision for a request.
-    fn pending<'b>(&self, index: usize, flights: &'b [(BackendKey, u64)]) -> PendingRequest<'b> {
+    fn pending<'b>(
+        &self,
+        index: usize,
+        sends_in_flight: &'b [(BackendKey, u64)],
+    ) -> PendingRequest<'b> {
         let Request { vm, is_repeatable, arrived_ms, .. } = self.requests[index];
         let workload = self.workload(is_repeatable);
         PendingRequest {
             route: self.vms[vm].routes[usize::from(is_repeatable)],
-            flights,
+            sends_in_flight,
             on_time_ms: arrived_ms + workload.objective_ms,
             deadline_ms: arrived_ms + workload.timeout_ms,
         }
--- a/crates/leverstream-gateway/src/mesh.rs
+++ b/crates/leverstream-gateway/src/mesh.rs
@@ -21,9 +21,9 @@
 use tracing::{info, warn};
 
 use crate::duty::WatchDuty;
+use crate::entry_set::EntrySet;
 use crate::gateway::Inner;
 use crate::meters::{CrossHallCause, Meters};
-use crate::sharing::EntrySet;
 use crate::{Settings, emptied, news};
 
 pub(crate) use inbox::{receive, tick};
@@ -99,7 +99,7 @@
             far_one_in: FAR_PING_ONE_IN,
             ..SwimSettings::default()
         };
-        let mut swim = Swim::open(identity, swim_settings, rng, now_ms);
+        let mut swim = Swim::new(identity, swim_settings, rng, now_ms);
         swim.set_seeds(settings.peers.seeds.clone());
         Ok(Mesh {
             swim: RefCell::new(swim),
