--- a/crates/leverstream-gateway/src/duty.rs
+++ b/crates/leverstream-gateway/src/duty.rs
@@ -124,7 +124,7 @@
             others.map(|member| member.identity.peer_address).collect();
         if self.is_watcher.replace(is_watcher) != is_watcher {
             self.changed.notify_waiters();
-            info!(is_watcher, members = members.len(), "store watcher role changed");
+            info!(is_watcher, members = members.len(), "store watcher");
         }
     }
 }
--- a/crates/leverstream-gateway/src/follow.rs
+++ b/crates/leverstream-gateway/src/follow.rs
@@ -207,13 +207,7 @@
         tokio::time::sleep(Duration::from_millis(PEER_CHECK_INTERVAL_MS)).await;
     }
     let (is_told, has_caller) = (is_known(inner), inner.has_caller.get());
-    info!(
-        kind,
-        is_told,
-        has_caller,
-        waited_ms = inner.now_ms(),
-        "waited for peers to send the store's content"
-    );
+    info!(kind, is_told, has_caller, waited_ms = inner.now_ms(), "first knowledge");
     is_told
 }
 
