--- a/crates/leverstream-gateway/src/attempt.rs
+++ b/crates/leverstream-gateway/src/attempt.rs
@@ -19,7 +19,7 @@
 use crate::inbound::Inbound;
 use crate::meters::CrossHallCause;
 use crate::slot::Slot;
-use crate::{evidence, words};
+use crate::{evidence, notices};
 
 /// The timeout for opening a connection.
 ///
@@ -302,7 +302,7 @@
             let Incarnation { instance, born_ms } = incarnation;
             let status = head.status;
             info!(id, backend = instance, born_ms, status, source = "answer", "backend leaves");
-            words::announce_leaving(inner, incarnation);
+            notices::announce_leaving(inner, incarnation);
             inner.idle_pool.borrow_mut().close_all(incarnation);
             inner.wake_all();
         }
@@ -334,7 +334,7 @@
             let id = request.id.as_deref().unwrap_or("-");
             let Incarnation { instance, born_ms } = incarnation;
             info!(id, backend = instance, born_ms, per_s, source = "answer", "backend limit");
-            words::announce_limit(inner, limit_notice.to_update(incarnation, now_ms));
+            notices::announce_limit(inner, limit_notice.to_update(incarnation, now_ms));
             inner.wake_all();
         }
     }
--- a/crates/leverstream-gateway/src/lib.rs
+++ b/crates/leverstream-gateway/src/lib.rs
@@ -32,6 +32,7 @@
 mod mesh;
 mod meters;
 mod news;
+mod notices;
 mod refused_store;
 mod repeats;
 mod reply;
@@ -41,7 +42,6 @@
 mod starts;
 mod suspects;
 mod waiting;
-mod words;
 
 pub use gateway::{Gateway, GatewayError};
 pub use settings::{Settings, SettingsError};
--- a/crates/leverstream-gateway/src/limits.rs
+++ b/crates/leverstream-gateway/src/limits.rs
@@ -20,7 +20,7 @@
 
 use crate::mesh::Mesh;
 use crate::meters::Meters;
-use crate::words;
+use crate::notices;
 
 /// The state that one VM needs to request and grant permits.
 #[derive(Default)]
@@ -159,7 +159,7 @@
         let mut pending = self.limits.pending.borrow_mut();
         pending.retain(|_, sender| !sender.is_closed());
         pending.insert(number, sender);
-        let limit = Some(words::encode_limit(&notice.to_update(of, self.clock.now_ms())));
+        let limit = Some(notices::encode_limit(&notice.to_update(of, self.clock.now_ms())));
         let question = PermitQuestion { number, asker: self.mesh.id(), limit };
         self.send(to, Body::PermitQuestion(question));
         Some(PendingAnswer { arbiter: to, answer })
@@ -178,7 +178,7 @@
     /// answer corrects it if this VM has newer information.
     pub fn answer(&self, from: SocketAddr, question: &PermitQuestion) {
         let now_ms = self.clock.now_ms();
-        let Some(update) = question.limit.as_ref().and_then(words::decode_limit) else { return };
+        let Some(update) = question.limit.as_ref().and_then(notices::decode_limit) else { return };
         let LimitUpdate { of, .. } = &update;
         let asker_notice = update.to_notice(now_ms);
         self.fleet.borrow_mut().note_limit(of, asker_notice, now_ms);
@@ -188,7 +188,7 @@
             None => Verdict::Granted,
         };
         let limit = (known.sent_ms > asker_notice.sent_ms && known.per_s != asker_notice.per_s)
-            .then(|| words::encode_limit(&known.to_update(of, now_ms)));
+            .then(|| notices::encode_limit(&known.to_update(of, now_ms)));
         let mut answer = encode(question.number, verdict);
         answer.limit = limit;
         self.send(from, Body::PermitAnswer(answer));
@@ -197,7 +197,7 @@
     /// Handles an arbiter's answer.
     pub fn record_answer(&self, answer: &PermitAnswer) {
         let now_ms = self.clock.now_ms();
-        if let Some(update) = answer.limit.as_ref().and_then(words::decode_limit) {
+        if let Some(update) = answer.limit.as_ref().and_then(notices::decode_limit) {
             let LimitUpdate { of, per_s, .. } = &update;
             let notice: LimitNotice = update.to_notice(now_ms);
             if self.fleet.borrow_mut().note_limit(of, notice, now_ms) {
--- a/crates/leverstream-gateway/src/mesh/inbox.rs
+++ b/crates/leverstream-gateway/src/mesh/inbox.rs
@@ -11,7 +11,7 @@
 
 use super::{SETTLE_MS, TICK_MS};
 use crate::gateway::Inner;
-use crate::{emptied, evidence, news, words};
+use crate::{emptied, evidence, news, notices};
 
 /// A tick that is late by at least this much, in milliseconds, is logged: on a busy VM ticks are
 /// late by less.
@@ -90,11 +90,11 @@
             if evidence::apply(inner, report, now_ms) {
                 inner.wake_all();
             }
-            words::compare(inner, from, report.words, now_ms);
+            notices::compare(inner, from, report.words, now_ms);
             return;
         }
         Some(Body::Words(message)) => {
-            words::receive(inner, from, message, now_ms);
+            notices::receive(inner, from, message, now_ms);
             return;
         }
         Some(Body::Allotments(report)) => {
@@ -159,7 +159,7 @@
     let now_ms = inner.now_ms();
     inner.repeats.record_report(standing.vms, now_ms);
     inner.suspect_tracker.compare(from, standing.suspects, &inner.mesh, &inner.meters, now_ms);
-    words::compare(inner, from, standing.words, now_ms);
+    notices::compare(inner, from, standing.words, now_ms);
     if inner.mesh.duty.note_other(sender.id, standing.store_lost, now_ms) {
         inner.mesh.update_roles(inner);
     }
